--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -171,7 +171,7 @@
         except hiredis.ProtocolError as wrong:  # where the next command starts is lost
             self.clients.driver.stats["client_protocol_error"] += 1
             self._end(" ".join(str(wrong).split()))
-        if self.clients.drain.closes:
+        if self.clients.drain.closing_idle:
             self.close_if_idle()
         return None
 
@@ -290,7 +290,7 @@
         if command[0] in (b"CALL.GET", b"CALL.POST"):
             return self._call(command)
         if command[0].upper() == b"PING" and len(command) == 1:
-            why_not = self.clients.driver.readiness.why_not_here
+            why_not = self.clients.driver.readiness.address_not_ready_reason
             return self._reply(b"-ERR %b\r\n" % why_not.encode() if why_not else b"+PONG\r\n")
         return self._reply(b"-ERR unknown command\r\n")
 
@@ -308,7 +308,7 @@
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
             return self._reply(b"-BUSY 1000\r\n", room)
-        if self.clients.drain.refuses:
+        if self.clients.drain.refusing_requests:
             self.clients.driver.stats["refused_leaving"] += 1
             return self._reply(b"-BUSY\r\n", room)
         self.clients.used(self)
@@ -370,7 +370,7 @@
         new = (
             self.waits_since > self.clients.driver.loop.time() - FIRST_COMMAND_GRACE
         )  # its command is on its way
-        if self.stage is Stage.ENDING or (self.clients.drain.closes and not new and self._is_between()):
+        if self.stage is Stage.ENDING or (self.clients.drain.closing_idle and not new and self._is_between()):
             self.half_close()
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -133,8 +133,8 @@
         """Carry out one call; the line that answers it. HEALTH is about this process alone."""
         line = line.removesuffix(b"\r")
         if line == b"HEALTH":
-            why_not = self.driver.readiness.why_not
-            return f"error {why_not}" if why_not else f"done ready{self.in_doubt()}"
+            not_ready_reason = self.driver.readiness.not_ready_reason
+            return f"error {not_ready_reason}" if not_ready_reason else f"done ready{self.in_doubt()}"
         while self.driver.frozen:  # the next process takes over: nothing would be in force yet
             await asyncio.sleep(HANDOVER_POLL_INTERVAL)
         if self.driver.readiness.handed_on:
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -29,8 +29,8 @@
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
-        self.closes = False  # connections between requests
-        self.refuses = False  # requests
+        self.closing_idle = False  # connections between requests
+        self.refusing_requests = False  # requests
         self.steps: list[asyncio.TimerHandle] = []  # still to come
 
     def leave(self) -> None:
@@ -40,9 +40,9 @@
         self.clients.driver.readiness.left = True
         later = self.clients.driver.loop.call_later
         self.steps = [
-            later(DRAIN_NOTICE_DELAY, self._close_between),
+            later(DRAIN_NOTICE_DELAY, self._close_idle),
             later(DRAIN_REFUSE_DELAY, self._take_no_more),
-            later(DRAIN_CLOSE_DELAY, self._close_without_request),
+            later(DRAIN_CLOSE_DELAY, self._close_unfinished),
         ]
 
     def join(self) -> str:
@@ -51,25 +51,25 @@
             return "error ending"
         for step in self.steps:
             step.cancel()
-        self.clients.driver.readiness.left = self.closes = self.refuses = False
+        self.clients.driver.readiness.left = self.closing_idle = self.refusing_requests = False
         return "done joined"
 
     def hand_on(self) -> None:
         """The next process accepts: close connections between requests."""
         self.join()
         self.clients.server.close()
-        self._close_between()
+        self._close_idle()
 
-    def _close_between(self) -> None:
-        self.closes = True
+    def _close_idle(self) -> None:
+        self.closing_idle = True
         for client in list(self.clients.open):
             client.close_if_idle()
 
     def _take_no_more(self) -> None:
         """Whoever was within a command all the time: its request would hold the connection too long."""
-        self.refuses = True
+        self.refusing_requests = True
 
-    def _close_without_request(self) -> None:
+    def _close_unfinished(self) -> None:
         """Whoever is within a command still, a large body for one."""
         for client in list(self.clients.open):
             client.end_within()
@@ -81,12 +81,12 @@
         clients, driver, loop = self.clients, self.clients.driver, self.clients.driver.loop
         self.join()
         driver.readiness.ending = not driver.readiness.handed_on
-        self._close_between()
+        self._close_idle()
         start = loop.time()
         await asyncio.sleep(accept_for)
         clients.stop_accepting()
         await asyncio.sleep(max(0.0, start + SHUTDOWN_REFUSE_DELAY - loop.time()))
-        self.refuses = True
+        self.refusing_requests = True
         unfinished_until = start + accept_for + SHUTDOWN_COMMAND_TIMEOUT
         left = max((call.deadline for call in driver.calls.values()), default=0) - driver.clock()
         ends = loop.time() + max(0.0, left / 1e6) + WRITE_STALL_TIMEOUT
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -212,7 +212,7 @@
         if cached:
             kind = api.ListKind.CACHED
         unsent = self.hosts.told(listed)
-        self.readiness.listed |= any(host.entry.phase is not api.Phase.GONE for host in listed.hosts)
+        self.readiness.has_hosts |= any(host.entry.phase is not api.Phase.GONE for host in listed.hosts)
         self.feed(api.ServerListed(kind, listed.version, tuple(host.entry for host in listed.hosts)))
         for attempt in unsent:  # after the list, which tells where else they may go
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -185,7 +185,7 @@
                 log.warning("member_unheard", **fields)
             case "twin":
                 log.error("member_has_twin", **fields)
-                self.driver.readiness.has_twin = True
+                self.driver.readiness.has_duplicate_rank = True
                 self.driver.feed(api.MembersChanged(self._says().away, True))
                 self.drain()
                 self.stop()
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -150,7 +150,7 @@
 
     def _families(self) -> Iterable[Metric]:
         totals, gauges = self.driver.stats.totals(), self.driver.stats.gauges()
-        ready = not self.driver.readiness.why_not
+        ready = not self.driver.readiness.not_ready_reason
         yield gauge("birchdrum_ready", "1 where this process is ready to serve", ready)
         yield gauge("birchdrum_hosts", "Hosts on the list", len(self.driver.gateway.hosts))
         for name, text in GAUGES.items():
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -92,7 +92,7 @@
 
 async def by_drain(rig: Rig, plain: Plain, client: Client) -> bytes:
     client.waits_since = 0.0
-    rig.clients.drain._close_between()
+    rig.clients.drain._close_idle()
     return b""
 
 
@@ -114,7 +114,7 @@
 
 async def by_leaving(rig: Rig, plain: Plain, client: Client) -> bytes:
     client.waits_since = 0.0
-    rig.clients.drain._close_without_request()
+    rig.clients.drain._close_unfinished()
     return b""
 
 
@@ -164,7 +164,7 @@
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
-    rig.clients.drain.closes = True
+    rig.clients.drain.closing_idle = True
     client.waits_since = 0.0
     plain.send(PING + request(1) + PING)
     assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
