--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -34,7 +34,7 @@
     version: int
     whole: bool
     hosts: tuple[HostEntry, ...]
-    odd: int = 0  # entries that made no sense and were left out
+    malformed: int = 0  # entries that made no sense and were left out
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
 def parse_hosts(raw: dict[str, Any], zones: tuple[str, ...]) -> HostList:
     """Discovery's form of a list; an odd entry is left out and counted, the others stand."""
-    hosts, odd = [], 0
+    hosts, malformed = [], 0
     for line in raw["hosts"]:
         try:
             site = line["site"]
@@ -90,8 +90,8 @@
             )
             hosts.append(HostEntry(entry, address(line["dial"])))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
-            odd += 1
-    return HostList(int(raw["seq"]), bool(raw["whole"]), tuple(hosts), odd)
+            malformed += 1
+    return HostList(int(raw["seq"]), bool(raw["whole"]), tuple(hosts), malformed)
 
 
 def _one_of(words: Collection[str], word: str) -> str:
--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -44,9 +44,9 @@
 )
 
 
-def span_of(gateways: int, asked: bool) -> float:
+def first_call_spread(gateways: int, on_request: bool) -> float:
     """Seconds over which a fleet spreads its first calls; asked: discovery does work for each of them."""
-    return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if asked else 0.0
+    return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if on_request else 0.0
 
 
 class Exchange(asyncio.Protocol):
@@ -145,37 +145,41 @@
         zones: tuple[str, ...],
         told: Callable[[HostList], None],
         wait: float = LONG_POLL_WAIT,
-        answer_within: float = RESPONSE_TIMEOUT,
-        draw: Callable[[], float] = lambda: 1.0,
+        response_timeout: float = RESPONSE_TIMEOUT,
+        random_fraction: Callable[[], float] = lambda: 1.0,
         version: int | None = None,
         spread: float = 0.0,
     ) -> None:
         self.loop, self.address, self.zones, self.told = loop, address, zones, told
-        self.wait, self.answer_within = wait, answer_within
-        self.draw = draw  # from 0 to 1, so that gateways that started together don't call together
+        self.wait, self.response_timeout = wait, response_timeout
+        self.random_fraction = (
+            random_fraction  # from 0 to 1, so that gateways that started together don't call together
+        )
         self.version = version  # of the list that is held: what changed since is asked for; None: the whole
         self.spread = spread  # seconds that the first calls of the whole fleet take together
         self.back_off = BACKOFF_MIN
         self.pace = 0.0  # seconds to the next call where discovery refuses one; 0: it is not overbooked
-        self.due = 0.0  # by then the next try begins: what this one misses counts as told soon after
+        self.next_attempt_due = (
+            0.0  # by then the next try begins: what this one misses counts as told soon after
+        )
         self.exchange: Exchange | None = None
         self.reached: bool | None = None  # whether the last try to connect came up; None: there was none
         self.timer: asyncio.TimerHandle | None = None
 
     # -- states ---------------------------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def start_after_delay(self) -> None:
         """Start, each gateway of a fleet in its own moment: until then the list that it was given holds."""
-        self._wait(self.spread * self.draw(), self.start)
+        self._wait(self.spread * self.random_fraction(), self.start)
 
     def start(self) -> None:
         """Connect and call."""
         self.drop()
-        self.due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
         self._wait(CONNECT_TIMEOUT, self._too_late)
         self.exchange = Exchange(self)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Discovery is at this address from now on: whatever goes on with another one is dropped."""
         if address == self.address:
             return
@@ -194,7 +198,7 @@
             self.timer.cancel()
         self.timer = self.loop.call_later(span, then)
 
-    def _later(self) -> None:
+    def _reconnect_later(self) -> None:
         """Connect anew after a short while."""
         self.drop()
         self._wait(self._in_time(max(self.back_off, self.pace)), self.start)
@@ -203,7 +207,10 @@
     def _in_time(self, span: float) -> float:
         """A part of a span, drawn so that a fleet does not call in step, and cut so that the next try comes
         before what this one missed counts as told."""
-        return min(span * (1 + self.draw()) / 2, max(BACKOFF_MIN, self.due - self.loop.time()))
+        return min(
+            span * (1 + self.random_fraction()) / 2,
+            max(BACKOFF_MIN, self.next_attempt_due - self.loop.time()),
+        )
 
     # -- what happens ---------------------------------------------------------------------------------------
 
@@ -216,19 +223,19 @@
             if self.reached is not False:  # once, until it is there again
                 log.warning("discovery_unreachable", address=self.address, error=why)
             self.reached = False
-            self._later()
+            self._reconnect_later()
 
-    def strained(self) -> None:
+    def slow_down(self) -> None:
         """It refused a call, or left it without an answer: fewer calls from now on."""
         self.pace = min(CALL_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.pace))
 
     def refused(self, again: bool) -> None:
         """It is overbooked: the same call later, on the same connection where that is kept."""
-        self.strained()
+        self.slow_down()
         if again:
             self._wait(self._in_time(self.pace), self._call_again)
         else:
-            self._later()
+            self._reconnect_later()
 
     def connected(self) -> None:
         """The connection is up: the first call."""
@@ -239,17 +246,17 @@
 
     def _call_again(self) -> None:
         """The next try, on the connection of the one before."""
-        self.due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
         self._ask()
 
     def _ask(self) -> None:
         """What is newer than the list held, waited for at discovery; without one the whole list."""
-        target, within = PATH, self.answer_within
+        target, within = PATH, self.response_timeout
         if self.version is not None:
             target = f"{PATH}?index={self.version}&wait={int(self.wait * 1000)}"
             within += self.wait
         if self.pace:  # it is overbooked: an answer may take all the time there is
-            within = max(within, self.due - BACKOFF_MIN - self.loop.time())
+            within = max(within, self.next_attempt_due - BACKOFF_MIN - self.loop.time())
         self._wait(within, self._silent)
         self.exchange.call(target, ":".join(map(str, self.address)))
 
@@ -269,9 +276,9 @@
         if again:
             self._call_again()
         else:
-            self._later()
-        if listed.odd:
-            log.warning("discovery_odd_entries", left_out=listed.odd, version=listed.version)
+            self._reconnect_later()
+        if listed.malformed:
+            log.warning("discovery_odd_entries", left_out=listed.malformed, version=listed.version)
         if listed.whole or listed.hosts:
             self.told(listed)
 
@@ -280,15 +287,15 @@
         if exchange is self.exchange:
             log.warning("discovery_failed", error=wrong, address=self.address)
             self.version = None
-            self._later()
+            self._reconnect_later()
 
     def lost(self, exchange: Exchange) -> None:
         """The connection is gone: a new one after a short while."""
         if exchange is self.exchange:
-            self._later()
+            self._reconnect_later()
 
     def _silent(self) -> None:
         if self.pace:  # else a call may be lost once
-            self.strained()
+            self.slow_down()
         log.warning("discovery_silent", address=self.address)
-        self._later()
+        self._reconnect_later()
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -19,7 +19,7 @@
 from .clients import Clients
 from .config import Config, HostList
 from .control import Control
-from .discovery import Watch, span_of
+from .discovery import Watch, first_call_spread
 from .driver import Driver
 from .hosts import Hosts
 from .peers import Peers
@@ -111,15 +111,15 @@
             self.config.discovery,
             self.config.zones,
             self._listed,
-            draw=random.Random(self.config.seed).random,
+            random_fraction=random.Random(self.config.seed).random,
             version=None if predecessor else since,
-            spread=span_of(settings.gateways, settings.asks_for_list),
+            spread=first_call_spread(settings.gateways, settings.asks_for_list),
         )
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         if predecessor or since is None:
             self.watch.start()
         else:
-            self.watch.begin()
+            self.watch.start_after_delay()
 
     def _listed(self, hosts: HostList) -> None:
         self.driver.listed(hosts)
@@ -195,7 +195,7 @@
         log.info("config_read", in_force=at_once, needs_restart=later)  # in the form and level before
         if "log_form" in at_once or "log_level" in at_once:
             logs.start(self.config.log_form, self.config.log_level)
-        self.watch.move(self.config.discovery)
+        self.watch.set_address(self.config.discovery)
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -16,7 +16,7 @@
 from orchidlane import messages
 from saffrongw import discovery
 from saffrongw.config import parse_hosts
-from saffrongw.discovery import Watch, span_of
+from saffrongw.discovery import Watch, first_call_spread
 from saffrongw.peers import Peers
 
 ZONES = ("hall-a", "hall-b")
@@ -72,7 +72,7 @@
 @asyncio_test
 async def test_a_silent_agent_and_answers_that_make_no_sense_lead_to_the_whole_list_anew():
     whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
-    agent, told = await watched([None, b"junk", b"[]", {"seq": 5}, whole], answer_within=0.1)
+    agent, told = await watched([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
     await until(lambda: told)
     assert agent.asked[:5] == ["/registry/instances"] * 5
 
@@ -99,7 +99,7 @@
         watch.start()
         await until(lambda watch=watch, state=state: state(watch))
         place = await serving(new)
-        watch.move(place)
+        watch.set_address(place)
         await until(lambda new=new: len(new.asked) == 2)
         assert told[-1].version == 5
         assert watch.exchange.transport.get_extra_info("peername") == place
@@ -210,11 +210,13 @@
     starts is owed nothing later than who runs: what it does not ask for in time counts as told."""
     moments: dict[int, list[float]] = {}
     for gateways in (1, 3, 20, 40, 230):
-        spread = span_of(gateways, asked=True)
+        spread = first_call_spread(gateways, on_request=True)
         for seed in range(gateways):
             spans: set[float] = set()
             draw = random.Random(seed).random
-            Watch(Later(spans), ("127.0.0.1", 1), ZONES, list, draw=draw, version=0, spread=spread).begin()
+            Watch(
+                Later(spans), ("127.0.0.1", 1), ZONES, list, random_fraction=draw, version=0, spread=spread
+            ).start_after_delay()
             moments.setdefault(gateways, []).extend(spans)
     assert moments[1] == [0.0]
     assert max(moments[3]) < 0.5
@@ -223,16 +225,16 @@
         evenly = max(1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX)  # in a second
         most = max(sum(at <= m < at + 1 for m in moments[gateways]) for at in moments[gateways])
         assert most <= 2 * evenly
-    assert span_of(60, asked=False) == 0.0
+    assert first_call_spread(60, on_request=False) == 0.0
 
 
 def test_gateways_that_are_refused_together_do_not_come_back_together():
     spans = set()
     for seed in range(8):
-        watch = Watch(Later(spans), ("127.0.0.1", 1), ZONES, list, draw=random.Random(seed).random)
-        watch.due = discovery.CALL_INTERVAL_MAX  # a try has begun just now
-        watch.strained()
-        watch._later()
+        watch = Watch(Later(spans), ("127.0.0.1", 1), ZONES, list, random_fraction=random.Random(seed).random)
+        watch.next_attempt_due = discovery.CALL_INTERVAL_MAX  # a try has begun just now
+        watch.slow_down()
+        watch._reconnect_later()
     assert len(spans) == 8
     assert all(discovery.REFUSED_INTERVAL_MIN / 2 <= span <= discovery.REFUSED_INTERVAL_MIN for span in spans)
 
@@ -276,7 +278,7 @@
     listed = parse_hosts(
         {"seq": 1, "whole": True, "hosts": [*odd, line("a", site="hall-b", born_ms=12)]}, ZONES
     )
-    assert listed.odd == len(odd)
+    assert listed.malformed == len(odd)
     (host,) = listed.hosts
     assert (host.entry.server, host.entry.zone, host.entry.launched) == (b"a", 1, 12_000)
     assert host.address == ("127.0.0.1", 7)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -63,7 +63,7 @@
         self.opened: list[Exchange] = []
         self.ended: set[Exchange] = set()
         self.watch = Watch(
-            self, ("host", 1), ZONES, self.told.append, draw=random.Random(seed).random, **changes
+            self, ("host", 1), ZONES, self.told.append, random_fraction=random.Random(seed).random, **changes
         )
 
     # -- what a watch needs of a loop
@@ -167,7 +167,7 @@
     for seed in range(400):
         draw = random.Random(seed)
         world = World(seed)
-        world.watch.begin() if draw.random() < 0.5 else world.watch.start()
+        world.watch.start_after_delay() if draw.random() < 0.5 else world.watch.start()
         for _ in range(60):
             live = [e for e in world.opened if e not in world.ended]
             event = draw.choice(("fire", "up", "data", "data", "eof", "reset", "move", "wait"))
@@ -177,7 +177,7 @@
                 due = min(timer.when for timer in world.pending())
                 world.now += draw.random() * (due - world.now)
             elif event == "move":
-                world.watch.move(("host", draw.randrange(3)))
+                world.watch.set_address(("host", draw.randrange(3)))
             elif live:
                 exchange = draw.choice(live)
                 if event == "up" and exchange.transport is None:
@@ -265,7 +265,7 @@
     loop, told = asyncio.get_running_loop(), []
     agent = Agent([json.loads(whole(version)) for version in range(1, 4)])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append, answer_within=0.2).start()
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append, response_timeout=0.2).start()
     await until(lambda: len(told) == 3)
     assert [listed.version for listed in told] == [1, 2, 3]
 
