--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -79,7 +79,7 @@
 }
 CAUSES = ("quota", "ceiling", "slow", "spent", "crowded", "leaving", "handed_over", "no_room")
 # Counters by one label: prefix in the log, name, label, help, values.
-LABELLED = (
+LABELLED_COUNTERS = (
     ("refused_", "birchdrum_refused", "cause", "Requests refused", CAUSES),
     (
         "attempt_",
@@ -157,6 +157,6 @@
             yield gauge(f"birchdrum_{name}", text, gauges.get(name, 0))
         for name, text in COUNTERS.items():
             yield counter(f"birchdrum_{name}", text, totals[name])
-        for prefix, name, label, text, values in LABELLED:
+        for prefix, name, label, text, values in LABELLED_COUNTERS:
             counts = ((value, float(totals[prefix + value])) for value in values)
             yield labelled(CounterMetricFamily(name, text, labels=(label,)), counts)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -74,7 +74,10 @@
     named = {name for text in asked for name in NAMES.findall(text)}
     assert len(asked) > 25 and len(named) > 20
     assert named - exist == set()
-    values = {value for _, _, _, _, values in metrics.LABELLED for value in values} | {"served", "birchdrum"}
+    values = {value for _, _, _, _, values in metrics.LABELLED_COUNTERS for value in values} | {
+        "served",
+        "birchdrum",
+    }
     used = {v for text in asked for words in re.findall(r'\w+=~?"([^"]+)"', text) for v in words.split("|")}
     assert used - values == set()
 
@@ -83,7 +86,7 @@
     text = (ROOT / "docs" / "monitoring" / "README.md").read_text()
     gauges = {f"birchdrum_{name}" for name in (*metrics.GAUGES, "ready", "hosts")}
     counters = {f"birchdrum_{name}_total" for name in (*metrics.COUNTERS, "log_lines_kept_back")}
-    counters |= {f"{name}_total" for _, name, _, _, _ in metrics.LABELLED}
+    counters |= {f"{name}_total" for _, name, _, _, _ in metrics.LABELLED_COUNTERS}
     histograms = {"birchdrum_answer_seconds", "birchdrum_attempt_seconds"}
     section = text.split("## Metrics")[1].split("\n## ")[0]
     named = {word for word in re.findall(r"`(\w+)`", section) if word.startswith("birchdrum_")}
--- a/tests/test_hand.py
+++ b/tests/test_hand.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import SECOND, SITE, Bench, FakeHost, Rig, Service, asyncio_test, entry, listed, of, until
 from test_control import call, controlled
-from test_upgrade import copied
+from test_upgrade import restored_copy
 
 from orchidlane import interface as api
 from orchidlane import state
@@ -121,7 +121,7 @@
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
     ban(bench)
-    gateway = copied(bench)
+    gateway = restored_copy(bench)
     for number in range(20):
         event = api.RequestArrived(number, number, 0, 0, 1.0, 2 * SECOND, 0, 3, False)
         for action in of(gateway.handle(bench.now, event), api.Send):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -74,7 +74,7 @@
     found = set()
     for file in SOURCES.glob("*.py"):
         found |= set(re.findall(r'stats\["(\w+)"\]', file.read_text()))
-    labelled = {prefix + value for prefix, _, _, _, values in metrics.LABELLED for value in values}
+    labelled = {prefix + value for prefix, _, _, _, values in metrics.LABELLED_COUNTERS for value in values}
     assert len(found) > 15
     assert found - set(metrics.COUNTERS) - labelled == set()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -359,7 +359,7 @@
 # -- the state, without sockets ---------------------------------------------------------------------------
 
 
-def copied(bench: Bench, change=lambda state, rows: None) -> Gateway:
+def restored_copy(bench: Bench, change=lambda state, rows: None) -> Gateway:
     """A gateway that goes on in its place, by way of JSON."""
     text = json.dumps([handover.head(bench.gateway), list(handover.accounts(bench.gateway))])
     state, rows = json.loads(text)
@@ -378,7 +378,7 @@
         bench.run(30_000)
         if sent and number % 4:
             bench.outcome(number, sent[0].server, api.Outcome.SERVED, took=40_000 * number)
-    gateway = copied(bench)
+    gateway = restored_copy(bench)
     assert len(gateway.accounts) == 5
     for customer, account in bench.gateway.accounts.items():
         assert gateway.accounts[customer] == dataclasses.replace(account, out=0)
@@ -393,7 +393,7 @@
     bench = Bench()
     bench.ask(1, plan=1)
     bench.ask(2, plan=1)
-    gateway = copied(bench)
+    gateway = restored_copy(bench)
     for event in (events := handover.out(bench.gateway)):
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
         assert gateway.handle(bench.now, dataclasses.replace(event, arrived=arrived)) == []
@@ -412,7 +412,7 @@
 def test_a_cold_server_stays_cold():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2, launched=bench.now - SECOND)))
-    gateway = copied(bench)
+    gateway = restored_copy(bench)
     assert [host.entry.server for host in gateway.cold.hosts] == [entry(2).server]
 
 
@@ -434,4 +434,4 @@
     bench = Bench()
     bench.ask(1)
     with pytest.raises(ValueError, match="usable"):
-        copied(bench, change)
+        restored_copy(bench, change)
