--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -1,4 +1,7 @@
-"""The watch on discovery: one kept HTTP connection, the next call at once after each answer."""
+"""Watch on discovery: HTTP long polling over one keep-alive connection.
+
+Each response is followed immediately by the next request.
+"""
 
 from __future__ import annotations
 
@@ -15,25 +18,27 @@
 log = logs.get(__name__)
 
 PATH = "/registry/instances"
-RESPONSE_BYTES_MAX = 4 * 1024 * 1024  # guards memory against a response that never ends
+RESPONSE_BYTES_MAX = 4 * 1024 * 1024  # bounds memory use if a response never ends
 
 # All times in seconds.
-STALENESS_LIMIT = 6.0  # what discovery has to tell counts as told so long after, whether it came or not
-# Between the beginnings of two calls, whatever becomes of the first: the second has to be answered as well.
+STALENESS_LIMIT = 6.0  # a change at discovery counts as delivered after this time, whether it arrived or not
+# Between the starts of two attempts, whatever becomes of the first: it leaves time for the second to be
+# answered within STALENESS_LIMIT.
 CALL_INTERVAL_MAX = STALENESS_LIMIT - 2.0
 CONNECT_TIMEOUT = 1.0
-LONG_POLL_WAIT = 2.0  # that a call may wait for news: until then a hung agent looks like a quiet one
-RESPONSE_TIMEOUT = 1.0  # beyond that wait: a silent agent is called anew
-BACKOFF_MIN, BACKOFF_MAX = 0.05, 1.0  # before connecting again, doubled with each failure
-
-# Discovery may be overbooked: then calls wait in turn there, and too many of them are all in vain. A watch
-# that goes on costs it nothing, a new one a call and what changed, a whole list every line.
-REFUSED_INTERVAL_MIN = 0.5  # between two calls after a refused one, doubled with each more
-REFUSED_INTERVAL_DECAY = 0.7  # the part of that interval which an answer leaves for the next time
-FIRST_CALL_SPACING = 0.15  # on average between the first calls of a fleet that starts together
-
-# What a response that makes no sense raises.
-MALFORMED = (
+LONG_POLL_WAIT = 2.0  # until it is over, a hung discovery agent can't be told from one without changes
+RESPONSE_TIMEOUT = 1.0  # added to the long-poll wait; after it the watch reconnects
+BACKOFF_MIN, BACKOFF_MAX = 0.05, 1.0  # before reconnecting, doubled with each failure
+
+# Discovery may be overloaded: requests then queue there, and with too many of them none is answered in time.
+# Continuing a watch costs discovery nothing, a new watch costs one request and the changes, and a whole list
+# costs every entry.
+REFUSED_INTERVAL_MIN = 0.5  # between two requests after a refused one, doubled with each further refusal
+REFUSED_INTERVAL_DECAY = 0.7  # factor by which an answered request reduces that interval
+FIRST_CALL_SPACING = 0.15  # average between the first requests of a fleet that starts together
+
+# Raised by the parsers for a malformed response.
+MALFORMED_RESPONSE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -45,48 +50,54 @@
 
 
 def first_call_spread(gateways: int, on_request: bool) -> float:
-    """Seconds over which a fleet spreads its first calls; asked: discovery does work for each of them."""
+    """Seconds over which a fleet spreads its first requests.
+
+    ``on_request``: discovery sends lists only on request, so each first request costs it work.
+    """
     return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if on_request else 0.0
 
 
 class Exchange(asyncio.Protocol):
-    """One HTTP connection with one call out at a time; it concerns its watch as long as that holds it."""
+    """One HTTP connection with one request in flight at a time.
+
+    Once the watch has replaced it, its events are ignored.
+    """
 
     def __init__(self, watch: Watch) -> None:
         self.watch, self.http = watch, h11.Connection(h11.CLIENT)
         self.status, self.body = 0, bytearray()
-        self.tells_length = True
+        self.has_length = True
         self.transport: asyncio.Transport | None = None
-        self.task = watch.loop.create_task(self._open(*watch.address))
+        self.task = watch.loop.create_task(self._connect(*watch.address))
 
-    async def _open(self, host: str, port: int) -> None:
+    async def _connect(self, host: str, port: int) -> None:
         try:
             await self.watch.loop.create_connection(lambda: self, host, port)
-        except OSError as wrong:
-            self.watch.unreachable(self, str(wrong))
+        except OSError as error:
+            self.watch.connect_failed(self, str(error))
 
     def close(self) -> None:
-        """Drop it, whatever it is doing; the watch hears nothing more of it."""
+        """Abort the connection, or the attempt to connect."""
         if self.transport:
             self.transport.abort()
         else:
             self.task.cancel()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Connected: the first call goes out."""
+        """Notify the watch, which sends the first request."""
         self.transport = transport
         if self.watch.exchange is self:
             self.watch.connected()
-        else:  # it came up in the moment in which it was given up
+        else:  # the connection was established just as the watch gave it up
             transport.abort()
 
-    def call(self, target: str, host: str) -> None:
-        """Send one request."""
+    def send_request(self, target: str, host: str) -> None:
+        """Send one GET request."""
         request = h11.Request(method="GET", target=target, headers=[("host", host)])
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a part of it; no bytes: the agent sends nothing more."""
+        """Parse a response or a part of it; empty data stands for the end of the stream."""
         try:
             self.http.receive_data(data)
             while self.watch.exchange is self:
@@ -96,46 +107,47 @@
                 if isinstance(event, h11.Response):
                     self.status = event.status_code
                     names = {name for name, _ in event.headers}
-                    self.tells_length = bool(names & {b"content-length", b"transfer-encoding"})
+                    self.has_length = bool(names & {b"content-length", b"transfer-encoding"})
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     if len(self.body) > RESPONSE_BYTES_MAX:
-                        raise ValueError("answer too long")
+                        raise ValueError(f"response exceeds {RESPONSE_BYTES_MAX} bytes")
                 elif isinstance(event, h11.EndOfMessage):
-                    self._whole()
-        except MALFORMED as wrong:
-            self.watch.failed(self, wrong)
+                    self._response_complete()
+        except MALFORMED_RESPONSE_ERRORS as error:
+            self.watch.response_failed(self, error)
 
-    def _whole(self) -> None:
+    def _response_complete(self) -> None:
         body, self.body = bytes(self.body), bytearray()
         if self.status != 200 and self.status < 500:
-            raise ValueError(f"answered {self.status}")
-        listed = self.watch.parse(body) if self.status == 200 else None
-        again = self.http.their_state is h11.DONE  # else the agent closes after this answer
-        if again:
+            raise ValueError(f"unexpected HTTP status {self.status}")
+        host_list = self.watch.parse(body) if self.status == 200 else None
+        keep_alive = self.http.their_state is h11.DONE  # else the agent closes after this response
+        if keep_alive:
             self.http.start_next_cycle()
-        if listed is None:
+        if host_list is None:
             log.warning("discovery_refused", status=self.status, address=self.watch.address)
-            self.watch.refused(again)
+            self.watch.refused(keep_alive)
         else:
-            self.watch.answered(listed, again)
+            self.watch.answered(host_list, keep_alive)
 
     def eof_received(self) -> None:
-        """The end of an answer that tells no length. A reset is none: nothing of it counts then."""
-        if self.http.their_state is h11.SEND_BODY and not self.tells_length:
+        """Complete a response that has no length. A reset does not complete it: the response is dropped."""
+        if self.http.their_state is h11.SEND_BODY and not self.has_length:
             self.data_received(b"")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Closed by the agent, or by us as it made no sense."""
-        self.watch.lost(self)
+        """Notify the watch that the connection was closed by either side."""
+        self.watch.exchange_lost(self)
 
 
 class Watch:
     """Keeps the list of hosts up to date for as long as the gateway runs.
 
-    From its start on it is in one of four states, and each of them has its one timer: between two connections
-    (``exchange`` is None), connecting, with a call out, or with the next one put off. What ends a state early
-    passes through ``_wait`` as its timer does, so that there is always a call out or a time for the next one.
+    Once started, it is in one of four states: disconnected (``exchange`` is None), connecting, waiting for a
+    response, or connected with the next request postponed. Each state has exactly one timer. An event that
+    ends a state early sets the timer of the next one through ``_set_timer``, so that there is always a
+    request in flight or a time set for the next one.
     """
 
     def __init__(
@@ -143,159 +155,163 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         zones: tuple[str, ...],
-        told: Callable[[HostList], None],
-        wait: float = LONG_POLL_WAIT,
+        on_update: Callable[[HostList], None],
+        long_poll_wait: float = LONG_POLL_WAIT,
         response_timeout: float = RESPONSE_TIMEOUT,
         random_fraction: Callable[[], float] = lambda: 1.0,
         version: int | None = None,
         spread: float = 0.0,
     ) -> None:
-        self.loop, self.address, self.zones, self.told = loop, address, zones, told
-        self.wait, self.response_timeout = wait, response_timeout
-        self.random_fraction = (
-            random_fraction  # from 0 to 1, so that gateways that started together don't call together
-        )
-        self.version = version  # of the list that is held: what changed since is asked for; None: the whole
-        self.spread = spread  # seconds that the first calls of the whole fleet take together
-        self.back_off = BACKOFF_MIN
-        self.pace = 0.0  # seconds to the next call where discovery refuses one; 0: it is not overbooked
-        self.next_attempt_due = (
-            0.0  # by then the next try begins: what this one misses counts as told soon after
-        )
+        self.loop, self.address, self.zones, self.on_update = loop, address, zones, on_update
+        self.long_poll_wait, self.response_timeout = long_poll_wait, response_timeout
+        self.random_fraction = random_fraction  # from 0 to 1: jitter for gateways that started together
+        self.version = version  # of the current list; changes since it are requested; None: the whole list
+        self.spread = spread  # seconds over which the first requests of the whole fleet are spread
+        self.backoff = BACKOFF_MIN
+        self.refused_interval = 0.0  # seconds between requests after refusals; 0: discovery is not overloaded
+        # Loop time by which the next attempt starts: what this one misses counts as delivered soon after.
+        self.next_attempt_due = 0.0
         self.exchange: Exchange | None = None
-        self.reached: bool | None = None  # whether the last try to connect came up; None: there was none
+        self.last_connect_succeeded: bool | None = None  # None: no attempt yet
         self.timer: asyncio.TimerHandle | None = None
 
     # -- states ---------------------------------------------------------------------------------------------
 
     def start_after_delay(self) -> None:
-        """Start, each gateway of a fleet in its own moment: until then the list that it was given holds."""
-        self._wait(self.spread * self.random_fraction(), self.start)
+        """Start after a random part of ``spread``; until then the configured list of hosts is used."""
+        self._set_timer(self.spread * self.random_fraction(), self.start)
 
     def start(self) -> None:
-        """Connect and call."""
+        """Open a new connection and poll."""
         self.drop()
         self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
-        self._wait(CONNECT_TIMEOUT, self._too_late)
+        self._set_timer(CONNECT_TIMEOUT, self._connect_timed_out)
         self.exchange = Exchange(self)
 
     def set_address(self, address: Address) -> None:
-        """Discovery is at this address from now on: whatever goes on with another one is dropped."""
+        """Switch to another address of discovery, dropping the connection to the previous one."""
         if address == self.address:
             return
-        self.address, self.version, self.back_off, self.pace = address, None, BACKOFF_MIN, 0.0
+        self.address, self.version, self.backoff, self.refused_interval = address, None, BACKOFF_MIN, 0.0
         self.start()
 
     def drop(self) -> None:
-        """Have nothing more to do with the connection there is."""
+        """Close the connection and ignore its further events."""
         exchange, self.exchange = self.exchange, None
         if exchange:
             exchange.close()
 
-    def _wait(self, span: float, then: Callable[[], None]) -> None:
-        """Every state begins here: it ends by what happens, or else with its time."""
+    def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
+        """Set the one timer, at the beginning of each state; an event may end the state earlier."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(span, then)
+        self.timer = self.loop.call_later(delay, callback)
 
     def _reconnect_later(self) -> None:
-        """Connect anew after a short while."""
+        """Close the connection, and reconnect after the backoff."""
         self.drop()
-        self._wait(self._in_time(max(self.back_off, self.pace)), self.start)
-        self.back_off = min(BACKOFF_MAX, 2 * self.back_off)
+        self._set_timer(self._jittered_delay(max(self.backoff, self.refused_interval)), self.start)
+        self.backoff = min(BACKOFF_MAX, 2 * self.backoff)
 
-    def _in_time(self, span: float) -> float:
-        """A part of a span, drawn so that a fleet does not call in step, and cut so that the next try comes
-        before what this one missed counts as told."""
+    def _jittered_delay(self, delay: float) -> float:
+        """Add jitter, so that the gateways of a fleet do not poll in step, and cap the delay so that the next
+        attempt starts before what this one missed counts as delivered."""
         return min(
-            span * (1 + self.random_fraction()) / 2,
+            delay * (1 + self.random_fraction()) / 2,
             max(BACKOFF_MIN, self.next_attempt_due - self.loop.time()),
         )
 
-    # -- what happens ---------------------------------------------------------------------------------------
+    # -- events ---------------------------------------------------------------------------------------------
 
-    def _too_late(self) -> None:
-        self.unreachable(self.exchange, "no answer")
+    def _connect_timed_out(self) -> None:
+        self.connect_failed(self.exchange, "connect timed out")
 
-    def unreachable(self, exchange: Exchange, why: str) -> None:
-        """It did not come up."""
+    def connect_failed(self, exchange: Exchange, reason: str) -> None:
+        """Connecting failed: retry after the backoff."""
         if exchange is self.exchange:
-            if self.reached is not False:  # once, until it is there again
-                log.warning("discovery_unreachable", address=self.address, error=why)
-            self.reached = False
+            if self.last_connect_succeeded is not False:  # logged once per outage
+                log.warning("discovery_unreachable", address=self.address, error=reason)
+            self.last_connect_succeeded = False
             self._reconnect_later()
 
     def slow_down(self) -> None:
-        """It refused a call, or left it without an answer: fewer calls from now on."""
-        self.pace = min(CALL_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.pace))
+        """Increase the interval between requests, after one was refused or timed out."""
+        self.refused_interval = min(
+            CALL_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.refused_interval)
+        )
 
-    def refused(self, again: bool) -> None:
-        """It is overbooked: the same call later, on the same connection where that is kept."""
+    def refused(self, keep_alive: bool) -> None:
+        """Discovery is overloaded: retry later, on the same connection if it is kept alive."""
         self.slow_down()
-        if again:
-            self._wait(self._in_time(self.pace), self._call_again)
+        if keep_alive:
+            self._set_timer(self._jittered_delay(self.refused_interval), self._poll_again)
         else:
             self._reconnect_later()
 
     def connected(self) -> None:
-        """The connection is up: the first call."""
-        if self.reached is False:
+        """The connection is established: send the first request."""
+        if self.last_connect_succeeded is False:
             log.info("discovery_reached", address=self.address)
-        self.reached = True
-        self._ask()
+        self.last_connect_succeeded = True
+        self._poll()
 
-    def _call_again(self) -> None:
-        """The next try, on the connection of the one before."""
+    def _poll_again(self) -> None:
+        """Start the next attempt on the same connection."""
         self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
-        self._ask()
+        self._poll()
 
-    def _ask(self) -> None:
-        """What is newer than the list held, waited for at discovery; without one the whole list."""
-        target, within = PATH, self.response_timeout
+    def _poll(self) -> None:
+        """Request the changes since the current version by long poll, or the whole list if there is none."""
+        target, timeout = PATH, self.response_timeout
         if self.version is not None:
-            target = f"{PATH}?index={self.version}&wait={int(self.wait * 1000)}"
-            within += self.wait
-        if self.pace:  # it is overbooked: an answer may take all the time there is
-            within = max(within, self.next_attempt_due - BACKOFF_MIN - self.loop.time())
-        self._wait(within, self._silent)
-        self.exchange.call(target, ":".join(map(str, self.address)))
+            target = f"{PATH}?index={self.version}&wait={int(self.long_poll_wait * 1000)}"
+            timeout += self.long_poll_wait
+        if self.refused_interval:  # overloaded: the response may take until the next attempt is due
+            timeout = max(timeout, self.next_attempt_due - BACKOFF_MIN - self.loop.time())
+        self._set_timer(timeout, self._response_timed_out)
+        self.exchange.send_request(target, ":".join(map(str, self.address)))
 
     def parse(self, body: bytes) -> HostList:
-        """An answer as a list; raises where it is none."""
+        """Parse a response body; raises one of MALFORMED_RESPONSE_ERRORS."""
         return parse_hosts(json.loads(body), self.zones)
 
-    def answered(self, listed: HostList, again: bool) -> None:
-        """Call again at once where the connection is kept, so that the watch stands, then pass on what was
-        told. A version that went back is of another list than ours."""
-        self.back_off, self.pace = (
+    def answered(self, host_list: HostList, keep_alive: bool) -> None:
+        """Poll again at once if the connection is kept alive, so that the watch has no gap, then pass on the
+        list. A lower version means that discovery restarted with another list: the whole list is requested.
+        """
+        self.backoff, self.refused_interval = (
             BACKOFF_MIN,
-            self.pace * REFUSED_INTERVAL_DECAY if self.pace > REFUSED_INTERVAL_MIN else 0.0,
+            self.refused_interval * REFUSED_INTERVAL_DECAY
+            if self.refused_interval > REFUSED_INTERVAL_MIN
+            else 0.0,
+        )
+        version_decreased = (
+            not host_list.whole and self.version is not None and host_list.version < self.version
         )
-        back = not listed.whole and self.version is not None and listed.version < self.version
-        self.version = None if back else listed.version
-        if again:
-            self._call_again()
+        self.version = None if version_decreased else host_list.version
+        if keep_alive:
+            self._poll_again()
         else:
             self._reconnect_later()
-        if listed.malformed:
-            log.warning("discovery_odd_entries", left_out=listed.malformed, version=listed.version)
-        if listed.whole or listed.hosts:
-            self.told(listed)
+        if host_list.malformed:
+            log.warning("discovery_odd_entries", left_out=host_list.malformed, version=host_list.version)
+        if host_list.whole or host_list.hosts:
+            self.on_update(host_list)
 
-    def failed(self, exchange: Exchange, wrong: Exception) -> None:
-        """An answer made no sense: what is held is in doubt, the whole list is asked for."""
+    def response_failed(self, exchange: Exchange, error: Exception) -> None:
+        """The response was malformed: the current list may be out of date, so the whole list is requested."""
         if exchange is self.exchange:
-            log.warning("discovery_failed", error=wrong, address=self.address)
+            log.warning("discovery_failed", error=error, address=self.address)
             self.version = None
             self._reconnect_later()
 
-    def lost(self, exchange: Exchange) -> None:
-        """The connection is gone: a new one after a short while."""
+    def exchange_lost(self, exchange: Exchange) -> None:
+        """The connection was closed: reconnect after the backoff."""
         if exchange is self.exchange:
             self._reconnect_later()
 
-    def _silent(self) -> None:
-        if self.pace:  # else a call may be lost once
+    def _response_timed_out(self) -> None:
+        if self.refused_interval:  # a single timeout without earlier refusals does not slow polling down
             self.slow_down()
         log.warning("discovery_silent", address=self.address)
         self._reconnect_later()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -104,7 +104,7 @@
         if exchange not in self.ended:
             self.ended.add(exchange)
             if exchange.transport is None:
-                self.watch.unreachable(exchange, "refused")
+                self.watch.connect_failed(exchange, "refused")
             else:
                 if error is None:
                     exchange.eof_received()
