--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -137,7 +137,7 @@
             return f"error {not_ready_reason}" if not_ready_reason else f"done ready{self.in_doubt()}"
         while self.driver.frozen:  # the next process takes over: nothing would be in force yet
             await asyncio.sleep(HANDOVER_POLL_INTERVAL)
-        if self.driver.readiness.handed_on:
+        if self.driver.readiness.handed_over:
             return await self.seat.ask(line)
         return await self.here(line)
 
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -35,9 +35,9 @@
 
     def leave(self) -> None:
         """Say no from now on, and once the front has seen that, close connections between requests."""
-        if self.clients.driver.readiness.left or self.clients.driver.readiness.ending:
+        if self.clients.driver.readiness.draining or self.clients.driver.readiness.shutting_down:
             return
-        self.clients.driver.readiness.left = True
+        self.clients.driver.readiness.draining = True
         later = self.clients.driver.loop.call_later
         self.steps = [
             later(DRAIN_NOTICE_DELAY, self._close_idle),
@@ -47,11 +47,11 @@
 
     def join(self) -> str:
         """Back to work, at whatever step the drain was; what is said to the operator."""
-        if self.clients.driver.readiness.ending:
+        if self.clients.driver.readiness.shutting_down:
             return "error ending"
         for step in self.steps:
             step.cancel()
-        self.clients.driver.readiness.left = self.closing_idle = self.refusing_requests = False
+        self.clients.driver.readiness.draining = self.closing_idle = self.refusing_requests = False
         return "done joined"
 
     def hand_on(self) -> None:
@@ -80,7 +80,7 @@
         connections by LINGER_TIMEOUT, and who reads too slowly for all that is cut off."""
         clients, driver, loop = self.clients, self.clients.driver, self.clients.driver.loop
         self.join()
-        driver.readiness.ending = not driver.readiness.handed_on
+        driver.readiness.shutting_down = not driver.readiness.handed_over
         self._close_idle()
         start = loop.time()
         await asyncio.sleep(accept_for)
--- a/saffrongw/readiness.py
+++ b/saffrongw/readiness.py
@@ -1,4 +1,4 @@
-"""The one state behind every answer to the question whether this process is ready to serve."""
+"""Readiness of this process: the single state that all readiness checks read."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 @dataclass(slots=True)
 class Readiness:
-    """``HEALTH``, ``PING`` and the drain all ask here, so that they cannot say different things."""
+    """State behind ``HEALTH``, ``PING`` and the drain, so that their answers cannot contradict each other."""
 
-    has_hosts: bool = False  # a list that names a host has been told
-    serving: bool = False  # the clients' listener is ours
-    left: bool = False  # an operator told it to leave
-    ending: bool = False  # it was told to end
-    has_duplicate_rank: bool = False  # another process runs under our rank
-    handed_on: bool = False  # another process serves in its place
+    has_hosts: bool = False  # a list with at least one host has been received
+    serving: bool = False  # this process listens for clients
+    draining: bool = False  # an operator ordered a drain
+    shutting_down: bool = False  # the process received a signal to end
+    has_duplicate_rank: bool = False  # another process runs with the same rank
+    handed_over: bool = False  # the successor of an upgrade serves in place of this process
 
     @property
     def not_ready_reason(self) -> str:
-        """Why nothing new should come to this process; empty: it should."""
-        return "handed over to the next process" if self.handed_on else self.address_not_ready_reason
+        """Why this process should get no new connections; empty if it is ready."""
+        return "handed over to the next process" if self.handed_over else self.address_not_ready_reason
 
     @property
     def address_not_ready_reason(self) -> str:
-        """Why nothing new should come to this address, whichever process serves it; empty: it should."""
-        if self.handed_on:
+        """Why this address should get no new connections, whichever process serves it; empty if it is ready."""
+        if self.handed_over:
             return ""
-        if self.ending:
+        if self.shutting_down:
             return "ending"
         if self.has_duplicate_rank:
             return "another process runs under our rank: end one of them"
-        if self.left:
+        if self.draining:
             return "draining"
         if not self.has_hosts:
             return "no list of hosts yet"
