--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -146,11 +146,11 @@
         match line.split(b" "):
             case [b"LEAVE"]:
                 log.info("control_call", call="leave")
-                self.clients.drain.leave()
+                self.clients.drain.begin()
                 return "done draining"
             case [b"JOIN"]:
                 log.info("control_call", call="join")
-                return self.clients.drain.join()
+                return self.clients.drain.cancel()
             case [b"MEMBERS"]:
                 if not self.members:
                     return "error no membership: fleet.cluster is not set"
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -1,4 +1,4 @@
-"""How client connections are brought to an end: on an operator's word, for the next process, at shutdown."""
+"""Closing of client connections: in a drain ordered by an operator, after a handover, and at shutdown."""
 
 from __future__ import annotations
 
@@ -14,49 +14,52 @@
 
 log = logs.get(__name__)
 
-# On an operator's word, in seconds after it.
-DRAIN_NOTICE_DELAY = 0.6  # the front has seen that we leave, and sends no new connections
+# Drain, in seconds after an operator's LEAVE.
+DRAIN_NOTICE_DELAY = 0.6  # by now the load balancer in front has seen the drain and sends no new connections
 DRAIN_REFUSE_DELAY = 1.8  # requests are refused from here on
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
 
 # Shutdown, in seconds after SIGTERM.
-SHUTDOWN_REFUSE_DELAY = 0.65  # requests are refused: what comes from 0.7 s on has to be answered by SIGKILL
-SHUTDOWN_COMMAND_TIMEOUT = 1.0  # that an unfinished command may hold up the end once nobody is accepted
+SHUTDOWN_REFUSE_DELAY = (
+    0.65  # requests that arrive from 0.7 s on must be answered before SIGKILL: refuse them
+)
+# After the listener is closed, incomplete commands delay the exit by at most this.
+SHUTDOWN_COMMAND_TIMEOUT = 1.0
 
 
 class Drain:
-    """How far it is: connections are closed between requests, and then no request is taken any more."""
+    """Progress of a drain: idle connections are closed first, then new requests are refused."""
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
-        self.closing_idle = False  # connections between requests
-        self.refusing_requests = False  # requests
-        self.steps: list[asyncio.TimerHandle] = []  # still to come
+        self.closing_idle = False  # connections are closed as soon as they have no request in flight
+        self.refusing_requests = False
+        self.timers: list[asyncio.TimerHandle] = []  # of the later steps of a drain
 
-    def leave(self) -> None:
-        """Say no from now on, and once the front has seen that, close connections between requests."""
+    def begin(self) -> None:
+        """Report not ready at once; close idle connections once the load balancer in front has seen that."""
         if self.clients.driver.readiness.draining or self.clients.driver.readiness.shutting_down:
             return
         self.clients.driver.readiness.draining = True
-        later = self.clients.driver.loop.call_later
-        self.steps = [
-            later(DRAIN_NOTICE_DELAY, self._close_idle),
-            later(DRAIN_REFUSE_DELAY, self._take_no_more),
-            later(DRAIN_CLOSE_DELAY, self._close_unfinished),
+        call_later = self.clients.driver.loop.call_later
+        self.timers = [
+            call_later(DRAIN_NOTICE_DELAY, self._close_idle),
+            call_later(DRAIN_REFUSE_DELAY, self._refuse_requests),
+            call_later(DRAIN_CLOSE_DELAY, self._close_unfinished),
         ]
 
-    def join(self) -> str:
-        """Back to work, at whatever step the drain was; what is said to the operator."""
+    def cancel(self) -> str:
+        """Cancel the drain at any step; returns the answer to the operator."""
         if self.clients.driver.readiness.shutting_down:
             return "error ending"
-        for step in self.steps:
-            step.cancel()
+        for timer in self.timers:
+            timer.cancel()
         self.clients.driver.readiness.draining = self.closing_idle = self.refusing_requests = False
         return "done joined"
 
-    def hand_on(self) -> None:
-        """The next process accepts: close connections between requests."""
-        self.join()
+    def hand_over(self) -> None:
+        """The successor accepts new connections: stop listening and close idle connections."""
+        self.cancel()
         self.clients.server.close()
         self._close_idle()
 
@@ -65,35 +68,37 @@
         for client in list(self.clients.open):
             client.close_if_idle()
 
-    def _take_no_more(self) -> None:
-        """Whoever was within a command all the time: its request would hold the connection too long."""
+    def _refuse_requests(self) -> None:
+        """Refuse requests that complete only now: waiting for their answers would delay the drain."""
         self.refusing_requests = True
 
     def _close_unfinished(self) -> None:
-        """Whoever is within a command still, a large body for one."""
+        """Close all connections without a request in flight, even within a command such as a large body."""
         for client in list(self.clients.open):
             client.end_within()
 
-    async def shut_down(self, accept_for: float) -> None:
-        """Close connections as they fall idle, go on accepting for a while, then finish what is held. Each
-        wait has an end: requests by their deadlines, commands by SHUTDOWN_COMMAND_TIMEOUT, half-closed
-        connections by LINGER_TIMEOUT, and who reads too slowly for all that is cut off."""
+    async def shut_down(self, accept_time: float) -> None:
+        """Close idle connections, go on accepting for ``accept_time`` seconds, then finish all requests.
+
+        Each wait is bounded: requests by their deadlines, commands by SHUTDOWN_COMMAND_TIMEOUT, half-closed
+        connections by LINGER_TIMEOUT. Clients that read their answers too slowly for that are disconnected.
+        """
         clients, driver, loop = self.clients, self.clients.driver, self.clients.driver.loop
-        self.join()
+        self.cancel()
         driver.readiness.shutting_down = not driver.readiness.handed_over
         self._close_idle()
         start = loop.time()
-        await asyncio.sleep(accept_for)
+        await asyncio.sleep(accept_time)
         clients.stop_accepting()
         await asyncio.sleep(max(0.0, start + SHUTDOWN_REFUSE_DELAY - loop.time()))
         self.refusing_requests = True
-        unfinished_until = start + accept_for + SHUTDOWN_COMMAND_TIMEOUT
-        left = max((call.deadline for call in driver.calls.values()), default=0) - driver.clock()
-        ends = loop.time() + max(0.0, left / 1e6) + WRITE_STALL_TIMEOUT
-        while not clients.is_over and loop.time() < ends:
+        commands_cut_off_at = start + accept_time + SHUTDOWN_COMMAND_TIMEOUT
+        time_left = max((call.deadline for call in driver.calls.values()), default=0) - driver.clock()
+        cut_off_at = loop.time() + max(0.0, time_left / 1e6) + WRITE_STALL_TIMEOUT
+        while not clients.is_over and loop.time() < cut_off_at:
             for client in list(clients.open):
                 client.close_if_idle()
-                if loop.time() >= unfinished_until:
+                if loop.time() >= commands_cut_off_at:
                     client.end_within()
             await asyncio.sleep(0.01)
         if not clients.is_over:
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -154,7 +154,7 @@
             if config.cluster:
                 from .members import Members  # hashes: only where it is wanted
 
-                self.members = Members(driver, config, self.peers, self.clients.drain.leave)
+                self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
             await listening.now("peers", config.peer_listen, functools.partial(self.peers.listen, at))
         driver.stats.start(self.loop, self._gauges)
--- a/saffrongw/readiness.py
+++ b/saffrongw/readiness.py
@@ -23,7 +23,7 @@
 
     @property
     def address_not_ready_reason(self) -> str:
-        """Why this address should get no new connections, whichever process serves it; empty if it is ready."""
+        """Why this address should get no new connections, whichever process serves it; empty if ready."""
         if self.handed_over:
             return ""
         if self.shutting_down:
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -201,7 +201,7 @@
     def _finish(self) -> None:
         log.info("handover_done", requests_left=len(self.driver.calls))
         self.driver.readiness.handed_over = True
-        self.clients.drain.hand_on()
+        self.clients.drain.hand_over()
         self.driver.hosts.close_idle()
         self.tasks += [self.loop.create_task(self._hear()), self.loop.create_task(self._finish_all())]
 
