--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -45,7 +45,7 @@
         self.timers = [
             call_later(DRAIN_NOTICE_DELAY, self._close_idle),
             call_later(DRAIN_REFUSE_DELAY, self._refuse_requests),
-            call_later(DRAIN_CLOSE_DELAY, self._close_unfinished),
+            call_later(DRAIN_CLOSE_DELAY, self._close_without_request),
         ]
 
     def cancel(self) -> str:
@@ -72,7 +72,7 @@
         """Refuse requests that complete only now: waiting for their answers would delay the drain."""
         self.refusing_requests = True
 
-    def _close_unfinished(self) -> None:
+    def _close_without_request(self) -> None:
         """Close all connections without a request in flight, even within a command such as a large body."""
         for client in list(self.clients.open):
             client.end_within()
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -114,7 +114,7 @@
 
 async def by_leaving(rig: Rig, plain: Plain, client: Client) -> bytes:
     client.waits_since = 0.0
-    rig.clients.drain._close_unfinished()
+    rig.clients.drain._close_without_request()
     return b""
 
 
