--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -1,4 +1,8 @@
-"""The operators' address: one line in, one line out that begins with ``done`` or ``error``, then a close."""
+"""Control address for operators.
+
+A caller sends one line and gets one line back that begins with ``done`` or ``error``; then the connection is
+closed.
+"""
 
 from __future__ import annotations
 
@@ -17,132 +21,134 @@
 
 log = logs.get(__name__)
 
-CONNECTIONS_MAX = 12  # connections at once: one more closes the one that has been silent longest
-LINE_BYTES_MAX = 512  # bytes of a call
-CALL_TIMEOUT = 10.0  # seconds until a caller without a whole call is closed
-LINGER_TIMEOUT = 1.0  # seconds that a caller has to take its answer and close
-HANDOVER_POLL_INTERVAL = 0.01  # seconds between two looks whether a handover is over
+CONNECTIONS_MAX = 12  # open connections: a new one beyond this closes the oldest
+LINE_BYTES_MAX = 512  # length of a call
+CALL_TIMEOUT = 10.0  # seconds until a connection without a complete call is closed
+LINGER_TIMEOUT = 1.0  # seconds for the caller to read its answer and close
+HANDOVER_POLL_INTERVAL = 0.01  # seconds between two checks whether a handover is over
 
 
-class Caller(asyncio.Protocol):
-    """One connection of an operator."""
+class ControlConnection(asyncio.Protocol):
+    """One operator's connection."""
 
     def __init__(self, control: Control) -> None:
         self.control = control
         self.line = b""
-        self.answered = self.written = False
-        self.ended = False  # the caller sends no more
+        self.is_answered = self.answer_written = False
+        self.eof_seen = False  # the caller has closed its sending side
         self.transport: asyncio.Transport | None = None
-        self.limit: asyncio.TimerHandle | None = None
+        self.close_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """An operator has connected."""
+        """Register the connection and start its timeout."""
         self.transport = transport
-        self._close_in(CALL_TIMEOUT)
-        self.control.opened(self)
+        self._set_close_timer(CALL_TIMEOUT)
+        self.control.connection_opened(self)
 
-    def _close_in(self, seconds: float) -> None:
-        if self.limit:
-            self.limit.cancel()
-        self.limit = self.control.loop.call_later(seconds, self.transport.abort)
+    def _set_close_timer(self, seconds: float) -> None:
+        if self.close_timer:
+            self.close_timer.cancel()
+        self.close_timer = self.control.loop.call_later(seconds, self.transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """A call, or a part of it; what follows its line is dropped."""
-        if self.answered:
+        """Collect the line of a call; anything after the line is dropped."""
+        if self.is_answered:
             return
         self.line += data[: LINE_BYTES_MAX + 1 - len(self.line)]
         line, end, _ = self.line.partition(b"\n")
         if end:
-            self.answered = True
+            self.is_answered = True
             self.task = self.control.loop.create_task(self._call(line))
         elif len(self.line) > LINE_BYTES_MAX:
             self.answer("error the line is too long")
 
     async def _call(self, line: bytes) -> None:
-        self.answer(await self.control.call(line))
+        self.answer(await self.control.execute(line))
 
     def eof_received(self) -> bool:
-        """A line without its end may be a longer one cut off, ``OFFLINE h1`` of ``OFFLINE h12``."""
-        self.ended = True
-        if not self.answered:
+        """Reject a line without a newline: it may be truncated, such as ``OFFLINE h1`` of ``OFFLINE h12``."""
+        self.eof_seen = True
+        if not self.is_answered:
             self.answer("error the line has no end")
-        return not self.written
+        return not self.answer_written
 
     def answer(self, text: str) -> None:
-        """One line, and the end. It is read on until the caller has closed: a close over unread bytes would
-        reset the connection and take the answer with it."""
-        self.answered = True
-        self.control.count(text)
+        """Send one line and half-close. Reading goes on until the caller has closed: closing with
+        bytes unread would reset the connection, and the answer would be lost."""
+        self.is_answered = True
+        self.control.count_answer(text)
         if not self.transport.is_closing():
             self.transport.write(text.encode() + b"\n")
-            self.written = True
-            if self.ended:
+            self.answer_written = True
+            if self.eof_seen:
                 self.transport.close()
                 return
             self.transport.write_eof()
-            self._close_in(LINGER_TIMEOUT)
+            self._set_close_timer(LINGER_TIMEOUT)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The caller has closed, or was closed."""
-        self.limit.cancel()
-        self.control.callers.pop(self, None)
+        """Unregister the connection."""
+        self.close_timer.cancel()
+        self.control.connections.pop(self, None)
 
 
-class Other(Protocol):
-    """The process before this one, or the one after it, as far as operators' calls go there."""
+class OtherProcess(Protocol):
+    """The predecessor or successor of an upgrade, as far as operators' calls are forwarded to it."""
 
-    async def ask(self, line: bytes) -> str:
-        """Have it carry out a call; what it said."""
+    async def forward(self, line: bytes) -> str:
+        """Have it execute a call; returns its answer."""
 
 
 class Control:
-    """The listener for operators; every call is carried out at once, and may be repeated."""
+    """The listener for operators. Calls are executed at once, and repeating one is harmless."""
 
     def __init__(self, driver: Driver, clients: Clients) -> None:
         self.driver, self.clients, self.loop = driver, clients, driver.loop
-        self.callers: dict[Caller, None] = {}  # the one that connected first stands first
+        self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
-        self.predecessor: Other | None = None  # the process before this one, as long as it finishes
-        self.seat: Other | None = None  # where the next process takes over, or has
+        self.predecessor: OtherProcess | None = None  # the predecessor of an upgrade
+        self.handover_server: OtherProcess | None = None  # the link to the successor
         self.members: Members | None = None
 
     async def listen(self, address: Address) -> None:
-        """Answer from now on; raises OSError."""
-        self.server = await self.loop.create_server(lambda: Caller(self), *address, backlog=CONNECTIONS_MAX)
-
-    def opened(self, caller: Caller) -> None:
-        """One more; a new one is never the one that goes."""
-        if len(self.callers) >= CONNECTIONS_MAX:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]  # at once: more may come before its end is told
+        """Start listening; raises OSError."""
+        self.server = await self.loop.create_server(
+            lambda: ControlConnection(self), *address, backlog=CONNECTIONS_MAX
+        )
+
+    def connection_opened(self, connection: ControlConnection) -> None:
+        """Register a connection; beyond CONNECTIONS_MAX the oldest is closed, never the new one."""
+        if len(self.connections) >= CONNECTIONS_MAX:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]  # not left to connection_lost: more may connect before it
             self.driver.stats["control_evicted"] += 1
             oldest.transport.abort()
-        self.callers[caller] = None
+        self.connections[connection] = None
 
-    def count(self, answer: str) -> None:
-        """For the line of counters."""
+    def count_answer(self, answer: str) -> None:
+        """Count the answer by its first word."""
         self.driver.stats["control_" + answer.split(" ", 1)[0]] += 1
 
-    def in_doubt(self) -> str:
-        """What membership has to say of this process's own health; empty: nothing."""
-        doubts = self.members.doubts() if self.members else ()
-        return f", but {', '.join(doubts)}" if doubts else ""
+    def health_warnings(self) -> str:
+        """Return membership's doubts about this process's own health, as a suffix; empty if it has none."""
+        warnings = self.members.doubts() if self.members else ()
+        return f", but {', '.join(warnings)}" if warnings else ""
 
-    async def call(self, line: bytes) -> str:
-        """Carry out one call; the line that answers it. HEALTH is about this process alone."""
+    async def execute(self, line: bytes) -> str:
+        """Execute one call and return its answer. HEALTH reports on this process alone."""
         line = line.removesuffix(b"\r")
         if line == b"HEALTH":
             not_ready_reason = self.driver.readiness.not_ready_reason
-            return f"error {not_ready_reason}" if not_ready_reason else f"done ready{self.in_doubt()}"
-        while self.driver.frozen:  # the next process takes over: nothing would be in force yet
+            return f"error {not_ready_reason}" if not_ready_reason else f"done ready{self.health_warnings()}"
+        while self.driver.frozen:  # the handover is under way: neither process can apply changes yet
             await asyncio.sleep(HANDOVER_POLL_INTERVAL)
         if self.driver.readiness.handed_over:
-            return await self.seat.ask(line)
-        return await self.here(line)
+            return await self.handover_server.forward(line)
+        return await self.execute_locally(line)
 
-    async def here(self, line: bytes) -> str:
-        """Carry out one call in this process."""
+    async def execute_locally(self, line: bytes) -> str:
+        """Execute one call in this process."""
         match line.split(b" "):
             case [b"LEAVE"]:
                 log.info("control_call", call="leave")
@@ -155,12 +161,12 @@
                 if not self.members:
                     return "error no membership: fleet.cluster is not set"
                 return f"done {json.dumps(self.members.table(), separators=(',', ':'))}"
-            case [b"OFFLINE" | b"ONLINE" as word, server]:
-                if not self.driver.ban(server, word == b"OFFLINE"):
+            case [b"OFFLINE" | b"ONLINE" as verb, server]:
+                if not self.driver.ban(server, verb == b"OFFLINE"):
                     return "error no such host was ever listed"
-                log.info("control_call", call=word.decode().lower(), host=server)
+                log.info("control_call", call=verb.decode().lower(), host=server)
                 if self.predecessor:
-                    await self.predecessor.ask(line)  # what it still finishes keeps to it, too
-                return "done out" if word == b"OFFLINE" else "done back"
+                    await self.predecessor.forward(line)  # it applies to the requests that it still finishes
+                return "done out" if verb == b"OFFLINE" else "done back"
             case _:
                 return "error no such call"
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -162,10 +162,12 @@
         await listening.now("clients", config.listen, listener)
         if taken:
             predecessor.share = functools.partial(self._share, predecessor)
-            predecessor.hear(self.control.here)
+            predecessor.hear(self.control.execute_locally)
         self.control.predecessor = predecessor
-        self.control.seat = upgrade.Seat(driver, self.clients, self.peers, self.control.here, self.stop)
-        self.control.seat.listen(where)
+        self.control.handover_server = upgrade.Seat(
+            driver, self.clients, self.peers, self.control.execute_locally, self.stop
+        )
+        self.control.handover_server.listen(where)
         gc.collect()
         gc.freeze()  # what is loaded by now stays: it need not be looked through again
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -85,12 +85,12 @@
     control = await controlled(rig)
     for _ in range(3 * CONNECTIONS_MAX):
         assert (await call(control, b"HEALTH")).startswith("done")
-        await until(lambda: not control.callers)
+        await until(lambda: not control.connections)
     reader, writer = await connect(control)
     writer.write(b"HEALTH\n")
     writer.write_eof()
     assert await asyncio.wait_for(reader.read(), 5) == b"done ready\n"
-    await until(lambda: not control.callers)
+    await until(lambda: not control.connections)
     assert not rig.driver.stats["control_evicted"]
 
 
@@ -103,7 +103,7 @@
         silent.append(await connect(control))
         silent[-1][1].write(b"HEAL")
     assert (await call(control, b"HEALTH")).startswith("done")
-    assert len(control.callers) <= CONNECTIONS_MAX
+    assert len(control.connections) <= CONNECTIONS_MAX
     assert rig.driver.stats["control_evicted"] >= 2 * CONNECTIONS_MAX
     silent[-1][1].write(b"TH\n")  # one of the latest has its place still
     assert await asyncio.wait_for(silent[-1][0].read(), 5) == b"done ready\n"
