--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -82,8 +82,8 @@
         """All of its life; raises NoStart where it can't begin."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
-        where = upgrade.path(self.config)
-        predecessor = upgrade.find(where, self.config)
+        where = upgrade.handover_socket_path(self.config)
+        predecessor = upgrade.connect_to_predecessor(where, self.config)
         try:
             self.driver.start(self.config.known)
             self._follow(predecessor)
@@ -147,7 +147,7 @@
     async def _serve(self, predecessor: upgrade.Predecessor | None, where: Path | None) -> None:
         """Take over from the process before this one, or start alone; then clients are served."""
         config, driver = self.config, self.driver
-        taken = predecessor is not None and await predecessor.take(driver, self.told)
+        taken = predecessor is not None and await predecessor.take_over(driver, self.told)
         if config.peer_listen and config.settings.may_tell_peers:
             self.peers = Peers(driver, config.peers, config.settings.rank)  # empty: to be learnt
             at = (predecessor and predecessor.peers) or config.peer_listen
@@ -161,10 +161,10 @@
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
         await listening.now("clients", config.listen, listener)
         if taken:
-            predecessor.share = functools.partial(self._share, predecessor)
-            predecessor.hear(self.control.execute_locally)
+            predecessor.share_descriptors = functools.partial(self._share, predecessor)
+            predecessor.start_receiving(self.control.execute_locally)
         self.control.predecessor = predecessor
-        self.control.handover_server = upgrade.Seat(
+        self.control.handover_server = upgrade.HandoverServer(
             driver, self.clients, self.peers, self.control.execute_locally, self.stop
         )
         self.control.handover_server.listen(where)
