--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -1,4 +1,4 @@
-"""One api gateway: ``python -m saffrongw`` with LB_CONFIG naming its configuration."""
+"""Entry point of one API gateway: ``python -m saffrongw``, with LB_CONFIG naming the configuration file."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 from .config import Config, parse
 from .listening import NoStart
-from .process import UNUSABLE, serve
+from .process import CONFIG_ERRORS, serve
 
 
 def read_config() -> Config:
-    """The file that LB_CONFIG names, as it is now; raises one of UNUSABLE."""
+    """Read and parse the file that LB_CONFIG names; raises one of CONFIG_ERRORS."""
     return parse(Path(os.environ["LB_CONFIG"]).read_text())
 
 
 def main(read: Callable[[], Config] = read_config) -> int:
-    """Read the configuration and serve; one plain line and 1 where it is wrong, or can't be served."""
+    """Read the configuration and serve; prints one line and returns 1 if the gateway cannot start."""
     try:
         config = read()
-    except UNUSABLE as wrong:
-        print(f"saffrongw: no usable configuration: {wrong!r}", file=sys.stderr)
+    except CONFIG_ERRORS as error:
+        print(f"saffrongw: no usable configuration: {error!r}", file=sys.stderr)
         return 1
     logs.start(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, read))
-    except NoStart as wrong:
-        print(f"saffrongw: {wrong}", file=sys.stderr)
+    except NoStart as error:
+        print(f"saffrongw: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -1,4 +1,4 @@
-"""One gateway process: its parts, in the order in which they start and end."""
+"""One gateway process: starts its parts in order, reloads the configuration, and shuts down."""
 
 from __future__ import annotations
 
@@ -29,37 +29,37 @@
     from .metrics import Metrics
 
 SHUTDOWN_ACCEPT_TIME = 0.5  # seconds after SIGTERM in which new connections are still served
-RESERVED_DESCRIPTORS = 48  # for all but clients and hosts: the loop, the watch, peers, logs, operators
-UPGRADE_DESCRIPTORS = 24  # more of them while the process before this one finishes: both share the limit
-CLIENT_DESCRIPTOR_SHARE = 1 / 3  # of all descriptors: clients may hold no more
-
-# What an unusable configuration raises, wherever it comes from.
-UNUSABLE = (OSError, KeyError, ValueError, TypeError, AttributeError, WireError)
-SET_AT_START = ("seed", "known")  # told anew with each start: another value is no change
-RELOADABLE = ("discovery", "log_form", "log_level")  # what SIGHUP puts in force; all else waits for a start
+RESERVED_DESCRIPTORS = 48  # for all but clients and hosts: event loop, watch, peers, logs, operators
+UPGRADE_DESCRIPTORS = 24  # reserved in addition while a predecessor finishes: both share one limit
+CLIENT_DESCRIPTOR_SHARE = 1 / 3  # of all descriptors: the limit for client connections
+
+# Raised while an unusable configuration is read or parsed.
+CONFIG_ERRORS = (OSError, KeyError, ValueError, TypeError, AttributeError, WireError)
+PER_START_FIELDS = ("seed", "known")  # differ with every start: not reported as changes
+RELOADABLE = ("discovery", "log_form", "log_level")  # applied on SIGHUP; all others need a restart
 log = logs.get(__name__)
 
 
-def changes(old: Config, new: Config) -> list[str]:
-    """Names of what differs; within the settings each by its own name."""
+def changed_fields(old: Config, new: Config) -> list[str]:
+    """Names of the fields that differ; those of the settings with the prefix ``settings.``."""
 
-    def differ(a: object, b: object) -> list[str]:
+    def differing(a: object, b: object) -> list[str]:
         fields = [field.name for field in dataclasses.fields(a)]
         return [name for name in fields if getattr(a, name) != getattr(b, name)]
 
-    names = [name for name in differ(old, new) if name not in (*SET_AT_START, "settings")]
-    return names + [f"settings.{name}" for name in differ(old.settings, new.settings)]
+    names = [name for name in differing(old, new) if name not in (*PER_START_FIELDS, "settings")]
+    return names + [f"settings.{name}" for name in differing(old.settings, new.settings)]
 
 
 class Process:
-    """Runs until SIGTERM or SIGINT, or until the next process has taken over and nothing is left."""
+    """Runs until SIGTERM or SIGINT, or until a successor has taken over and all requests are finished."""
 
     def __init__(self, config: Config, read: Callable[[], Config]) -> None:
-        """``read`` gives the configuration as it is by then, or raises one of UNUSABLE."""
+        """``read`` returns the current configuration, or raises one of CONFIG_ERRORS."""
         self.config, self.read = config, read
         self.loop = asyncio.get_running_loop()
         self.stop = asyncio.Event()
-        self.told = asyncio.Event()  # discovery has told something
+        self.host_list_received = asyncio.Event()  # from discovery, at least once
         self.client_sockets = int(CLIENT_DESCRIPTOR_SHARE * config.sockets)
         self.host_sockets = max(1, config.sockets - RESERVED_DESCRIPTORS - self.client_sockets)
         self.driver = Driver(config.settings, config.seed, self.loop)
@@ -76,24 +76,24 @@
         self.metrics: Metrics | None = None
         self.watch: Watch | None = None
         self.members: Members | None = None
-        self.trying: list[asyncio.Task[None]] = []  # addresses that the process before this one still holds
+        self.bind_tasks: list[asyncio.Task[None]] = []  # retry addresses still in use
 
     async def run(self) -> None:
-        """All of its life; raises NoStart where it can't begin."""
+        """Start, serve until stopped, and shut down; raises NoStart if it cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
-        where = upgrade.handover_socket_path(self.config)
-        predecessor = upgrade.connect_to_predecessor(where, self.config)
+        socket_path = upgrade.handover_socket_path(self.config)
+        predecessor = upgrade.connect_to_predecessor(socket_path, self.config)
         try:
             self.driver.start(self.config.known)
-            self._follow(predecessor)
-            await self._face_operators(
-                patient=predecessor is not None or (where is not None and where.exists())
+            self._start_watch(predecessor)
+            await self._listen_for_operators(
+                retry_if_taken=predecessor is not None or (socket_path is not None and socket_path.exists())
             )
-            await self._serve(predecessor, where)
+            await self._serve(predecessor, socket_path)
             await self.stop.wait()
         finally:
-            for task in self.trying:
+            for task in self.bind_tasks:
                 task.cancel()
         if self.members:
             self.members.leave()
@@ -101,16 +101,20 @@
         if self.metrics:
             await self.metrics.end()
 
-    def _follow(self, predecessor: upgrade.Predecessor | None) -> None:
-        """Watch discovery. Where lists cost, a gateway that starts asks for what changed since the one it is
-        given; the process before this one, though, hands over once the list is whole."""
+    def _start_watch(self, predecessor: upgrade.Predecessor | None) -> None:
+        """Start watching discovery.
+
+        Where discovery sends lists only on request, a gateway with a configured list requests the changes
+        since that one, as a whole list costs more. A successor requests the whole list at once, as
+        the handover waits for it.
+        """
         settings, known = self.config.settings, self.config.known
         since = known.version if settings.asks_for_list and known.hosts else None
         self.watch = Watch(
             self.loop,
             self.config.discovery,
             self.config.zones,
-            self._listed,
+            self._on_host_list,
             random_fraction=random.Random(self.config.seed).random,
             version=None if predecessor else since,
             spread=first_call_spread(settings.gateways, settings.asks_for_list),
@@ -121,85 +125,93 @@
         else:
             self.watch.start_after_delay()
 
-    def _listed(self, hosts: HostList) -> None:
+    def _on_host_list(self, hosts: HostList) -> None:
         self.driver.listed(hosts)
-        self.told.set()
+        self.host_list_received.set()
 
-    async def _face_operators(self, patient: bool) -> None:
-        """Their calls and their monitoring, each where it is configured."""
-        wanted = []
+    async def _listen_for_operators(self, retry_if_taken: bool) -> None:
+        """Listen for operators' calls and for metrics scrapes, each if it is configured."""
+        listeners = []
         if self.config.control:
-            wanted.append(("operators", self.config.control, self.control.listen))
+            listeners.append(("operators", self.config.control, self.control.listen))
         if self.config.metrics:
             try:
-                from .metrics import Metrics  # heavy: only where it is wanted
+                from .metrics import Metrics  # heavy import: only if configured
             except ModuleNotFoundError as missing:
                 raise listening.NoStart(
                     f"metrics need {missing.name}: install requirements-tools.txt, or leave metrics out"
                 ) from None
             self.metrics = self.driver.observer = Metrics(self.driver, self.config)
-            wanted.append(("metrics", self.config.metrics, self.metrics.listen))
-        for what, address, listen in wanted:
-            task = await listening.when_free(what, address, functools.partial(listen, address), patient)
+            listeners.append(("metrics", self.config.metrics, self.metrics.listen))
+        for purpose, address, listen in listeners:
+            task = await listening.when_free(
+                purpose, address, functools.partial(listen, address), retry_if_taken
+            )
             if task:
-                self.trying.append(task)
+                self.bind_tasks.append(task)
 
-    async def _serve(self, predecessor: upgrade.Predecessor | None, where: Path | None) -> None:
-        """Take over from the process before this one, or start alone; then clients are served."""
+    async def _serve(self, predecessor: upgrade.Predecessor | None, socket_path: Path | None) -> None:
+        """Take over from the predecessor, or start without one; then serve clients."""
         config, driver = self.config, self.driver
-        taken = predecessor is not None and await predecessor.take_over(driver, self.told)
+        taken_over = predecessor is not None and await predecessor.take_over(driver, self.host_list_received)
         if config.peer_listen and config.settings.may_tell_peers:
-            self.peers = Peers(driver, config.peers, config.settings.rank)  # empty: to be learnt
-            at = (predecessor and predecessor.peers) or config.peer_listen
+            # Without configured peers, membership provides their addresses.
+            self.peers = Peers(driver, config.peers, config.settings.rank)
+            peer_address = (predecessor and predecessor.peers) or config.peer_listen
             if config.cluster:
-                from .members import Members  # hashes: only where it is wanted
+                from .members import Members  # imports hashlib: only if configured
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
-            await listening.now("peers", config.peer_listen, functools.partial(self.peers.listen, at))
+            await listening.now(
+                "peers", config.peer_listen, functools.partial(self.peers.listen, peer_address)
+            )
         driver.stats.start(self.loop, self._gauges)
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
         await listening.now("clients", config.listen, listener)
-        if taken:
-            predecessor.share_descriptors = functools.partial(self._share, predecessor)
+        if taken_over:
+            predecessor.share_descriptors = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
         self.control.predecessor = predecessor
         self.control.handover_server = upgrade.HandoverServer(
             driver, self.clients, self.peers, self.control.execute_locally, self.stop
         )
-        self.control.handover_server.listen(where)
+        self.control.handover_server.listen(socket_path)
         gc.collect()
-        gc.freeze()  # what is loaded by now stays: it need not be looked through again
+        gc.freeze()  # exempts all objects loaded so far from garbage collection: they live until the end
 
     def _gauges(self) -> dict[str, int]:
         gauges = self.clients.gauges() | {"calls": len(self.driver.calls)} | self.driver.hosts.gauges()
         return gauges | (self.members.gauges() if self.members else {})
 
-    def _share(self, predecessor: upgrade.Predecessor, its_clients: int, its_hosts: int) -> None:
-        """The process before this one still holds so many descriptors of the limit of both."""
-        self.clients.most = max(1, self.client_sockets - its_clients)
-        both = UPGRADE_DESCRIPTORS if predecessor.channel else 0
-        self.driver.hosts.most = max(1, self.host_sockets - its_hosts - both)
+    def _update_descriptor_limits(
+        self, predecessor: upgrade.Predecessor, predecessor_clients: int, predecessor_hosts: int
+    ) -> None:
+        """Subtract the descriptors that the predecessor still uses, as both processes share one limit."""
+        self.clients.most = max(1, self.client_sockets - predecessor_clients)
+        reserved = UPGRADE_DESCRIPTORS if predecessor.channel else 0
+        self.driver.hosts.most = max(1, self.host_sockets - predecessor_hosts - reserved)
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration again, put in force what can be, and tell what can't."""
+        """Handle SIGHUP: reread the configuration, apply what is reloadable, and log what needs a restart."""
         try:
             config = self.read()
-        except UNUSABLE as wrong:
-            log.error("config_unusable", error=wrong, advice="the one before it holds")
+        except CONFIG_ERRORS as error:
+            log.error("config_unusable", error=error, advice="the previous configuration stays in force")
             return
-        changed = changes(self.config, config)
-        at_once = [name for name in changed if name in RELOADABLE]
-        held = {name: getattr(config, name) for name in at_once}
-        # What waits for a start is compared with what is in force, so that each SIGHUP tells all of it.
-        self.config = dataclasses.replace(self.config, **held)
-        later = [name for name in changed if name not in RELOADABLE]
-        log.info("config_read", in_force=at_once, needs_restart=later)  # in the form and level before
-        if "log_form" in at_once or "log_level" in at_once:
+        changed = changed_fields(self.config, config)
+        applied = [name for name in changed if name in RELOADABLE]
+        values = {name: getattr(config, name) for name in applied}
+        # Fields that need a restart keep their old values here, so that each SIGHUP reports all of them.
+        self.config = dataclasses.replace(self.config, **values)
+        after_restart = [name for name in changed if name not in RELOADABLE]
+        # Logged in the previous format and at the previous level.
+        log.info("config_read", in_force=applied, needs_restart=after_restart)
+        if "log_form" in applied or "log_level" in applied:
             logs.start(self.config.log_form, self.config.log_level)
         self.watch.set_address(self.config.discovery)
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
-    """Run one gateway in the running loop; raises NoStart."""
+    """Run one gateway in the running event loop; raises NoStart."""
     await Process(config, read).run()
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -1,12 +1,11 @@
 """Upgrade without downtime: the serving process hands over to its successor.
 
-The handover runs over a Unix socket in ``$TMPDIR``.
-The predecessor listens on the socket (``HandoverServer``). The successor, started with the same addresses,
-connects (``connect_to_predecessor``) and takes over (``Predecessor``). From the transfer of the state until
-the successor confirms with ``serving``, neither process makes decisions, so that the counts always have one
-owner. Afterwards the predecessor relays the requests that it still receives, reports the outcomes of its
-attempts, and ends. If anything fails before ``serving``, the predecessor goes on serving and the successor
-starts without its state.
+The handover runs over a Unix socket in ``$TMPDIR``, on which the predecessor listens (``HandoverServer``).
+The successor, started with the same addresses, connects (``connect_to_predecessor``) and takes over
+(``Predecessor``). From the transfer of the state until the successor confirms with ``serving``, neither
+process makes decisions, so that the counts always have one owner. Afterwards the predecessor relays the
+requests that it still receives, reports the outcomes of its attempts, and ends. If anything fails before
+``serving``, the predecessor goes on serving and the successor starts without its state.
 """
 
 from __future__ import annotations
