--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -1,4 +1,4 @@
-"""The configuration: JSON to typed values; the settings go through the module's own parser."""
+"""Configuration: parses JSON into typed values. The settings are parsed by ``orchidlane.wire``."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 Address = tuple[str, int]
 
-PHASES = {"SERVING": api.Phase.READY, "DRAINING": api.Phase.DRAINING, "DELETED": api.Phase.GONE}
-MS = 1_000  # microseconds
-MEMORY_MB = 64  # where no limit is told
+PHASE_BY_HEALTH = {"SERVING": api.Phase.READY, "DRAINING": api.Phase.DRAINING, "DELETED": api.Phase.GONE}
+MICROSECONDS_PER_MS = 1_000
+DEFAULT_MEMORY_MB = 64  # if no limit is configured
 
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One line of discovery's list: what the module is told, and where to connect."""
+    """One entry of discovery's list: the host as the decision logic sees it, and its network address."""
 
     entry: api.ServerEntry
     address: Address
@@ -29,34 +29,34 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A list of hosts, or what changed in it."""
+    """A list of hosts, or the changes since an earlier version."""
 
     version: int
     whole: bool
     hosts: tuple[HostEntry, ...]
-    malformed: int = 0  # entries that made no sense and were left out
+    malformed: int = 0  # number of malformed entries that were left out
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the gateway is told at its start."""
+    """The configuration of one gateway process."""
 
     listen: Address
     discovery: Address
     seed: int
     sockets: int
     memory: int  # bytes
-    control: Address | None  # where operators call
-    metrics: Address | None  # where a monitoring system reads GET /metrics; None: nowhere
+    control: Address | None  # listen address for operators' calls; None: off
+    metrics: Address | None  # listen address for GET /metrics; None: off
     log_form: str  # one of ops.logs.FORMS
     log_level: str  # one of ops.logs.LEVELS
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    cluster: str | None  # membership among the gateways of this name; None: off
-    join: tuple[Address, ...]  # members to ask where all are, in place of ``peers``
-    meet: Address | None  # the list service, where gateways find each other
-    advertise: Address | None  # where others reach ``peer_listen``; None: there
-    known: HostList
+    cluster: str | None  # name of the cluster for membership; None: membership is off
+    join: tuple[Address, ...]  # seed members that give the other members' addresses, instead of ``peers``
+    meet: Address | None  # list service through which gateways find each other
+    advertise: Address | None  # address at which other gateways reach ``peer_listen``; None: the same
+    known: HostList  # list of hosts to start with
     settings: api.Settings
     classes: dict[bytes, int]
     plans: dict[bytes, int]
@@ -67,7 +67,7 @@
 
 
 def address(text: str) -> Address:
-    """``HOST:PORT`` as a pair."""
+    """Parse ``HOST:PORT``; raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -75,54 +75,54 @@
 
 
 def parse_hosts(raw: dict[str, Any], zones: tuple[str, ...]) -> HostList:
-    """Discovery's form of a list; an odd entry is left out and counted, the others stand."""
+    """Parse a list of hosts as discovery sends it. Malformed entries are counted and left out."""
     hosts, malformed = [], 0
-    for line in raw["hosts"]:
+    for raw_host in raw["hosts"]:
         try:
-            site = line["site"]
+            site = raw_host["site"]
             entry = api.ServerEntry(
-                server=str(line["host"]).encode(),
-                phase=PHASES[line["health"]],
+                server=str(raw_host["host"]).encode(),
+                phase=PHASE_BY_HEALTH[raw_host["health"]],
                 zone=zones.index(site) if site in zones else len(zones),
-                cell=int(line["block"]),
-                launched=int(line["born_ms"]) * MS,
-                size=float(line["share"]),
+                cell=int(raw_host["block"]),
+                launched=int(raw_host["born_ms"]) * MICROSECONDS_PER_MS,
+                size=float(raw_host["share"]),
             )
-            hosts.append(HostEntry(entry, address(line["dial"])))
+            hosts.append(HostEntry(entry, address(raw_host["dial"])))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
             malformed += 1
     return HostList(int(raw["seq"]), bool(raw["whole"]), tuple(hosts), malformed)
 
 
-def _one_of(words: Collection[str], word: str) -> str:
-    if word not in words:
-        raise ValueError(f"{word!r} is none of {', '.join(words)}")
-    return word
+def _checked_choice(choices: Collection[str], value: str) -> str:
+    if value not in choices:
+        raise ValueError(f"{value!r} is not one of {', '.join(choices)}")
+    return value
 
 
 def parse(text: str) -> Config:
-    """The whole configuration."""
+    """Parse the JSON text of a configuration."""
     raw = json.loads(text)
     settings = raw["settings"]
     zones = tuple(settings["zones"])
     peers = raw.get("peers") or ()
     join, meet = raw.get("join") or (), raw.get("meet")
-    is_known = bool(peers or join or meet)  # how others are found
-    may = settings["permissions"]
-    told = raw.get("log") or {}
+    has_peer_discovery = bool(peers or join or meet)  # without it, this gateway runs alone
+    permissions = settings["permissions"]
+    log_settings = raw.get("log") or {}
     return Config(
         listen=address(raw["listen"]),
         discovery=address(raw["discovery"]),
         seed=int(raw["seed"], 16) if "seed" in raw else int.from_bytes(os.urandom(8), "big"),
         sockets=int(raw["limits"]["sockets"]),
-        memory=int(float(raw["limits"].get("memory_mb", MEMORY_MB)) * 1024 * 1024),
+        memory=int(float(raw["limits"].get("memory_mb", DEFAULT_MEMORY_MB)) * 1024 * 1024),
         control=address(raw["control"]) if raw.get("control") else None,
         metrics=address(raw["metrics"]) if raw.get("metrics") else None,
-        log_form=_one_of(logs.FORMS, told.get("form", "text")),
-        log_level=_one_of(logs.LEVELS, told.get("level", "info")),
-        peer_listen=address(raw["peer_listen"]) if is_known and raw.get("peer_listen") else None,
+        log_form=_checked_choice(logs.FORMS, log_settings.get("form", "text")),
+        log_level=_checked_choice(logs.LEVELS, log_settings.get("level", "info")),
+        peer_listen=address(raw["peer_listen"]) if has_peer_discovery and raw.get("peer_listen") else None,
         peers=tuple(address(peer) for peer in peers),
-        cluster=str(raw["cluster"]) if raw.get("cluster") and is_known else None,
+        cluster=str(raw["cluster"]) if raw.get("cluster") and has_peer_discovery else None,
         join=tuple(address(member) for member in join),
         meet=address(meet) if meet else None,
         advertise=address(raw["advertise"]) if raw.get("advertise") else None,
@@ -132,6 +132,6 @@
         plans={p["name"].encode(): i for i, p in enumerate(settings["packages"])},
         zones=zones,
         units_most=float(settings["familyInfo"].get("unitsTop") or 1),
-        idle_close=may["idleClose"] / 1e6,
-        connect_timeout=may["connectTimeout"] / 1e6,
+        idle_close=permissions["idleClose"] / 1e6,
+        connect_timeout=permissions["connectTimeout"] / 1e6,
     )
