--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -1,7 +1,7 @@
-"""The gateway's figures for a monitoring system: what the log's ``stats`` event tells, and histograms.
+"""Prometheus metrics of the gateway: the values of the log's ``stats`` event, and latency histograms.
 
-Label values come from the configuration alone (classes, zones) and from fixed sets (outcomes, causes), so
-their number is bounded whatever clients and hosts send. Imported only where ``metrics`` is configured.
+Label values come only from the configuration (classes, zones) and from fixed sets (outcomes, causes), so
+their number is bounded whatever clients and hosts send. Imported only if ``metrics`` is configured.
 """
 
 from __future__ import annotations
@@ -20,79 +20,79 @@
 from .driver import Driver
 
 BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)  # seconds
-NO_ZONE = "none"  # no host served the request, or its zone is not in the configuration
-SECOND = 1_000_000
+NO_ZONE = "none"  # no host served the request, or the host's zone is not configured
+MICROSECONDS_PER_SECOND = 1_000_000
 
 GAUGES = {
-    "client_conns": "Connections of clients",
-    "client_conns_most": "Their limit",
-    "client_idle": "Connections of clients without an open request",
-    "client_slots": "Requests and answers open on all connections of clients",
-    "client_half_closed": "Connections of clients that we have ended, until they end too",
-    "client_unfinished": "Connections within a command",
-    "client_unfinished_bytes": "Bytes of those commands",
-    "client_uploads": "Large bodies that are coming",
-    "upload_room_kb": "KiB left for large bodies",
-    "calls": "Requests owed an answer",
-    "host_conns": "Connections to hosts, open or opening",
-    "host_conns_most": "Their limit",
-    "host_streams": "Large answers on their way",
-    "host_idle": "Unused connections to hosts",
-    "host_waiting": "Attempts that wait for a connection",
-    "members_here": "Gateways held to be there, this one too",
-    "members_missing": "Gateways that did not leave and are not there",
-    "member_links_down": "Directions between gateways on which nothing arrives",
-    "member_apart": "1 where this gateway is cut off, unheard, or knows nothing fresh",
+    "client_conns": "Open client connections",
+    "client_conns_most": "Limit of open client connections",
+    "client_idle": "Client connections without an open request",
+    "client_slots": "Requests and answers open on all client connections",
+    "client_half_closed": "Half-closed client connections, until the client closes too",
+    "client_unfinished": "Client connections with an incomplete command",
+    "client_unfinished_bytes": "Bytes received of incomplete commands",
+    "client_uploads": "Large request bodies being received",
+    "upload_room_kb": "KiB of memory left for large request bodies",
+    "calls": "Requests without a final answer yet",
+    "host_conns": "Connections to hosts, open or being opened",
+    "host_conns_most": "Limit of connections to hosts",
+    "host_streams": "Large answers being streamed",
+    "host_idle": "Idle connections to hosts",
+    "host_waiting": "Attempts waiting for a connection",
+    "members_here": "Gateways considered alive, including this one",
+    "members_missing": "Gateways that are not alive and did not leave",
+    "member_links_down": "Directed links between gateways on which nothing arrives",
+    "member_apart": "1 if this gateway receives nothing, is not received by others, or has a stale view",
 }
 COUNTERS = {
-    "requests": "Requests that came whole",
-    "served": "Requests answered with what a host gave",
+    "requests": "Requests received completely",
+    "served": "Requests answered with a host's answer",
     "failed": "Requests answered as failed",
-    "client_gone": "Requests whose client went first",
-    "client_gone_waiting": "Those of which nothing had been sent to a host",
-    "client_gone_sent_late": "Those sent to a host over 0.3 s after their client may have gone",
-    "relayed": "Requests decided on by the other process of an upgrade",
-    "streamed": "Large answers",
-    "stream_broken": "Large answers that a host broke off",
-    "upload_waited": "Clients not read from until there was room for their large body",
-    "client_accepted": "New connections of clients",
-    "client_evicted": "Idle ones closed for them",
+    "client_gone": "Requests whose client disconnected before the answer",
+    "client_gone_waiting": "Requests whose client disconnected before any attempt was sent",
+    "client_gone_sent_late": "Requests sent to a host over 0.3 s after their client may have disconnected",
+    "relayed": "Requests relayed to the successor of an upgrade",
+    "streamed": "Large answers streamed to clients",
+    "stream_broken": "Large answers that a host did not complete",
+    "upload_waited": "Clients whose reading was paused until memory for their large body was free",
+    "client_accepted": "Client connections accepted",
+    "client_evicted": "Idle client connections closed to make room for new ones",
     "client_malformed": "Commands answered -ERR",
-    "client_protocol_error": "Connections whose framing was lost",
-    "client_overdue": "Connections closed: no whole command in time",
-    "client_unread": "Connections closed: answers not read",
-    "client_gone_unread": "Connections whose client was seen to go while nothing was read from it",
-    "client_read_away": "Bytes of clients that came after the last answer, not looked at",
+    "client_protocol_error": "Client connections closed for a protocol error",
+    "client_overdue": "Client connections closed: no complete command in time",
+    "client_unread": "Client connections closed: answers not read by the client",
+    "client_gone_unread": "Client connections found closed by the client while reading was paused",
+    "client_read_away": "Bytes from clients discarded after the last answer",
     "client_bytes_in": "Bytes read from clients",
     "host_bytes_in": "Bytes read from hosts",
-    "host_stale": "Idle connections to hosts that had something unread when they were to be used",
-    "host_unasked": "Idle connections on which a host sent something",
-    "peer_in": "Datagrams from other gateways",
-    "peer_out": "Datagrams to other gateways",
-    "control_evicted": "Silent operators' connections closed for new ones",
-    "member_sent": "Messages of membership",
-    "member_sent_bytes": "Bytes of them",
-    "member_kept_back": "Those not sent: no room",
-    "member_probes_failed": "Probes that neither the member nor a relay answered",
-    "member_refuted": "Doubts about this gateway that it refuted",
-    "member_stood_still": "Times that this process did not run for a while",
+    "host_stale": "Idle connections to hosts found with unread data when taken from the pool",
+    "host_unasked": "Idle connections on which a host sent unrequested data",
+    "peer_in": "Datagrams received from other gateways",
+    "peer_out": "Datagrams sent to other gateways",
+    "control_evicted": "Oldest control connections closed to make room for new ones",
+    "member_sent": "Membership messages sent",
+    "member_sent_bytes": "Bytes of membership messages sent",
+    "member_kept_back": "Membership messages not sent for lack of room",
+    "member_probes_failed": "Membership probes answered by neither the member nor a relay",
+    "member_refuted": "Suspicions of this gateway that it refuted",
+    "member_stood_still": "Pauses in which this process did not run",
 }
 CAUSES = ("quota", "ceiling", "slow", "spent", "crowded", "leaving", "handed_over", "no_room")
-# Counters by one label: prefix in the log, name, label, help, values.
+# Counters with one label: prefix of the names in the log, metric name, label, help text, label values.
 LABELLED_COUNTERS = (
     ("refused_", "birchdrum_refused", "cause", "Requests refused", CAUSES),
     (
         "attempt_",
         "birchdrum_attempts",
         "outcome",
-        "Attempts at hosts that ended",
+        "Finished attempts at hosts",
         tuple(outcome.value.replace(" ", "_") for outcome in api.Outcome),
     ),
     (
         "member_dropped_",
         "birchdrum_member_dropped",
         "cause",
-        "Messages of membership that were dropped",
+        "Membership messages dropped",
         ("malformed", "version", "foreign", "forged", "former", "left", "replayed", "stale", "unasked"),
     ),
     ("control_", "birchdrum_control_calls", "answer", "Operators' calls", ("done", "error")),
@@ -100,23 +100,23 @@
 
 
 class Metrics:
-    """The driver's observer, and the page."""
+    """Observes the driver and serves the metrics page."""
 
     def __init__(self, driver: Driver, config: Config) -> None:
         self.driver, self.zones = driver, config.zones
-        self.kinds = [name.decode() for name in config.classes]
-        self.page = Page(self._families)
+        self.class_names = [name.decode() for name in config.classes]
+        self.page = Page(self._collect)
         registry = self.page.registry
         self.answers = Histogram(
             "birchdrum_answer_seconds",
-            "From a request's last byte to its final answer",
+            "Time from a request's last byte to its final answer",
             ("class", "outcome", "zone"),
             buckets=BUCKETS,
             registry=registry,
         )
         self.attempts = Histogram(
             "birchdrum_attempt_seconds",
-            "From an attempt's start to its end",
+            "Time from the start of an attempt to its end",
             ("outcome", "zone"),
             buckets=BUCKETS,
             registry=registry,
@@ -124,39 +124,41 @@
         self.server: Server | None = None
 
     async def listen(self, address: Address) -> None:
-        """Answer scrapes from now on; raises OSError."""
+        """Start to serve scrapes; raises OSError."""
         server = Server(self.page.handle, CALLERS_MOST)
         await server.listen(address)
         self.server = server
 
     async def end(self) -> None:
-        """No more scrapes."""
+        """Stop serving scrapes."""
         if self.server:
             await self.server.end(0.0)
 
     def _zone(self, server: api.Server) -> str:
         host = self.driver.gateway.hosts.get(server)
-        known = host is not None and host.entry.zone < len(self.zones)
-        return self.zones[host.entry.zone] if known else NO_ZONE
+        is_configured = host is not None and host.entry.zone < len(self.zones)
+        return self.zones[host.entry.zone] if is_configured else NO_ZONE
 
     def answered(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
-        """A request is over."""
-        self.answers.labels(self.kinds[kind], outcome, self._zone(server)).observe(took / SECOND)
+        """Record a request that got its final answer, or whose client has gone; ``took`` in microseconds."""
+        self.answers.labels(self.class_names[kind], outcome, self._zone(server)).observe(
+            took / MICROSECONDS_PER_SECOND
+        )
 
     def attempted(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
-        """An attempt is over."""
+        """Record a finished attempt; ``took`` in microseconds."""
         name = outcome.value.replace(" ", "_")
-        self.attempts.labels(name, self._zone(server)).observe(took / SECOND)
+        self.attempts.labels(name, self._zone(server)).observe(took / MICROSECONDS_PER_SECOND)
 
-    def _families(self) -> Iterable[Metric]:
+    def _collect(self) -> Iterable[Metric]:
         totals, gauges = self.driver.stats.totals(), self.driver.stats.gauges()
         ready = not self.driver.readiness.not_ready_reason
-        yield gauge("birchdrum_ready", "1 where this process is ready to serve", ready)
-        yield gauge("birchdrum_hosts", "Hosts on the list", len(self.driver.gateway.hosts))
-        for name, text in GAUGES.items():
-            yield gauge(f"birchdrum_{name}", text, gauges.get(name, 0))
-        for name, text in COUNTERS.items():
-            yield counter(f"birchdrum_{name}", text, totals[name])
-        for prefix, name, label, text, values in LABELLED_COUNTERS:
+        yield gauge("birchdrum_ready", "1 if this process is ready to serve", ready)
+        yield gauge("birchdrum_hosts", "Hosts on the current list", len(self.driver.gateway.hosts))
+        for name, help_text in GAUGES.items():
+            yield gauge(f"birchdrum_{name}", help_text, gauges.get(name, 0))
+        for name, help_text in COUNTERS.items():
+            yield counter(f"birchdrum_{name}", help_text, totals[name])
+        for prefix, name, label, help_text, values in LABELLED_COUNTERS:
             counts = ((value, float(totals[prefix + value])) for value in values)
-            yield labelled(CounterMetricFamily(name, text, labels=(label,)), counts)
+            yield labelled(CounterMetricFamily(name, help_text, labels=(label,)), counts)
--- a/saffrongw/stats.py
+++ b/saffrongw/stats.py
@@ -1,4 +1,7 @@
-"""Counters and gauges for on-call staff: one event every few seconds; README says what each of them means."""
+"""Counters and gauges for operators, logged as one ``stats`` event at a fixed interval.
+
+README explains each of them.
+"""
 
 from __future__ import annotations
 
@@ -17,32 +20,35 @@
 
 
 class Stats(Counter[str]):
-    """What was counted since the last event; gauges are read when it is written."""
+    """Counts since the last event; gauges are read when an event is written."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.told: Counter[str] = Counter()  # what the events before have told
+        self.reported: Counter[str] = Counter()  # counts of earlier events
         self.gauges: Callable[[], dict[str, int]] = dict
 
     def totals(self) -> Counter[str]:
-        """Counts since the start."""
-        return self.told + self
+        """Counts since the process started."""
+        return self.reported + self
 
     def start(self, loop: asyncio.AbstractEventLoop, gauges: Callable[[], dict[str, int]]) -> None:
-        """Write an event every so often from now on."""
+        """Start to write an event every REPORT_INTERVAL seconds."""
         self.gauges = gauges
-        loop.call_later(REPORT_INTERVAL, self._write, loop, time.process_time())
-
-    def _write(self, loop: asyncio.AbstractEventLoop, cpu_before: float) -> None:
-        cpu = time.process_time()
-        fields = self.gauges() | {"rss_kb": rss_kb(), "cpu_ms": int(1000 * (cpu - cpu_before))}
+        loop.call_later(REPORT_INTERVAL, self._write_event, loop, time.process_time())
+
+    def _write_event(self, loop: asyncio.AbstractEventLoop, previous_cpu_seconds: float) -> None:
+        cpu_seconds = time.process_time()
+        fields = self.gauges() | {
+            "rss_kb": rss_kb(),
+            "cpu_ms": int(1000 * (cpu_seconds - previous_cpu_seconds)),
+        }
         log.info("stats", **{logs.ALWAYS: True}, **fields, **dict(sorted(self.items())))
-        self.told.update(self)
+        self.reported.update(self)
         self.clear()
-        loop.call_later(REPORT_INTERVAL, self._write, loop, cpu)
+        loop.call_later(REPORT_INTERVAL, self._write_event, loop, cpu_seconds)
 
 
 def rss_kb() -> int:
-    """Memory that is resident now."""
-    pages = int(Path("/proc/self/statm").read_text().split()[1])
-    return pages * resource.getpagesize() // 1024
+    """Resident memory of this process in KiB."""
+    resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
+    return resident_pages * resource.getpagesize() // 1024
