--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -72,7 +72,7 @@
     "control_evicted": "Oldest control connections closed to make room for new ones",
     "member_sent": "Membership messages sent",
     "member_sent_bytes": "Bytes of membership messages sent",
-    "member_kept_back": "Membership messages not sent for lack of room",
+    "member_kept_back": "Membership messages not sent because of the rate limit",
     "member_probes_failed": "Membership probes answered by neither the member nor a relay",
     "member_refuted": "Suspicions of this gateway that it refuted",
     "member_stood_still": "Pauses in which this process did not run",
