--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,7 +15,7 @@
 from saffrongw.drain import DRAIN_NOTICE_DELAY, DRAIN_REFUSE_DELAY
 
 
-async def controlled(rig: Rig) -> Control:
+async def listening_control(rig: Rig) -> Control:
     """The rig's control, listening; clients are served, too."""
     await rig.clients.listen()
     control = Control(rig.driver, rig.clients)
@@ -62,7 +62,7 @@
 @asyncio_test
 async def test_what_is_no_call_gets_an_error_and_changes_nothing(line):
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     assert (await call(control, line)).startswith("error ")
     assert (await call(control, b"HEALTH")).startswith("done")
 
@@ -70,7 +70,7 @@
 @asyncio_test
 async def test_a_line_without_its_end_is_an_error():
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     reader, writer = await connect(control)
     writer.write(b"LEAVE")
     writer.write_eof()
@@ -82,7 +82,7 @@
 @asyncio_test
 async def test_who_has_been_answered_and_closes_takes_no_place():
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     for _ in range(3 * CONNECTIONS_MAX):
         assert (await call(control, b"HEALTH")).startswith("done")
         await until(lambda: not control.connections)
@@ -97,7 +97,7 @@
 @asyncio_test
 async def test_a_new_caller_is_answered_beside_any_number_of_silent_ones():
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     silent = []
     for _ in range(3 * CONNECTIONS_MAX):
         silent.append(await connect(control))
@@ -114,7 +114,7 @@
 @asyncio_test
 async def test_what_follows_the_line_does_not_take_the_answer_away():
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     assert (await call(control, b"HEALTH\n" + b"x" * 300_000)).startswith("done")
 
 
@@ -140,7 +140,7 @@
 async def test_a_drain_says_no_at_once_serves_on_and_closes_between_requests():
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    control = await controlled(rig)
+    control = await listening_control(rig)
     asking, idle, busy = [await rig.caller() for _ in range(3)]
     for caller in (asking, idle):
         caller.call()
@@ -183,7 +183,7 @@
 @asyncio_test
 async def test_a_drain_undone_half_way_closes_nothing_more():
     rig = Rig(await FakeHost("a").listen())
-    control = await controlled(rig)
+    control = await listening_control(rig)
     caller = await rig.caller()
     await call(control, b"LEAVE")
     await call(control, b"JOIN")
@@ -198,7 +198,7 @@
     monkeypatch.setattr(drain_module, "DRAIN_REFUSE_DELAY", DRAIN_NOTICE_DELAY + 0.1)
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    control = await controlled(rig)
+    control = await listening_control(rig)
     caller = await rig.caller()
     caller.transport.write(b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$2\r\nid\r\n")
     await call(control, b"LEAVE")
@@ -216,7 +216,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
-    control = await controlled(rig)
+    control = await listening_control(rig)
     caller = await rig.caller()
     caller.call(wait=10_000)
     await until(lambda: host.commands)
--- a/tests/test_hand.py
+++ b/tests/test_hand.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import SECOND, SITE, Bench, FakeHost, Rig, Service, asyncio_test, entry, listed, of, until
-from test_control import call, controlled
+from test_control import call, listening_control
 from test_upgrade import restored_copy
 
 from orchidlane import interface as api
@@ -136,7 +136,7 @@
 async def test_what_waits_for_a_connection_to_a_host_taken_out_goes_elsewhere():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
-    control = await controlled(rig)
+    control = await listening_control(rig)
     caller = await rig.caller()
     gate, opening = asyncio.Event(), rig.loop.create_connection
 
@@ -171,7 +171,7 @@
 async def test_a_host_can_be_taken_out_and_put_back_during_a_drain():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
-    control = await controlled(rig)
+    control = await listening_control(rig)
     caller = await rig.caller()
     await call(control, b"LEAVE")
     assert (await call(control, b"OFFLINE a")).startswith("done")
