--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery at its rare moments: in virtual time over random events, and on sockets."""
+"""Failure cases of the discovery watch: random events in virtual time, and loopback sockets."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def whole(version: int) -> bytes:
+def whole_list(version: int) -> bytes:
     host = FakeHost("a")
     host.port = 7
     return json.dumps({"seq": version, "whole": True, "hosts": [host.line()]}).encode()
 
 
-def answer(body: bytes, status: bytes = b"200 OK", more: bytes = b"") -> bytes:
-    return b"HTTP/1.1 %b\r\n%bContent-Length: %d\r\n\r\n%b" % (status, more, len(body), body)
+def answer(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
+    return b"HTTP/1.1 %b\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
 class Timer:
-    def __init__(self, when: float, call) -> None:
-        self.when, self.call, self.pending = when, call, True
+    def __init__(self, when: float, callback) -> None:
+        self.when, self.callback, self.pending = when, callback, True
 
     def cancel(self) -> None:
         self.pending = False
@@ -38,71 +38,76 @@
 
 class Task:
     def cancel(self) -> None:
-        """What it was doing may have come about all the same: the tests let it."""
+        """Does nothing: a connection may still be established after the cancellation."""
 
 
-class Wire:
-    """An exchange's transport: what was asked."""
+class FakeTransport:
+    """Transport of an exchange; records the requested targets."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.asked, self.aborted = world, [], False
+    def __init__(self, loop: FakeLoop) -> None:
+        self.loop, self.requests, self.aborted = loop, [], False
 
     def write(self, data: bytes) -> None:
-        self.asked.append(data.split()[1].decode())
-        self.world.asked.append((self.world.now, self))
+        self.requests.append(data.split()[1].decode())
+        self.loop.requests.append((self.loop.now, self))
 
     def abort(self) -> None:
         self.aborted = True
 
 
-class World:
-    """A loop with a clock of its own, and every exchange that the watch ever opened."""
+class FakeLoop:
+    """Event loop with virtual time; keeps every exchange that the watch has opened."""
 
-    def __init__(self, seed: int = 1, **changes) -> None:
-        self.now, self.timers, self.asked, self.told = 100.0, [], [], []
-        self.opened: list[Exchange] = []
-        self.ended: set[Exchange] = set()
+    def __init__(self, seed: int = 1, **options) -> None:
+        self.now, self.timers, self.requests, self.updates = 100.0, [], [], []
+        self.exchanges: list[Exchange] = []
+        self.closed: set[Exchange] = set()
         self.watch = Watch(
-            self, ("host", 1), ZONES, self.told.append, random_fraction=random.Random(seed).random, **changes
+            self,
+            ("host", 1),
+            ZONES,
+            self.updates.append,
+            random_fraction=random.Random(seed).random,
+            **options,
         )
 
-    # -- what a watch needs of a loop
+    # -- the event loop's methods that the watch uses
 
     def time(self) -> float:
         return self.now
 
-    def call_later(self, span: float, call, *words) -> Timer:
-        assert span >= 0
-        self.timers.append(Timer(self.now + span, lambda: call(*words)))
+    def call_later(self, delay: float, callback, *arguments) -> Timer:
+        assert delay >= 0
+        self.timers.append(Timer(self.now + delay, lambda: callback(*arguments)))
         return self.timers[-1]
 
     def create_task(self, coroutine) -> Task:
-        self.opened.append(coroutine.cr_frame.f_locals["self"])
+        self.exchanges.append(coroutine.cr_frame.f_locals["self"])
         coroutine.close()
         return Task()
 
-    # -- what happens
+    # -- events
 
     def pending(self) -> list[Timer]:
         self.timers = [timer for timer in self.timers if timer.pending]
         return self.timers
 
-    def fire(self) -> None:
-        """The next timer."""
+    def fire_next_timer(self) -> None:
+        """Advance to the next timer and run it."""
         timer = min(self.pending(), key=lambda timer: timer.when)
         timer.pending = False
         self.now = max(self.now, timer.when)
-        timer.call()
+        timer.callback()
 
-    def up(self, exchange: Exchange) -> Wire:
-        """Its connection is there; where it was given up in that moment, none the less."""
-        wire = Wire(self)
-        exchange.connection_made(wire)
-        return wire
+    def connect(self, exchange: Exchange) -> FakeTransport:
+        """Establish the connection, even if the watch has just given it up."""
+        transport = FakeTransport(self)
+        exchange.connection_made(transport)
+        return transport
 
     def end(self, exchange: Exchange, error: Exception | None) -> None:
-        if exchange not in self.ended:
-            self.ended.add(exchange)
+        if exchange not in self.closed:
+            self.closed.add(exchange)
             if exchange.transport is None:
                 self.watch.connect_failed(exchange, "refused")
             else:
@@ -111,45 +116,45 @@
                 exchange.connection_lost(error)
 
 
-def healthy_until_told(world: World, within: float) -> None:
-    """From now on the agent answers each call at once: the list is there in time."""
-    ends, before = world.now + within, len(world.told)
+def serve_until_updated(loop: FakeLoop, time_limit: float) -> None:
+    """Answer each request at once from now on: the watch must deliver a list within the time limit."""
+    deadline, updates_before = loop.now + time_limit, len(loop.updates)
     answered: set[int] = set()
-    while len(world.told) == before:
-        exchange = world.watch.exchange
+    while len(loop.updates) == updates_before:
+        exchange = loop.watch.exchange
         if exchange and exchange.transport is None:
-            world.up(exchange)
-        elif exchange and exchange not in world.ended and len(exchange.transport.asked) not in answered:
-            answered.add(len(exchange.transport.asked))
+            loop.connect(exchange)
+        elif exchange and exchange not in loop.closed and len(exchange.transport.requests) not in answered:
+            answered.add(len(exchange.transport.requests))
             exchange.body.clear()
-            exchange.http = fresh(exchange)
-            exchange.data_received(answer(whole(99)))
+            exchange.http = parser_awaiting_response(exchange)
+            exchange.data_received(answer(whole_list(99)))
         else:
-            world.fire()
+            loop.fire_next_timer()
             answered.clear()
-        assert world.now <= ends
+        assert loop.now <= deadline
 
 
-def fresh(exchange: Exchange):
-    """Its parser with a call out and nothing of an answer read: what was left half is forgotten."""
+def parser_awaiting_response(exchange: Exchange):
+    """A parser with a request in flight and no part of a response read."""
     http = discovery.h11.Connection(discovery.h11.CLIENT)
     http.send(discovery.h11.Request(method="GET", target="/", headers=[("host", "a")]))
     http.send(discovery.h11.EndOfMessage())
     return http
 
 
-PIECES = {
-    "whole": answer(whole(5)),
-    "nothing new": answer(b'{"seq":5,"whole":false,"hosts":[]}'),
-    "goes back": answer(b'{"seq":1,"whole":false,"hosts":[]}'),
-    "and close": answer(whole(6), more=b"Connection: close\r\n"),
-    "no length": HEAD + b"\r\n" + whole(7),
+RESPONSES = {
+    "whole": answer(whole_list(5)),
+    "no changes": answer(b'{"seq":5,"whole":false,"hosts":[]}'),
+    "lower version": answer(b'{"seq":1,"whole":false,"hosts":[]}'),
+    "then close": answer(whole_list(6), headers=b"Connection: close\r\n"),
+    "no length": HEAD + b"\r\n" + whole_list(7),
     "half a head": HEAD,
-    "half a body": answer(whole(8))[:-9],
-    "odd": answer(b"[]"),
+    "half a body": answer(whole_list(8))[:-9],
+    "not an object": answer(b"[]"),
     "not JSON": answer(b"{"),
-    "deep": answer(b"[" * 50_000),
-    "vast number": answer(b'{"seq":1e999,"whole":true,"hosts":[]}'),
+    "deeply nested": answer(b"[" * 50_000),
+    "infinite number": answer(b'{"seq":1e999,"whole":true,"hosts":[]}'),
     "not HTTP": b"*1\r\n",
     "not found": answer(b"", b"404 No"),
 }
@@ -159,131 +164,133 @@
 }
 
 
-@pytest.mark.parametrize("refuses", [False, True])
-def test_whatever_happens_the_watch_has_a_call_out_or_a_time_for_the_next(refuses):
-    """After 60 events of any kind in any order, on connections given up as well, it is never left with
-    neither; and an agent that answers again is heard in time."""
-    pieces = [*PIECES.values(), *(REFUSALS.values() if refuses else ())]
+@pytest.mark.parametrize("with_refusals", [False, True])
+def test_the_watch_always_has_a_request_in_flight_or_a_timer_for_the_next(with_refusals):
+    """Random sequences of 60 events, also on connections already given up: after each event there is one
+    timer, and an agent that recovers delivers a list within STALENESS_LIMIT."""
+    responses = [*RESPONSES.values(), *(REFUSALS.values() if with_refusals else ())]
     for seed in range(400):
-        draw = random.Random(seed)
-        world = World(seed)
-        world.watch.start_after_delay() if draw.random() < 0.5 else world.watch.start()
+        rng = random.Random(seed)
+        loop = FakeLoop(seed)
+        loop.watch.start_after_delay() if rng.random() < 0.5 else loop.watch.start()
         for _ in range(60):
-            live = [e for e in world.opened if e not in world.ended]
-            event = draw.choice(("fire", "up", "data", "data", "eof", "reset", "move", "wait"))
+            live = [e for e in loop.exchanges if e not in loop.closed]
+            event = rng.choice(("fire", "up", "data", "data", "eof", "reset", "move", "wait"))
             if event == "fire":
-                world.fire()
-            elif event == "wait":  # some time, but no timer is late
-                due = min(timer.when for timer in world.pending())
-                world.now += draw.random() * (due - world.now)
+                loop.fire_next_timer()
+            elif event == "wait":  # some time, but not beyond the next timer
+                due = min(timer.when for timer in loop.pending())
+                loop.now += rng.random() * (due - loop.now)
             elif event == "move":
-                world.watch.set_address(("host", draw.randrange(3)))
+                loop.watch.set_address(("host", rng.randrange(3)))
             elif live:
-                exchange = draw.choice(live)
+                exchange = rng.choice(live)
                 if event == "up" and exchange.transport is None:
-                    world.up(exchange)
+                    loop.connect(exchange)
                 elif event == "data" and exchange.transport and not exchange.transport.aborted:
-                    exchange.data_received(draw.choice(pieces))
+                    exchange.data_received(rng.choice(responses))
                 elif event in ("eof", "reset"):
-                    world.end(exchange, None if event == "eof" else ConnectionResetError())
-            assert len(world.pending()) == 1
-            state = world.watch.exchange
-            assert state is None or state.transport is None or not state.transport.aborted
-        healthy_until_told(world, STALENESS_LIMIT)
+                    loop.end(exchange, None if event == "eof" else ConnectionResetError())
+            assert len(loop.pending()) == 1
+            current = loop.watch.exchange
+            assert current is None or current.transport is None or not current.transport.aborted
+        serve_until_updated(loop, STALENESS_LIMIT)
 
 
 @pytest.mark.parametrize("refusals", [0, 1, 3, 6])
-@pytest.mark.parametrize("silent", ["at once", "in the middle", "trickling"])
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(silent, refusals):
-    """Where discovery had refused calls before, a silent one was given 9 s, and the next a pause besides."""
+@pytest.mark.parametrize("silence", ["at once", "in the middle", "trickling"])
+def test_a_silent_watch_is_reopened_before_its_missed_changes_count_as_delivered(silence, refusals):
+    """Guards against a timeout of 9 s plus a further delay where discovery had refused requests before."""
     for seed in range(20):
-        world = World(seed)
-        world.watch.start()
-        world.up(world.watch.exchange)
+        loop = FakeLoop(seed)
+        loop.watch.start()
+        loop.connect(loop.watch.exchange)
         for _ in range(refusals):
-            world.watch.exchange.data_received(REFUSALS["refused"])
-            world.fire()
-        world.watch.exchange.data_received(answer(whole(5)))
-        last, calls = world.now, len(world.asked)
-        exchange = world.watch.exchange
-        slowly = itertools.chain((HEAD + b"X-Slow: ",), itertools.repeat(b"a"))
-        if silent == "in the middle":
-            exchange.data_received(PIECES["half a body"])
-        while len(world.asked) == calls:
-            if world.watch.exchange and world.watch.exchange.transport is None:
-                world.up(world.watch.exchange)
-            elif silent == "trickling" and world.watch.exchange is exchange:
-                due = min(timer.when for timer in world.pending())
-                exchange.data_received(next(slowly))
-                world.now = min(due, world.now + 0.1)
-                if world.now == due:
-                    world.fire()
+            loop.watch.exchange.data_received(REFUSALS["refused"])
+            loop.fire_next_timer()
+        loop.watch.exchange.data_received(answer(whole_list(5)))
+        answered_at, requests_before = loop.now, len(loop.requests)
+        exchange = loop.watch.exchange
+        slow_bytes = itertools.chain((HEAD + b"X-Slow: ",), itertools.repeat(b"a"))
+        if silence == "in the middle":
+            exchange.data_received(RESPONSES["half a body"])
+        while len(loop.requests) == requests_before:
+            if loop.watch.exchange and loop.watch.exchange.transport is None:
+                loop.connect(loop.watch.exchange)
+            elif silence == "trickling" and loop.watch.exchange is exchange:
+                due = min(timer.when for timer in loop.pending())
+                exchange.data_received(next(slow_bytes))
+                loop.now = min(due, loop.now + 0.1)
+                if loop.now == due:
+                    loop.fire_next_timer()
             else:
-                world.fire()
-        assert last + LONG_POLL_WAIT < world.now < last + STALENESS_LIMIT - 1
+                loop.fire_next_timer()
+        assert answered_at + LONG_POLL_WAIT < loop.now < answered_at + STALENESS_LIMIT - 1
 
 
 @pytest.mark.parametrize("end", ["eof", "reset"])
-def test_an_answer_without_a_length_counts_once_its_connection_ends_and_a_reset_is_no_end(end):
-    data = HEAD + b"\r\n" + whole(5)
+def test_a_response_without_length_is_complete_at_eof_but_not_after_a_reset(end):
+    data = HEAD + b"\r\n" + whole_list(5)
     for cut in range(len(data) + 1):
-        world = World()
-        world.watch.start()
-        exchange = world.watch.exchange
-        world.up(exchange)
+        loop = FakeLoop()
+        loop.watch.start()
+        exchange = loop.watch.exchange
+        loop.connect(exchange)
         exchange.data_received(data[:cut])
-        world.end(exchange, None if end == "eof" else ConnectionResetError())
-        assert [listed.version for listed in world.told] == ([5] if (end, cut) == ("eof", len(data)) else [])
-        assert len(world.pending()) == 1 and world.watch.exchange is None
+        loop.end(exchange, None if end == "eof" else ConnectionResetError())
+        assert [host_list.version for host_list in loop.updates] == (
+            [5] if (end, cut) == ("eof", len(data)) else []
+        )
+        assert len(loop.pending()) == 1 and loop.watch.exchange is None
 
 
-def test_an_answer_that_never_ends_is_dropped_with_its_memory():
-    world = World()
-    world.watch.start()
-    exchange = world.watch.exchange
-    world.up(exchange)
+def test_a_response_without_end_is_dropped_and_its_memory_bounded():
+    loop = FakeLoop()
+    loop.watch.start()
+    exchange = loop.watch.exchange
+    loop.connect(exchange)
     exchange.data_received(HEAD + b"\r\n")
-    piece, sent = b"x" * 256 * 1024, 0
-    while world.watch.exchange is exchange:
-        exchange.data_received(piece)
-        sent += len(piece)
-        assert sent <= discovery.RESPONSE_BYTES_MAX + len(piece)
+    chunk, sent_bytes = b"x" * 256 * 1024, 0
+    while loop.watch.exchange is exchange:
+        exchange.data_received(chunk)
+        sent_bytes += len(chunk)
+        assert sent_bytes <= discovery.RESPONSE_BYTES_MAX + len(chunk)
     assert exchange.transport.aborted
 
 
 @asyncio_test
-async def test_a_connection_that_comes_up_as_its_time_runs_out_does_not_end_the_watch(monkeypatch):
-    """The loop closed it without a word to anyone: no call was ever made again."""
+async def test_a_connection_established_as_its_timeout_expires_does_not_end_the_watch(monkeypatch):
+    """Guards against the loop closing that connection without notice: no request was ever sent again."""
     monkeypatch.setattr(discovery, "CONNECT_TIMEOUT", 0.05)
     connected = Watch.connected
 
-    def held(watch, *words):
-        connected(watch, *words)
-        time.sleep(0.1)  # the loop stands still from before the time until after it
+    def block_loop(watch, *arguments):
+        connected(watch, *arguments)
+        time.sleep(0.1)  # blocks the event loop across the timeout
 
-    monkeypatch.setattr(Watch, "connected", held)
-    loop, told = asyncio.get_running_loop(), []
-    agent = Agent([json.loads(whole(version)) for version in range(1, 4)])
+    monkeypatch.setattr(Watch, "connected", block_loop)
+    loop, updates = asyncio.get_running_loop(), []
+    agent = Agent([json.loads(whole_list(version)) for version in range(1, 4)])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append, response_timeout=0.2).start()
-    await until(lambda: len(told) == 3)
-    assert [listed.version for listed in told] == [1, 2, 3]
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, updates.append, response_timeout=0.2).start()
+    await until(lambda: len(updates) == 3)
+    assert [host_list.version for host_list in updates] == [1, 2, 3]
 
 
 @pytest.mark.parametrize("connection", ["close", ""])
 @asyncio_test
-async def test_an_agent_that_tells_no_length_is_heard(connection):
-    """Each of its answers ended with its connection, and was thrown away."""
-    loop, told, versions = asyncio.get_running_loop(), [], itertools.count(1)
+async def test_responses_of_an_agent_that_sends_no_length_are_used(connection):
+    """Guards against discarding responses that end with their connection."""
+    loop, updates, versions = asyncio.get_running_loop(), [], itertools.count(1)
     head = HEAD + (b"Connection: close\r\n" if connection else b"") + b"\r\n"
 
     async def serve(reader, writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(head + whole(next(versions)))
+        writer.write(head + whole_list(next(versions)))
         await writer.drain()
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append).start()
-    await until(lambda: len(told) >= 3)
-    assert [listed.version for listed in told[:3]] == [1, 2, 3]
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, updates.append).start()
+    await until(lambda: len(updates) >= 3)
+    assert [host_list.version for host_list in updates[:3]] == [1, 2, 3]
