--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Operators' calls, readiness, and the drain, over loopback sockets."""
+"""Control calls, readiness and the drain, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def listening_control(rig: Rig) -> Control:
-    """The rig's control, listening; clients are served, too."""
+    """Control of the rig, listening; the rig serves clients, too."""
     await rig.clients.listen()
     control = Control(rig.driver, rig.clients)
     await control.listen(("127.0.0.1", 0))
@@ -28,7 +28,7 @@
 
 
 async def call(control: Control, line: bytes, end: bytes = b"\n") -> str:
-    """One call; all that came back until the close."""
+    """Send one call; returns all that was received until the connection closed."""
     reader, writer = await connect(control)
     writer.write(line + end)
     answer = (await asyncio.wait_for(reader.read(), 5)).decode()
@@ -38,9 +38,9 @@
 
 
 @asyncio_test
-async def test_health_says_yes_once_hosts_are_known_and_clients_are_served():
+async def test_health_is_ready_once_hosts_are_listed_and_clients_are_served():
     host = await FakeHost("a").listen()
-    rig = Rig(lines=[{"host": "odd"}])
+    rig = Rig(lines=[{"host": "malformed"}])
     control = Control(rig.driver, rig.clients)
     await control.listen(("127.0.0.1", 0))
     assert (await call(control, b"HEALTH")).startswith("error no list of hosts")
@@ -60,7 +60,7 @@
     ),
 )
 @asyncio_test
-async def test_what_is_no_call_gets_an_error_and_changes_nothing(line):
+async def test_an_invalid_call_gets_an_error_and_has_no_effect(line):
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
     assert (await call(control, line)).startswith("error ")
@@ -68,7 +68,7 @@
 
 
 @asyncio_test
-async def test_a_line_without_its_end_is_an_error():
+async def test_a_line_without_newline_is_an_error():
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
     reader, writer = await connect(control)
@@ -80,7 +80,7 @@
 
 
 @asyncio_test
-async def test_who_has_been_answered_and_closes_takes_no_place():
+async def test_answered_callers_that_close_do_not_count_against_the_limit():
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
     for _ in range(3 * CONNECTIONS_MAX):
@@ -95,93 +95,93 @@
 
 
 @asyncio_test
-async def test_a_new_caller_is_answered_beside_any_number_of_silent_ones():
+async def test_a_new_caller_is_answered_despite_any_number_of_silent_ones():
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
-    silent = []
+    silent_callers = []
     for _ in range(3 * CONNECTIONS_MAX):
-        silent.append(await connect(control))
-        silent[-1][1].write(b"HEAL")
+        silent_callers.append(await connect(control))
+        silent_callers[-1][1].write(b"HEAL")
     assert (await call(control, b"HEALTH")).startswith("done")
     assert len(control.connections) <= CONNECTIONS_MAX
     assert rig.driver.stats["control_evicted"] >= 2 * CONNECTIONS_MAX
-    silent[-1][1].write(b"TH\n")  # one of the latest has its place still
-    assert await asyncio.wait_for(silent[-1][0].read(), 5) == b"done ready\n"
-    for _, writer in silent:
+    silent_callers[-1][1].write(b"TH\n")  # the newest silent callers were not evicted
+    assert await asyncio.wait_for(silent_callers[-1][0].read(), 5) == b"done ready\n"
+    for _, writer in silent_callers:
         writer.close()
 
 
 @asyncio_test
-async def test_what_follows_the_line_does_not_take_the_answer_away():
+async def test_data_after_the_line_does_not_reset_the_answer():
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
     assert (await call(control, b"HEALTH\n" + b"x" * 300_000)).startswith("done")
 
 
 @asyncio_test
-async def test_while_the_control_address_is_taken_the_gateway_serves_and_answers_there_later():
+async def test_the_gateway_serves_while_its_control_address_is_in_use_and_listens_there_later():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     control = Control(rig.driver, rig.clients)
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        where = taken.getsockname()
-        listen = functools.partial(control.listen, where)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        address = listener.getsockname()
+        listen = functools.partial(control.listen, address)
         with pytest.raises(listening.NoStart, match="another process listens there"):
-            await listening.when_free("operators", where, listen, patient=False)
-        trying = await listening.when_free("operators", where, listen, patient=True)
+            await listening.when_free("operators", address, listen, patient=False)
+        retry_task = await listening.when_free("operators", address, listen, patient=True)
         caller.call()
         assert await caller.replied() == [b"ok"]
         assert control.server is None
-    await trying
+    await retry_task
     assert (await call(control, b"HEALTH")).startswith("done")
 
 
 @asyncio_test
-async def test_a_drain_says_no_at_once_serves_on_and_closes_between_requests():
+async def test_a_drain_reports_not_ready_at_once_goes_on_serving_and_closes_idle_connections():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     control = await listening_control(rig)
-    asking, idle, busy = [await rig.caller() for _ in range(3)]
-    for caller in (asking, idle):
+    polling, idle, with_open_request = [await rig.caller() for _ in range(3)]
+    for caller in (polling, idle):
         caller.call()
         await caller.replied()
     host.script = lambda command: None
-    busy.call(wait=10_000, number=b"held")
+    with_open_request.call(wait=10_000, number=b"held")
     await until(lambda: len(host.commands) == 3)
-    began = rig.loop.time()
+    started = rig.loop.time()
     assert await call(control, b"LEAVE") == await call(control, b"LEAVE") == "done draining\n"
-    asking.ask(b"PING")
-    assert str((await asking.replied(2))[1]).startswith("ERR")
+    polling.ask(b"PING")
+    assert str((await polling.replied(2))[1]).startswith("ERR")
     assert (await call(control, b"HEALTH")).startswith("error draining")
-    late = await rig.caller()  # until the front has seen the no
+    late_caller = await rig.caller()  # accepted until the load balancer in front has seen the drain
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
-    late.call()
+    late_caller.call()
     idle.call()
-    assert await late.replied() == (await idle.replied(2))[1:] == [b"ok"]
-    assert not (idle.closed or late.closed)
-    while not (asking.closed and idle.closed and late.closed):
-        if not asking.closed:
-            asking.ask(b"PING")  # who only asks is told to go as well
+    assert await late_caller.replied() == (await idle.replied(2))[1:] == [b"ok"]
+    assert not (idle.closed or late_caller.closed)
+    while not (polling.closed and idle.closed and late_caller.closed):
+        if not polling.closed:
+            polling.ask(b"PING")  # PING alone does not keep a connection open
         await asyncio.sleep(0.05)
-    assert DRAIN_NOTICE_DELAY <= rig.loop.time() - began < 3
-    assert not busy.closed
+    assert DRAIN_NOTICE_DELAY <= rig.loop.time() - started < 3
+    assert not with_open_request.closed
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
     for connection in host.connections[1:]:
         connection.transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert await busy.replied() == [b"last"]
-    await until(lambda: busy.closed)
+    assert await with_open_request.replied() == [b"last"]
+    await until(lambda: with_open_request.closed)
     assert await call(control, b"JOIN") == await call(control, b"JOIN") == "done joined\n"
-    back = await rig.caller()
-    back.ask(b"PING")
-    assert await back.replied() == [b"PONG"]
-    back.call()
-    assert (await back.replied(2))[1] == b"ok"
+    after_join = await rig.caller()
+    after_join.ask(b"PING")
+    assert await after_join.replied() == [b"PONG"]
+    after_join.call()
+    assert (await after_join.replied(2))[1] == b"ok"
     await asyncio.sleep(DRAIN_REFUSE_DELAY + 0.3)
-    assert not back.closed
+    assert not after_join.closed
 
 
 @asyncio_test
-async def test_a_drain_undone_half_way_closes_nothing_more():
+async def test_a_cancelled_drain_closes_no_more_connections():
     rig = Rig(await FakeHost("a").listen())
     control = await listening_control(rig)
     caller = await rig.caller()
@@ -194,7 +194,7 @@
 
 
 @asyncio_test
-async def test_who_is_late_with_a_request_during_a_drain_does_not_keep_the_connection(monkeypatch):
+async def test_a_request_completed_late_in_a_drain_is_refused_and_its_connection_closed(monkeypatch):
     monkeypatch.setattr(drain_module, "DRAIN_REFUSE_DELAY", DRAIN_NOTICE_DELAY + 0.1)
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -206,13 +206,13 @@
     assert not caller.closed
     terms = b"c=read,t=team,d=2000,units=1,spread=2,first=0"
     caller.transport.write(b"$%d\r\n%b\r\n" % (len(terms), terms))
-    assert str((await caller.replied())[0]) == "BUSY"  # harmless to send again: it has not run
+    assert str((await caller.replied())[0]) == "BUSY"  # safe to repeat: it was not executed
     await until(lambda: caller.closed)
     assert host.commands == []
 
 
 @asyncio_test
-async def test_the_end_comes_as_usual_during_a_drain_and_cannot_be_undone():
+async def test_shutdown_during_a_drain_proceeds_as_usual_and_cannot_be_cancelled():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -221,11 +221,11 @@
     caller.call(wait=10_000)
     await until(lambda: host.commands)
     await call(control, b"LEAVE")
-    ending = asyncio.create_task(rig.clients.drain.shut_down(0.1))
+    shutdown = asyncio.create_task(rig.clients.drain.shut_down(0.1))
     await asyncio.sleep(0.3)
     assert (await call(control, b"JOIN")).startswith("error ending")
     assert (await call(control, b"HEALTH")).startswith("error ending")
-    assert not ending.done()
+    assert not shutdown.done()
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
     assert await caller.replied() == [b"last"]
-    await ending
+    await shutdown
