--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""GET /metrics of a gateway process and of a list service, read by Prometheus' own parser."""
+"""GET /metrics of a gateway and of a list service, parsed by the Prometheus client library."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 SOURCES = Path(metrics.__file__).parent
 
 
-async def scrape(where: str) -> dict[tuple[str, tuple], float]:
-    """All samples by name and labels."""
-    wire = await Wire.open(where)
+async def scrape(address: str) -> dict[tuple[str, tuple], float]:
+    """Return all samples by name and labels."""
+    wire = await Wire.open(address)
     wire.writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     head, _, body = (await wire.reader.read()).partition(b"\r\n\r\n")
     wire.close()
@@ -26,32 +26,32 @@
 
 
 @asyncio_test
-async def test_a_gateway_counts_by_class_outcome_and_zone_and_clients_add_no_labels(tmp_path):
+async def test_a_gateway_counts_by_class_outcome_and_zone_and_clients_cannot_add_labels(tmp_path):
     hosts = [await FakeHost("a").listen(), await FakeHost("b").listen()]
     hosts[1].script = lambda command: b"-ERR failed\r\n"
-    where = free_address()
+    address = free_address()
     plan = SITE["packages"][0]
-    slow = [plan | {"perSecond": 0.1, "peakUnits": 4.0}]
-    async with Service(tmp_path, hosts[0], packages=slow) as service:
-        service.text["metrics"] = where
+    low_quota = [plan | {"perSecond": 0.1, "peakUnits": 4.0}]
+    async with Service(tmp_path, hosts[0], packages=low_quota) as service:
+        service.text["metrics"] = address
         service.text["known"]["hosts"].append(hosts[1].line(site="nowhere"))
         await service.start()
-        before = await scrape(where)
+        before = await scrape(address)
         caller = await service.caller()
-        for number in range(40):  # many customers, each with its own words
+        for number in range(40):  # several customers, each request with its own id
             terms = b"c=read,t=team,d=2000,units=1,spread=1,first=0"
             words = (b"CALL.GET", b"%016x" % (number % 5), b"id%d" % number, terms)
             caller.ask(*words)
             await caller.replied(number + 1)
         caller.ask(b"CALL.GET", b"zzz", b"\xff", b"c=nothing")
         await caller.replied(41)
-        after = await scrape(where)
+        after = await scrape(address)
         served = [r for r in caller.replies if r == b"ok"]
         refused = [r for r in caller.replies if str(r).startswith("BUSY")]
         assert served and refused
-        one = (("class", "read"), ("outcome", "served"))
+        served_reads = (("class", "read"), ("outcome", "served"))
         by_zone = {
-            zone: after.get(("birchdrum_answer_seconds_count", (*one, ("zone", zone))), 0)
+            zone: after.get(("birchdrum_answer_seconds_count", (*served_reads, ("zone", zone))), 0)
             for zone in ("hall-a", "none")
         }
         assert by_zone == {"hall-a": len(served), "none": 0}
@@ -60,27 +60,27 @@
         assert after["birchdrum_refused_total", (("cause", "quota"),)] == len(refused)
         assert after["birchdrum_client_malformed_total", ()] == 1
         assert after["birchdrum_ready", ()] == 1 and after["birchdrum_hosts", ()] == 2
-        sums = sum(v for (name, _), v in after.items() if name == "birchdrum_attempt_seconds_count")
-        assert sums == sum(v for (name, _), v in after.items() if name == "birchdrum_attempts_total")
-        # One class, the outcomes that came, the zones: a customer or a request adds nothing.
+        attempt_count = sum(v for (name, _), v in after.items() if name == "birchdrum_attempt_seconds_count")
+        assert attempt_count == sum(v for (name, _), v in after.items() if name == "birchdrum_attempts_total")
+        # One class, the observed outcomes, the zones: customers and requests add no samples.
         assert len(after) - len(before) <= (len(metrics.BUCKETS) + 3) * 6
         assert not any("id1" in str(labels) for _, labels in after)
-        assert (await call(where, "GET", "/figures")).status == 404
-        assert (await call(where, "POST", "/metrics")).status == 404
+        assert (await call(address, "GET", "/figures")).status == 404
+        assert (await call(address, "POST", "/metrics")).status == 404
 
 
-def test_whatever_the_gateway_counts_is_on_the_page():
-    """Each literal name of a counter in the code is declared, so that none is missing in monitoring."""
-    found = set()
+def test_every_counter_in_the_code_is_exported():
+    """Every literal counter name in the code must be declared, so that none is missing in monitoring."""
+    counted = set()
     for file in SOURCES.glob("*.py"):
-        found |= set(re.findall(r'stats\["(\w+)"\]', file.read_text()))
+        counted |= set(re.findall(r'stats\["(\w+)"\]', file.read_text()))
     labelled = {prefix + value for prefix, _, _, _, values in metrics.LABELLED_COUNTERS for value in values}
-    assert len(found) > 15
-    assert found - set(metrics.COUNTERS) - labelled == set()
+    assert len(counted) > 15
+    assert counted - set(metrics.COUNTERS) - labelled == set()
 
 
 @asyncio_test
-async def test_the_list_service_tells_its_figures_only_where_it_is_asked_to(tmp_path):
+async def test_the_list_service_exports_metrics_only_if_enabled(tmp_path):
     async with Registry(tmp_path) as registry:
         plain = await registry.service("plain").start("--new")
         refused = await call(plain.operators, "GET", "/metrics")
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -1,4 +1,4 @@
-"""The event of figures, and the bound on all that is logged."""
+"""The ``stats`` event, and the rate limit on log lines."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 @pytest.fixture
-def written():
-    """What is written, form and level to be chosen; the usual form afterwards."""
-    to = io.StringIO()
+def log_output():
+    """Start logging to a buffer in a given format and level; resets logging afterwards."""
+    output = io.StringIO()
 
     def start(form: str, level: str = "info") -> io.StringIO:
         logs.bound.__init__()
-        logs.start(form, level, to)
-        return to
+        logs.start(form, level, output)
+        return output
 
     yield start
     structlog.reset_defaults()
     logs.bound.__init__()
 
 
-def test_an_event_holds_gauges_and_what_was_counted_since_the_one_before(monkeypatch):
+def test_an_event_has_the_gauges_and_the_counts_since_the_previous_event(monkeypatch):
     monkeypatch.setattr(stats, "REPORT_INTERVAL", 0.01)
 
     @asyncio_test
@@ -62,24 +62,24 @@
 ]
 
 
-@pytest.mark.parametrize(("value", "told"), FIELDS)
-def test_fields_keep_their_types_and_stay_on_one_line_of_bounded_length(written, value, told):
-    to = written("json")
+@pytest.mark.parametrize(("value", "expected"), FIELDS)
+def test_fields_keep_their_types_and_stay_on_one_line_of_bounded_length(log_output, value, expected):
+    output = log_output("json")
     logs.get("test").warning("seen", value=value)
-    [line] = to.getvalue().splitlines()
+    [line] = output.getvalue().splitlines()
     event = json.loads(line)
-    assert (event["event"], event["level"], event["value"]) == ("seen", "warning", told)
+    assert (event["event"], event["level"], event["value"]) == ("seen", "warning", expected)
 
 
-def test_a_flood_is_bounded_each_line_kept_back_is_counted_and_figures_pass(written):
-    to = written("text")
+def test_a_flood_is_rate_limited_suppressed_lines_are_counted_and_stats_pass(log_output):
+    output = log_output("text")
     log = logs.get("test")
     for _ in range(5 * logs.BURST):
         log.info("flood", text="a b\n\x00=")
         logging.getLogger("some.library").error("%d things", 7)
     log.info("stats", **{logs.ALWAYS: True}, calls=1)
-    lines = to.getvalue().splitlines()
-    assert logs.BURST < len(lines) <= logs.BURST + 30  # as much as came back meanwhile
+    lines = output.getvalue().splitlines()
+    assert logs.BURST < len(lines) <= logs.BURST + 30  # plus the allowance refilled meanwhile
     assert lines[-1].endswith(f"event=stats calls=1 lines_kept_back={10 * logs.BURST - len(lines) + 1}") or (
         sum(int(line.rsplit("lines_kept_back=")[1]) for line in lines if "lines_kept_back=" in line)
         == 10 * logs.BURST - len(lines) + 1
@@ -87,27 +87,27 @@
     assert any("event=library_said" in line and "some.library" in line for line in lines)
 
 
-def test_levels_and_forms_may_change_while_running(written):
-    to = written("text", "warning")
+def test_level_and_format_can_change_at_run_time(log_output):
+    output = log_output("text", "warning")
     log = logs.get("test")
     log.info("left_out")
-    logs.start("json", "info", to)
+    logs.start("json", "info", output)
     log.info("told")
-    assert [json.loads(line)["event"] for line in to.getvalue().splitlines()] == ["told"]
+    assert [json.loads(line)["event"] for line in output.getvalue().splitlines()] == ["told"]
     with pytest.raises(ValueError, match="text, json"):
         logs.start("xml")
 
 
-def test_a_log_that_cannot_be_written_stops_nothing_and_its_lines_are_counted(written):
-    written("text")
-    with contextlib.suppress(OSError), open("/dev/full", "w", buffering=1) as full:  # its close fails, too
+def test_an_unwritable_log_does_not_raise_and_its_lines_are_counted(log_output):
+    log_output("text")
+    with contextlib.suppress(OSError), open("/dev/full", "w", buffering=1) as full:  # closing it fails, too
         logs.start("text", "info", full)
         logs.get("test").info("lost")
     assert logs.bound.kept_back_all == 1
-    to = io.StringIO()
-    logs.start("json", "info", to)
+    output = io.StringIO()
+    logs.start("json", "info", output)
     logs.get("test").info("told")
-    assert json.loads(to.getvalue())["lines_kept_back"] == 1
+    assert json.loads(output.getvalue())["lines_kept_back"] == 1
     closed = io.StringIO()
     closed.close()
     logs.start("text", "info", closed)
