--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -71,11 +71,11 @@
         # burst, 20 units.
         await service.start()
         served = 0
-        for turn in range(3):
-            if turn:
+        for start_number in range(3):
+            if start_number:
                 await service.start()
             for number in range(8):
-                served += await send_request(service, b"%d-%d" % (turn, number)) == b"ok"
+                served += await send_request(service, b"%d-%d" % (start_number, number)) == b"ok"
         for number in range(40):
             served += await send_request(service, b"rest%d" % number) == b"ok"
     fresh = Bench(servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
