--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -64,8 +64,10 @@
     """
 
     def __init__(self, watch: Watch) -> None:
-        self.watch, self.http = watch, h11.Connection(h11.CLIENT)
-        self.status, self.body = 0, bytearray()
+        self.watch = watch
+        self.http = h11.Connection(h11.CLIENT)
+        self.status = 0
+        self.body = bytearray()
         self.has_length = True
         self.transport: asyncio.Transport | None = None
         self.task = watch.loop.create_task(self._connect(*watch.address))
@@ -162,8 +164,12 @@
         version: int | None = None,
         spread: float = 0.0,
     ) -> None:
-        self.loop, self.address, self.zones, self.on_update = loop, address, zones, on_update
-        self.long_poll_wait, self.response_timeout = long_poll_wait, response_timeout
+        self.loop = loop
+        self.address = address
+        self.zones = zones
+        self.on_update = on_update
+        self.long_poll_wait = long_poll_wait
+        self.response_timeout = response_timeout
         self.random_fraction = random_fraction  # from 0 to 1: jitter for gateways that started together
         self.version = version  # of the current list; changes since it are requested; None: the whole list
         self.spread = spread  # seconds over which the first requests of the whole fleet are spread
@@ -192,7 +198,10 @@
         """Switch to another address of discovery, dropping the connection to the previous one."""
         if address == self.address:
             return
-        self.address, self.version, self.backoff, self.refused_interval = address, None, BACKOFF_MIN, 0.0
+        self.address = address
+        self.version = None
+        self.backoff = BACKOFF_MIN
+        self.refused_interval = 0.0
         self.start()
 
     def drop(self) -> None:
@@ -279,12 +288,11 @@
         """Poll again at once if the connection is kept alive, so that the watch has no gap, then pass on the
         list. A lower version means that discovery restarted with another list: the whole list is requested.
         """
-        self.backoff, self.refused_interval = (
-            BACKOFF_MIN,
-            self.refused_interval * REFUSED_INTERVAL_DECAY
-            if self.refused_interval > REFUSED_INTERVAL_MIN
-            else 0.0,
-        )
+        self.backoff = BACKOFF_MIN
+        if self.refused_interval > REFUSED_INTERVAL_MIN:
+            self.refused_interval *= REFUSED_INTERVAL_DECAY
+        else:
+            self.refused_interval = 0.0
         version_decreased = (
             not host_list.whole and self.version is not None and host_list.version < self.version
         )
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -54,7 +54,9 @@
             return "error ending"
         for timer in self.timers:
             timer.cancel()
-        self.clients.driver.readiness.draining = self.closing_idle = self.refusing_requests = False
+        self.clients.driver.readiness.draining = False
+        self.closing_idle = False
+        self.refusing_requests = False
         return "done joined"
 
     def hand_over(self) -> None:
@@ -83,7 +85,9 @@
         Each wait is bounded: requests by their deadlines, commands by SHUTDOWN_COMMAND_TIMEOUT, half-closed
         connections by LINGER_TIMEOUT. Clients that read their answers too slowly for that are disconnected.
         """
-        clients, driver, loop = self.clients, self.clients.driver, self.clients.driver.loop
+        clients = self.clients
+        driver = clients.driver
+        loop = driver.loop
         self.cancel()
         driver.readiness.shutting_down = not driver.readiness.handed_over
         self._close_idle()
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -110,8 +110,12 @@
         execute_call: ExecuteCall,
         stop: asyncio.Event,
     ) -> None:
-        self.driver, self.clients, self.peers, self.execute_call = driver, clients, peers, execute_call
-        self.loop, self.stop = driver.loop, stop
+        self.driver = driver
+        self.clients = clients
+        self.peers = peers
+        self.execute_call = execute_call
+        self.loop = driver.loop
+        self.stop = stop
         self.sock: socket.socket | None = None
         self.channel: Channel | None = None  # to the successor, once it has taken over
         self.successor_ended = False
@@ -256,7 +260,8 @@
         if self.successor_ended:  # nothing of the request was sent to a host: safe to repeat elsewhere
             self.driver.answered_elsewhere(call.event.request, b"-BUSY\r\n")
             return
-        event, time_left = call.event, call.deadline - self.driver.clock()
+        event = call.event
+        time_left = call.deadline - self.driver.clock()
         terms = [
             event.customer,
             event.kind,
@@ -393,8 +398,8 @@
             async with asyncio.timeout(FREEZE_TIMEOUT):
                 state, rows, attempts_out = await self._receive_state()
             hosts = tuple(map(_host_entry, state["hosts"]))
-            restored, clock_base = handover.read(driver.gateway, state["state"], rows), int(state["clock"])
-            driver.clock.base = clock_base
+            restored = handover.read(driver.gateway, state["state"], rows)
+            driver.clock.base = int(state["clock"])
             if not host_list_received.is_set():
                 driver.listed(HostList(0, True, hosts))
             restored.load(driver.gateway)
