--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -90,7 +90,10 @@
         nobody = closed.getsockname()
     states = {
         "watching": (await serving(old), lambda watch: len(old.asked) == 2),
-        "backing off": (nobody, lambda watch: watch.reached is False and watch.exchange is None),
+        "backing off": (
+            nobody,
+            lambda watch: watch.last_connect_succeeded is False and watch.exchange is None,
+        ),
         "connecting": (nobody, lambda watch: True),
     }
     for address, state in states.values():
