--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -323,7 +323,7 @@
 def _attempt_row(event: api.AttemptElsewhere) -> list[Any]:
     arrived, server = event.arrived, event.server.decode("latin-1")
     request_fields = [
-        arrived.arrived,
+        arrived.request,
         arrived.customer,
         arrived.plan,
         arrived.kind,
