--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -20,9 +20,8 @@
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
 
 # Shutdown, in seconds after SIGTERM.
-SHUTDOWN_REFUSE_DELAY = (
-    0.65  # requests that arrive from 0.7 s on must be answered before SIGKILL: refuse them
-)
+# Requests are refused from here on: what arrives from 0.7 s on would have to be answered before SIGKILL.
+SHUTDOWN_REFUSE_DELAY = 0.65
 # After the listener is closed, incomplete commands delay the exit by at most this.
 SHUTDOWN_COMMAND_TIMEOUT = 1.0
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -105,7 +105,7 @@
         exchange.connection_made(transport)
         return transport
 
-    def end(self, exchange: Exchange, error: Exception | None) -> None:
+    def disconnect(self, exchange: Exchange, error: Exception | None) -> None:
         if exchange not in self.closed:
             self.closed.add(exchange)
             if exchange.transport is None:
@@ -190,7 +190,7 @@
                 elif event == "data" and exchange.transport and not exchange.transport.aborted:
                     exchange.data_received(rng.choice(responses))
                 elif event in ("eof", "reset"):
-                    loop.end(exchange, None if event == "eof" else ConnectionResetError())
+                    loop.disconnect(exchange, None if event == "eof" else ConnectionResetError())
             assert len(loop.pending()) == 1
             current = loop.watch.exchange
             assert current is None or current.transport is None or not current.transport.aborted
@@ -237,7 +237,7 @@
         exchange = loop.watch.exchange
         loop.connect(exchange)
         exchange.data_received(data[:cut])
-        loop.end(exchange, None if end == "eof" else ConnectionResetError())
+        loop.disconnect(exchange, None if end == "eof" else ConnectionResetError())
         assert [host_list.version for host_list in loop.updates] == (
             [5] if (end, cut) == ("eof", len(data)) else []
         )
