--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from orchidlane.agreed import Holder
-from registry.agreement import DRIFT, NEVER, WITHIN, Conflict, Kept, Source, bound
+from registry.agreement import DRIFT, NEVER, WITHIN, Conflict, PersistedState, Source, max_overlap_us
 
 from .kernel import T0, Kernel, Uniform, draws
 
@@ -91,7 +91,7 @@
         self.draw = Uniform(draws(seed, "agreement"))
         self.holder, self.make_source, self.change_every = holder, source, change_every
         self.source_rate = self._rate()
-        self.disk = Kept(1, 1, last=1)
+        self.disk = PersistedState(1, 1, last=1)
         self.source = source(self._source_now(), self.disk, lease_ms)
         self.source_down = 0
         self.lives = 0
@@ -150,7 +150,7 @@
     def _arrive(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
         if to_source:
             if self.kernel.now >= self.source_down:
-                answer = self.source.heard(self._source_now(), body)
+                answer = self.source.handle_query(self._source_now(), body)
                 self._keep()
                 if answer:
                     self._send(node, answer, to_source=False)
@@ -198,14 +198,14 @@
         """The source answers who waits."""
         self.kernel.after(TICK // 5, self._look)
         if self.kernel.now >= self.source_down:
-            answers = self.source.news(self._source_now())
+            answers = self.source.due_answers(self._source_now())
             self._keep()
             for answer in answers:
                 self._send(self.by_name[answer["holder"]], answer, to_source=False)
 
     def _keep(self) -> None:
-        if self.source.kept != self.disk:
-            self.disk = self.source.kept
+        if self.source.state != self.disk:
+            self.disk = self.source.state
 
     # -- what goes on ---------------------------------------------------------------------------------------
 
@@ -216,10 +216,10 @@
             return
         version, rule = max(self.values) + 1, (NEVER if self.draw() < 0.5 else WITHIN)
         now = self._source_now()
-        if self.source.carry_on(now):
+        if self.source.advance(now):
             self._keep()
         try:
-            self.source.put(now, version, rule)
+            self.source.propose(now, version, rule)
         except Conflict:
             self.counts["waited"] += 1
             return
@@ -295,4 +295,4 @@
     def longest(self, key: str) -> float:
         """The longest contradiction, as a part of the bound; 0: none."""
         found = self.overlaps(key)
-        return found[0][0] / bound(self.lease_ms) if found else 0.0
+        return found[0][0] / max_overlap_us(self.lease_ms) if found else 0.0
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from orchidlane.agreed import Holder
-from registry.agreement import NEVER, WITHIN, Kept, Source, bound
+from registry.agreement import NEVER, WITHIN, PersistedState, Source, max_overlap_us
 
 from .model import Fault, Result, explore, possible
 
@@ -38,7 +38,7 @@
     step: int = 0
     lives: int = 0
     source: Source = field(init=False)
-    disk: Kept = field(init=False)
+    disk: PersistedState = field(init=False)
     cores: list[Holder] = field(default_factory=list)
     paused: list[int] = field(default_factory=list)
     waiting: list[list[dict[str, Any]]] = field(default_factory=list)
@@ -53,7 +53,7 @@
 
     def begin(self) -> World:
         """All hold the first version."""
-        self.disk = Kept(1, 1, last=1)
+        self.disk = PersistedState(1, 1, last=1)
         self.source = self.source_of(self.now(), self.disk, LEASE_MS)
         self.cores = [self.core(rank) for rank in range(self.size)]
         self.paused, self.waiting = [0] * self.size, [[] for _ in range(self.size)]
@@ -101,17 +101,17 @@
                 core.told(self.now(), body)
             if core.due(self.now()):
                 self.way.append((self.step + 1, rank, True, core.ask(self.now())))
-        while self.puts and self.puts[0][0] <= self.step and not self.source.kept.pending:
+        while self.puts and self.puts[0][0] <= self.step and not self.source.state.pending:
             _, version, rule = self.puts.pop(0)
-            self.source.put(self.now(), version, rule)
-        for answer in self.source.news(self.now()):
+            self.source.propose(self.now(), version, rule)
+        for answer in self.source.due_answers(self.now()):
             self.way.append((self.step + 1, int(answer["holder"][3:]), False, answer))
-        self.disk = self.source.kept
+        self.disk = self.source.state
 
     def _arrive(self, rank: int, to_source: bool, body: dict[str, Any]) -> None:
         if to_source:
-            answer = self.source.heard(self.now(), body)
-            self.disk = self.source.kept
+            answer = self.source.handle_query(self.now(), body)
+            self.disk = self.source.state
             if answer:
                 self.way.append((self.step + 1, rank, False, answer))
         elif self.paused[rank] > self.step:
@@ -130,7 +130,7 @@
                     self._note(NEVER, int(acting.version >= 2))
                 if not acting.lapsed:
                     self._note(WITHIN, int(acting.version >= 3))
-        for key, most in ((NEVER, 0), (WITHIN, -(-bound(LEASE_MS) // STEP))):
+        for key, most in ((NEVER, 0), (WITHIN, -(-max_overlap_us(LEASE_MS) // STEP))):
             first, last = self.acted.get((key, 1)), self.acted.get((key, 0))
             if first and last and last[1] - first[0] > most:
                 self.wrong = (
@@ -151,7 +151,7 @@
     def print(self) -> bytes:
         """What tells two states apart."""
         cores = [vars(core) for core in self.cores]
-        source = self.source.kept, self.source.quiet_until, self.source.began, self.source.seats
+        source = self.source.state, self.source.recovery_until, self.source.proposed_at, self.source.holders
         parts = self.step, self.paused, self.waiting, self.way, cores, source, self.puts, self.acted
         return blake2b(pickle.dumps(parts), digest_size=16).digest()
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -7,7 +7,16 @@
 from lab import agreement_model
 from lab.agreement import DRIFT, KINDS, World
 from orchidlane.agreed import Acting, Holder
-from registry.agreement import LEASE_MS, NEVER, TOGETHER, WITHIN, Conflict, Kept, Source, bound
+from registry.agreement import (
+    LEASE_MS,
+    NEVER,
+    TOGETHER,
+    WITHIN,
+    Conflict,
+    PersistedState,
+    Source,
+    max_overlap_us,
+)
 
 MS, SECOND = 1_000, 1_000_000
 T0 = 1_000 * SECOND
@@ -49,7 +58,7 @@
 class EffectBeforeAnswers(Source):
     """Waits for nobody."""
 
-    def waited_for(self, now: int) -> dict[str, str]:
+    def blocking_holders(self, now: int) -> dict[str, str]:
         return {}
 
 
@@ -58,7 +67,7 @@
 
     def __init__(self, now: int, *args, **more) -> None:
         super().__init__(now, *args, **more)
-        self.quiet_until = now
+        self.recovery_until = now
 
 
 def played(kind: str, seed: int, size: int = 8, span: float = 90, **more) -> World:
@@ -104,30 +113,30 @@
     assert world.spread()[-1] < 0.5
 
 
-def source(kept: Kept = Kept(1, 1, last=1), **more) -> Source:  # noqa: B008 a frozen value
+def source(kept: PersistedState = PersistedState(1, 1, last=1), **more) -> Source:  # noqa: B008 a frozen value
     made = Source(T0, kept, **more)
-    made.quiet_until = T0 if not more.get("restored") else made.quiet_until
+    made.recovery_until = T0 if not more.get("restored") else made.recovery_until
     return made
 
 
 def question(holder: Holder, made: Source, now: int) -> bool:
     """One question, answered at once or as soon as it has waited long enough."""
-    answer = made.heard(now, holder.ask(now))
+    answer = made.handle_query(now, holder.ask(now))
     return holder.told(now, answer) if answer else False
 
 
 def test_a_change_that_may_never_contradict_waits_for_each_who_holds_a_lease():
     made, a, b = source(), Holder("a", 1), Holder("b", 2)
     assert question(a, made, T0) and question(b, made, T0)
-    made.put(T0, 2, NEVER)
+    made.propose(T0, 2, NEVER)
     question(a, made, T0 + MS)
     assert a.acting(T0 + MS) == Acting(1, narrow=True)  # ready, and by neither from now on
     question(a, made, T0 + 2 * MS)
-    assert made.kept.version == 1 and made.waited_for(T0 + 2 * MS) == {"b": "has not answered yet"}
+    assert made.state.version == 1 and made.blocking_holders(T0 + 2 * MS) == {"b": "has not answered yet"}
     assert b.acting(T0 + 2 * MS) == Acting(1)
     question(b, made, T0 + 3 * MS)
     question(b, made, T0 + 4 * MS)
-    assert made.kept.version == 2 and b.acting(T0 + 4 * MS) == Acting(2)
+    assert made.state.version == 2 and b.acting(T0 + 4 * MS) == Acting(2)
     assert a.acting(T0 + 4 * MS) == Acting(1, narrow=True)
     question(a, made, T0 + 5 * MS)
     assert a.acting(T0 + 5 * MS) == Acting(2)
@@ -140,14 +149,14 @@
     left, silent = Holder("left", 3), Holder("silent", 4)
     for holder in (able, unable, left, silent):
         question(holder, made, T0)
-    made.put(T0, 2, NEVER)
-    made.left("left", 3)
-    now, length = T0, made.length
-    while made.kept.version == 1 and now < T0 + 4 * length:
+    made.propose(T0, 2, NEVER)
+    made.remove_holder("left", 3)
+    now, lease_us = T0, made.lease_us
+    while made.state.version == 1 and now < T0 + 4 * lease_us:
         now += 200 * MS
         question(able, made, now)
         question(unable, made, now)
-    assert length < now - T0 < 2.2 * length
+    assert lease_us < now - T0 < 2.2 * lease_us
     assert unable.acting(now) == Acting(1, narrow=True, lapsed=True)
     assert silent.acting(now).lapsed and not able.acting(now).lapsed
 
@@ -157,19 +166,19 @@
     made = source()
     question(Holder("a", 1), made, T0)
     if rule == WITHIN:
-        made.put(T0, 2, WITHIN)
+        made.propose(T0, 2, WITHIN)
     with pytest.raises(Conflict, match=told):
-        made.put(T0, version, rule)
+        made.propose(T0, version, rule)
     made.withdraw()
     with pytest.raises(Conflict, match="was there"):
-        made.put(T0, 2 if rule == WITHIN else 1, NEVER)
+        made.propose(T0, 2 if rule == WITHIN else 1, NEVER)
 
 
 def test_what_is_in_force_at_once_needs_nobody():
     made, holder = source(), Holder("a", 1)
     question(holder, made, T0)
-    made.put(T0, 2, TOGETHER)
-    assert made.kept == Kept(1, 2, last=2)
+    made.propose(T0, 2, TOGETHER)
+    assert made.state == PersistedState(1, 2, last=2)
     assert holder.acting(T0 + MS) == Acting(1)
     question(holder, made, T0 + MS)
     assert holder.acting(T0 + MS) == Acting(2)
@@ -178,36 +187,36 @@
 def test_answers_that_are_older_doubled_unasked_or_of_a_former_source_change_nothing():
     made, holder = source(), Holder("a", 1)
     first, second = holder.ask(T0), holder.ask(T0 + MS)
-    early, late = made.heard(T0, first), made.heard(T0 + MS, second)
+    early, late = made.handle_query(T0, first), made.handle_query(T0 + MS, second)
     assert holder.told(T0 + 2 * MS, late)
     until = holder.until
     for answer in (late, early, dict(late, asked=99)):
         assert not holder.told(T0 + 900 * MS, answer)
     assert holder.until == until == T0 + MS + int(LEASE_MS * MS * (1 - DRIFT))
-    assert made.heard(T0 + SECOND, holder.ask(T0 + SECOND)) is None  # it knows all: it waits for news
-    made.put(T0 + SECOND, 2, TOGETHER)
-    [news] = made.news(T0 + SECOND)
+    assert made.handle_query(T0 + SECOND, holder.ask(T0 + SECOND)) is None  # it knows all: it waits for news
+    made.propose(T0 + SECOND, 2, TOGETHER)
+    [news] = made.due_answers(T0 + SECOND)
     assert not holder.told(T0 + SECOND, dict(news, source=0))  # of a life before
     assert not holder.told(T0 + SECOND, dict(news, life=0))  # to a former self
-    assert made.news(T0 + SECOND) == []
+    assert made.due_answers(T0 + SECOND) == []
     assert holder.acting(until - 1) == Acting(1) and holder.acting(until).lapsed
 
 
 def test_a_restored_source_gives_no_lease_until_those_of_its_former_self_are_over():
     made, holder = source(), Holder("a", 1)
-    made.put(T0, 5, TOGETHER)
+    made.propose(T0, 5, TOGETHER)
     question(holder, made, T0)
-    again = source(Kept(2, 3, last=3), restored=True)
+    again = source(PersistedState(2, 3, last=3), restored=True)
     other = Holder("b", 1)
     assert question(other, again, T0 + MS) and other.acting(T0 + MS).lapsed
-    now = again.quiet_until
+    now = again.recovery_until
     assert holder.acting(now).lapsed
     assert question(other, again, now) and other.acting(now) == Acting(3)
     assert question(holder, again, now) and holder.acting(now) == Acting(3)
 
 
 def test_the_bound_is_a_little_more_than_the_lease():
-    assert LEASE_MS * MS < bound() < 1.01 * LEASE_MS * MS
+    assert LEASE_MS * MS < max_overlap_us() < 1.01 * LEASE_MS * MS
 
 
 @pytest.mark.parametrize(
