--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -54,7 +54,7 @@
 def _run_registry(words: Sequence[str]) -> None:
     from registry import __main__ as service
 
-    parser = service.options("birchdrum registry")
+    parser = service.build_parser("birchdrum registry")
     parser.error = _refuse  # type: ignore[method-assign, assignment]
     for sub in _subparsers(parser).values():
         sub.error = _refuse  # type: ignore[method-assign, assignment]
@@ -81,9 +81,9 @@
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """One of them."""
-        from registry.__main__ import options
+        from registry.__main__ import build_parser
 
-        parser = _subparsers(options()).get(name)
+        parser = _subparsers(build_parser()).get(name)
         return _registry_command(name, parser, parser.description or "") if parser else None
 
 
--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -55,7 +55,7 @@
     return float(text)
 
 
-def options(prog: str = "python -m registry") -> argparse.ArgumentParser:
+def build_parser(prog: str = "python -m registry") -> argparse.ArgumentParser:
     """All that can be said on the command line."""
     parser = argparse.ArgumentParser(prog=prog, description="Keeps the list of hosts that gateways watch.")
     calls = parser.add_subparsers(dest="call", required=True)
@@ -184,7 +184,7 @@
 
 def main(argv: Sequence[str] | None = None, parser: argparse.ArgumentParser | None = None) -> int:
     """One plain line and 1 where it can't be done."""
-    given = (parser or options()).parse_args(argv)
+    given = (parser or build_parser()).parse_args(argv)
     if given.call != "backup":
         logs.start(given.log_form, given.log_level)
     try:
--- a/registry/meeting.py
+++ b/registry/meeting.py
@@ -14,7 +14,7 @@
 
 from .entries import LEASE_LEAST, address, fields, name, whole_number
 
-KEPT_MOST = 4_096  # over all clusters: bounds an answer as well, to some 300 KB
+MAX_ANNOUNCEMENTS = 4_096  # over all clusters: bounds an answer as well, to some 300 KB
 RANK_MOST = 65_535
 LEASE_MOST = 300_000  # milliseconds
 
@@ -30,15 +30,15 @@
     until: float
 
 
-class Meeting:
+class Rendezvous:
     """All clusters' gateways, in memory."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """``clock``: monotonic, seconds."""
         self.clock = clock
-        self.seats: dict[tuple[str, int], Seat] = {}
+        self.announcements: dict[tuple[str, int], Seat] = {}
 
-    def come(self, cluster: str, raw: dict[str, Any]) -> dict[str, Any]:
+    def announce(self, cluster: str, raw: dict[str, Any]) -> dict[str, Any]:
         """A gateway leaves its address; the others' of its cluster, the last ones first. Raises Invalid, or
         Refused where another process of a greater life holds the rank, or the table is full."""
         name(cluster, "cluster")
@@ -48,23 +48,23 @@
         life = whole_number(raw["life"], "life", 1)
         lease = whole_number(raw["lease_ms"], "lease_ms", LEASE_LEAST, LEASE_MOST)
         now, at = self.clock(), (cluster, rank)
-        held = self.seats.get(at)
+        held = self.announcements.get(at)
         is_elder = held is not None and held.until > now and held.life > life
         if not is_elder:
-            if held is None and len(self.seats) >= KEPT_MOST:
+            if held is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 self._forget(now)
-            if held is None and len(self.seats) >= KEPT_MOST:
-                raise Refused(403, f"the table is full: {KEPT_MOST} gateways")
-            self.seats[at] = Seat(rank, life, raw["dial"], now, now + lease / 1_000)
+            if held is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
+                raise Refused(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
+            self.announcements[at] = Seat(rank, life, raw["dial"], now, now + lease / 1_000)
         # The elder of two processes of a rank is told of the newer one, by its own rank, and yields.
         others = [
             seat
-            for (of, other), seat in self.seats.items()
+            for (of, other), seat in self.announcements.items()
             if of == cluster and seat.until > now and (other != rank or is_elder)
         ]
         told = sorted(others, key=lambda seat: (seat.rank == rank, seat.left), reverse=True)
         return {"gateways": [{"rank": s.rank, "life": s.life, "dial": s.dial} for s in told]}
 
     def _forget(self, now: float) -> None:
-        for at in [at for at, seat in self.seats.items() if seat.until <= now]:
-            del self.seats[at]
+        for at in [at for at, seat in self.announcements.items() if seat.until <= now]:
+            del self.announcements[at]
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -32,7 +32,7 @@
 )
 from .leases import TICK, Leases
 from .ledger import Ledger
-from .meeting import Meeting
+from .meeting import Rendezvous
 from .service import END_WITHIN, Stored, dump
 from .store import PRIMARY, Damaged, Store, may_pass
 
@@ -107,7 +107,7 @@
     ) -> None:
         super().__init__(store, connections)
         self.leases = Leases(time.monotonic, hold_share)
-        self.meeting = Meeting(time.monotonic)
+        self.meeting = Rendezvous(time.monotonic)
         self.hosts_most, self.settle, self.lease, self.seq_above = hosts_most, settle, lease, seq_above
         self.promote = promote
         self.open_at = 0.0  # by the loop's clock: until then a new list may still lack most hosts
@@ -160,7 +160,7 @@
 
     def meet(self, exchange: Exchange, request: Request, cluster: str) -> None:
         """A gateway leaves its address and is told others'."""
-        exchange.answer(dump(self.meeting.come(cluster, parse_json(request.body))))
+        exchange.answer(dump(self.meeting.announce(cluster, parse_json(request.body))))
 
     # -- calls about one host --------------------------------------------------------------------------
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -139,19 +139,21 @@
 
 def test_the_meeting_tells_the_latest_of_the_same_cluster_and_an_elder_of_who_replaced_it():
     now = [0.0]
-    kept = table.Meeting(lambda: now[0])
+    kept = table.Rendezvous(lambda: now[0])
     for rank in range(40):
         now[0] = float(rank) / 10
-        kept.come("valley", word(rank, 5, 7_000 + rank))
-    assert kept.come("ridge", word(3))["gateways"] == []
-    told = kept.come("valley", word(3, 5, 7_003))["gateways"]
+        kept.announce("valley", word(rank, 5, 7_000 + rank))
+    assert kept.announce("ridge", word(3))["gateways"] == []
+    told = kept.announce("valley", word(3, 5, 7_003))["gateways"]
     assert [row["rank"] for row in told] == [rank for rank in range(39, -1, -1) if rank != 3]
     now[0] = 32.5
-    assert {row["rank"] for row in kept.come("valley", word(3, 9, 7_103))["gateways"]} == set(range(26, 40))
-    elder = kept.come("valley", word(3, 5, 7_003))["gateways"]
+    assert {row["rank"] for row in kept.announce("valley", word(3, 9, 7_103))["gateways"]} == set(
+        range(26, 40)
+    )
+    elder = kept.announce("valley", word(3, 5, 7_003))["gateways"]
     assert elder[0] == {"rank": 3, "life": 9, "dial": "10.0.0.1:7103"}
     now[0] = 63.0
-    assert kept.come("valley", word(7))["gateways"] == []
+    assert kept.announce("valley", word(7))["gateways"] == []
 
 
 @pytest.mark.parametrize(
@@ -168,26 +170,26 @@
     ],
 )
 def test_the_meeting_refuses_what_makes_no_sense(odd):
-    kept = table.Meeting(lambda: 0.0)
+    kept = table.Rendezvous(lambda: 0.0)
     with pytest.raises(Invalid):
-        kept.come("valley", word() | odd)
+        kept.announce("valley", word() | odd)
     with pytest.raises(Invalid):
-        kept.come("no cluster", word())
-    assert kept.seats == {}
+        kept.announce("no cluster", word())
+    assert kept.announcements == {}
 
 
 def test_the_meeting_is_bounded_and_makes_room_from_leases_that_ran_out(monkeypatch):
-    monkeypatch.setattr(table, "KEPT_MOST", 3)
+    monkeypatch.setattr(table, "MAX_ANNOUNCEMENTS", 3)
     now = [0.0]
-    kept = table.Meeting(lambda: now[0])
+    kept = table.Rendezvous(lambda: now[0])
     for rank in range(3):
-        kept.come("valley", word(rank))
+        kept.announce("valley", word(rank))
     with pytest.raises(Refused, match="full"):
-        kept.come("valley", word(3))
-    assert kept.come("valley", word(2))["gateways"]
+        kept.announce("valley", word(3))
+    assert kept.announce("valley", word(2))["gateways"]
     now[0] = 31.0
-    kept.come("valley", word(3))
-    assert len(kept.seats) == 1
+    kept.announce("valley", word(3))
+    assert len(kept.announcements) == 1
 
 
 @asyncio_test
