--- a/registry/copies.py
+++ b/registry/copies.py
@@ -10,73 +10,73 @@
 from ops import logs
 
 from . import keep
-from .entries import DELETED, Entry, Invalid, News, Record
-from .follow import Address, Follow
-from .service import Service, Stored
-from .store import FOLLOWER, Damaged, Store, may_pass
+from .entries import DELETED, Entry, Invalid, ListUpdate, Record
+from .follow import Address, UpstreamWatch
+from .service import Service, StoredService
+from .store import FOLLOWER, Store, StoreError, is_transient
 
 log = logs.get(__name__)
 
-SAVE_EVERY = 1.0  # seconds between two writings of an agent's file
+SAVE_INTERVAL = 1.0  # seconds between two writings of an agent's file
 
 
-class Follower(Stored):
+class Follower(StoredService):
     """Holds in its own store what another service tells."""
 
     role = FOLLOWER
 
     def __init__(self, store: Store, connections: int, services: list[Address], demote: bool = False) -> None:
         super().__init__(store, connections)
-        self.follow = Follow(services, self.ledger, self.took)
+        self.upstream = UpstreamWatch(services, self.ledger, self.apply_update)
         self.demote = demote
 
-    async def begin(self) -> None:
+    async def on_start(self) -> None:
         """What it held at its end is told until somebody knows better."""
         role = self.store.load(self.ledger)
         if role != FOLLOWER and not self.demote:
-            raise Damaged(f"{self.store.path} is a primary's: leave --follow out, or add --demote")
+            raise StoreError(f"{self.store.path} is a primary's: leave --follow out, or add --demote")
         if role != FOLLOWER and self.ledger.seq:
-            await self.commit(*self.place(), [], {}, self.ledger.kept, FOLLOWER)
+            await self.commit(*self.position(), [], {}, self.ledger.max_changes, FOLLOWER)
         if self.ledger.seq:
-            self.follow.held_since(self.store.path)
-        self.start(self.follow.run())
+            self.upstream.restore_age(self.store.path)
+        self.spawn(self.upstream.run())
 
-    async def took(self, news: News) -> None:
+    async def apply_update(self, update: ListUpdate) -> None:
         """News that is newer: to disk, then to readers."""
-        index, place = self.ledger.seq, (news.life, news.seq)
-        steps = self.ledger.steps(news)
-        if news.seq <= index:  # another life, and its clock was behind
-            records = [Record(entry, news.seq, 0) for entry in news.entries]
+        index, position = self.ledger.seq, (update.life, update.seq)
+        changes = self.ledger.as_changes(update)
+        if update.seq <= index:  # another life, and its clock was behind
+            records = [Record(entry, update.seq, 0) for entry in update.entries]
             held = {record.entry.host: record for record in records}
-            await self.store_news(*place, [(news.seq, ())], held, anew=True)
-            self.ledger.reset(news.life, news.seq, records)
+            await self._store_update(*position, [(update.seq, ())], held, replace_all=True)
+            self.ledger.reset(update.life, update.seq, records)
         else:
-            changed = changes(steps, news.seq)
-            await self.store_news(*place, [(news.seq, steps)], changed)
-            self.ledger.life = news.life
-            self.ledger.apply(news.seq, steps, changed)
-        self.reading.wake(index)
+            changed = changed_records(changes, update.seq)
+            await self._store_update(*position, [(update.seq, changes)], changed)
+            self.ledger.life = update.life
+            self.ledger.apply(update.seq, changes, changed)
+        self.watch_endpoint.notify(index)
 
-    async def store_news(
+    async def _store_update(
         self,
         life: int,
         seq: int,
-        steps: list[tuple[int, tuple[Entry, ...]]],
+        changes: list[tuple[int, tuple[Entry, ...]]],
         records: dict[str, Record | None],
-        anew: bool = False,
+        replace_all: bool = False,
     ) -> None:
         """What can't be stored is not told: the same news is asked for again, later."""
         try:
-            await self.commit(life, seq, steps, records, self.ledger.kept, FOLLOWER, anew)
-            self.full = False
-        except sqlite3.Error as wrong:
-            if not may_pass(wrong):
+            await self.commit(life, seq, changes, records, self.ledger.max_changes, FOLLOWER, replace_all)
+            self.write_failed = False
+        except sqlite3.Error as error:
+            if not is_transient(error):
                 raise
-            self.full = True
-            raise Invalid(f"its news could not be stored: {wrong}") from None
+            self.write_failed = True
+            raise Invalid(f"its news could not be stored: {error}") from None
 
 
-def changes(entries: tuple[Entry, ...], seq: int) -> dict[str, Record | None]:
+def changed_records(entries: tuple[Entry, ...], seq: int) -> dict[str, Record | None]:
     """What the hosts named are after these entries, as far as a reader is told it."""
     return {e.host: None if e.health == DELETED else Record(e, seq, 0) for e in entries}
 
@@ -86,57 +86,57 @@
 
     role = "agent"
 
-    def __init__(self, connections: int, services: list[Address], kept: Path | None) -> None:
+    def __init__(self, connections: int, services: list[Address], list_file: Path | None) -> None:
         super().__init__(connections)
-        self.follow = Follow(services, self.ledger, self.took)
-        self.kept = kept
-        self.to_save = asyncio.Event()
+        self.upstream = UpstreamWatch(services, self.ledger, self.apply_update)
+        self.list_file = list_file
+        self.save_requested = asyncio.Event()
         self.disk = ThreadPoolExecutor(1)
 
-    async def begin(self) -> None:
+    async def on_start(self) -> None:
         """The last list, where one is kept and whole."""
-        if self.kept:
+        if self.list_file:
             try:
-                keep.load(self.kept, self.ledger)
-                self.follow.held_since(self.kept)
+                keep.load(self.list_file, self.ledger)
+                self.upstream.restore_age(self.list_file)
             except FileNotFoundError:
-                log.info("kept_list_missing", file=self.kept)
-            except (OSError, ValueError) as wrong:
-                log.warning("kept_list_unusable", file=self.kept, error=wrong)
-            self.start(self._save())
-        self.start(self.follow.run())
+                log.info("kept_list_missing", file=self.list_file)
+            except (OSError, ValueError) as error:
+                log.warning("kept_list_unusable", file=self.list_file, error=error)
+            self.spawn(self._save_loop())
+        self.spawn(self.upstream.run())
 
-    async def took(self, news: News) -> None:
+    async def apply_update(self, update: ListUpdate) -> None:
         """News that is newer."""
         index = self.ledger.seq
-        steps = self.ledger.steps(news)
-        if news.seq <= index:
-            records = [Record(entry, news.seq, 0) for entry in news.entries]
-            self.ledger.reset(news.life, news.seq, records)
+        changes = self.ledger.as_changes(update)
+        if update.seq <= index:
+            records = [Record(entry, update.seq, 0) for entry in update.entries]
+            self.ledger.reset(update.life, update.seq, records)
         else:
-            self.ledger.life = news.life
-            self.ledger.apply(news.seq, steps, changes(steps, news.seq))
-        self.reading.wake(index)
-        self.to_save.set()
+            self.ledger.life = update.life
+            self.ledger.apply(update.seq, changes, changed_records(changes, update.seq))
+        self.watch_endpoint.notify(index)
+        self.save_requested.set()
 
-    def _write(self, life: int, body: bytes) -> None:
+    def _save_now(self, life: int, body: bytes) -> None:
         try:
-            keep.save(self.kept, life, body)
-        except OSError as wrong:
+            keep.save(self.list_file, life, body)
+        except OSError as error:
             self.counts["not_kept"] += 1
-            log.warning("kept_list_not_written", file=self.kept, error=wrong)
+            log.warning("kept_list_not_written", file=self.list_file, error=error)
 
-    async def _save(self) -> None:
+    async def _save_loop(self) -> None:
         while True:
-            await self.to_save.wait()
-            self.to_save.clear()
+            await self.save_requested.wait()
+            self.save_requested.clear()
             await asyncio.get_running_loop().run_in_executor(
-                self.disk, self._write, self.ledger.life, self.ledger.body(None)
+                self.disk, self._save_now, self.ledger.life, self.ledger.body(None)
             )
-            await asyncio.sleep(SAVE_EVERY)
+            await asyncio.sleep(SAVE_INTERVAL)
 
-    async def ended(self) -> None:
+    async def on_stop(self) -> None:
         """The last list is kept."""
-        if self.kept and self.to_save.is_set():
-            self._write(self.ledger.life, self.ledger.body(None))
+        if self.list_file and self.save_requested.is_set():
+            self._save_now(self.ledger.life, self.ledger.body(None))
         self.disk.shutdown()
--- a/registry/entries.py
+++ b/registry/entries.py
@@ -15,11 +15,11 @@
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 STATES = (SERVING, DRAINING, DELETED)
-NUMBER_MOST = 2**53 - 1  # the largest that every JSON reader keeps exact
+MAX_INTEGER = 2**53 - 1  # the largest that every JSON reader keeps exact
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
-BLOCK_MOST = 2**31 - 1
-SHARE_MOST = 1_000.0
-LEASE_LEAST, LEASE_MOST = 1_000, 86_400_000  # milliseconds
+MAX_BLOCK = 2**31 - 1
+MAX_SHARE = 1_000.0
+MIN_LEASE_MS, MAX_LEASE_MS = 1_000, 86_400_000  # milliseconds
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
     born_ms: int
 
     @cached_property
-    def text(self) -> str:
+    def json_text(self) -> str:
         """It as JSON, made once: whole lists and changes are put together from these."""
         return json.dumps(
             {
@@ -52,7 +52,7 @@
             separators=(",", ":"),
         )
 
-    def now(self, health: str) -> Entry:
+    def with_health(self, health: str) -> Entry:
         """The same host in another state."""
         return replace(self, health=health)
 
@@ -63,11 +63,11 @@
 
     entry: Entry
     version: int  # the seq of the word that holds: the next writer names it
-    lease: int  # milliseconds
+    lease_ms: int  # milliseconds
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """What one answer to a watch tells."""
 
     life: int
@@ -76,21 +76,21 @@
     entries: tuple[Entry, ...]
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
         raise Invalid("a field is named twice")
     return found
 
 
-def _no_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise Invalid(f"{name} is no number")
 
 
 def parse_json(body: bytes) -> dict[str, Any]:
     """A body as an object; raises Invalid."""
     try:
-        raw = json.loads(body, object_pairs_hook=_once, parse_constant=_no_constant)
+        raw = json.loads(body, object_pairs_hook=_unique_fields, parse_constant=_reject_constant)
     except Invalid:
         raise
     except (ValueError, RecursionError):
@@ -100,7 +100,7 @@
     return raw
 
 
-def fields(raw: dict[str, Any], needed: Iterable[str], may: Iterable[str] = ()) -> None:
+def check_fields(raw: dict[str, Any], needed: Iterable[str], may: Iterable[str] = ()) -> None:
     """All that is needed is there, and nothing that is unknown."""
     needed = set(needed)
     if missing := needed - raw.keys():
@@ -109,28 +109,28 @@
         raise Invalid(f"unknown: {', '.join(sorted(repr(name[:32]) for name in unknown))[:160]}")
 
 
-def whole_number(raw: Any, name: str, least: int = 0, most: int = NUMBER_MOST) -> int:
+def parse_integer(raw: Any, name: str, least: int = 0, most: int = MAX_INTEGER) -> int:
     """A JSON number without a fraction, in its bounds."""
     if type(raw) is not int or not least <= raw <= most:
         raise Invalid(f"{name} must be a whole number from {least} to {most}")
     return raw
 
 
-def digits(raw: str, name: str, most: int = NUMBER_MOST) -> int:
+def parse_digits(raw: str, name: str, most: int = MAX_INTEGER) -> int:
     """A number as it stands in a query."""
     if not re.fullmatch(r"[0-9]{1,16}", raw, re.ASCII):
         raise Invalid(f"{name} must be a whole number from 0 to {most}")
-    return whole_number(int(raw), name, most=most)
+    return parse_integer(int(raw), name, most=most)
 
 
-def name(raw: Any, what: str) -> str:
+def parse_name(raw: Any, what: str) -> str:
     """An id, or the name of a site or class."""
     if not isinstance(raw, str) or not NAME.fullmatch(raw):
         raise Invalid(f"{what} must be 1 to 64 letters, digits, '.', '_' or '-', a letter or digit first")
     return raw
 
 
-def address(raw: Any, what: str = "dial") -> tuple[str, int]:
+def parse_address(raw: Any, what: str = "dial") -> tuple[str, int]:
     """``A.B.C.D:PORT`` as a pair: there are no names to look up, and no other form than this one."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     try:
@@ -142,17 +142,17 @@
     return host, int(port)
 
 
-def health(raw: Any, states: tuple[str, ...] = STATES) -> str:
+def parse_health(raw: Any, states: tuple[str, ...] = STATES) -> str:
     """A state by its name."""
     if raw not in states:
         raise Invalid(f"health must be one of {', '.join(states)}")
     return raw
 
 
-def share(raw: Any) -> float:
+def parse_share(raw: Any) -> float:
     """How large a host is against the others."""
-    if type(raw) not in (int, float) or not 0 < raw <= SHARE_MOST or not math.isfinite(raw):
-        raise Invalid(f"share must be a number above 0, {SHARE_MOST:g} at most")
+    if type(raw) not in (int, float) or not 0 < raw <= MAX_SHARE or not math.isfinite(raw):
+        raise Invalid(f"share must be a number above 0, {MAX_SHARE:g} at most")
     return float(raw)
 
 
@@ -160,28 +160,28 @@
     """A host as a list names it; raises Invalid."""
     if not isinstance(raw, dict):
         raise Invalid("a host is no JSON object")
-    fields(raw, ("host", "dial", "site", "class", "block", "health", "share", "born_ms"))
-    address(raw["dial"])
+    check_fields(raw, ("host", "dial", "site", "class", "block", "health", "share", "born_ms"))
+    parse_address(raw["dial"])
     return Entry(
-        name(raw["host"], "host"),
+        parse_name(raw["host"], "host"),
         raw["dial"],
-        name(raw["site"], "site"),
-        name(raw["class"], "class"),
-        whole_number(raw["block"], "block", most=BLOCK_MOST),
-        health(raw["health"], states),
-        share(raw["share"]),
-        whole_number(raw["born_ms"], "born_ms"),
+        parse_name(raw["site"], "site"),
+        parse_name(raw["class"], "class"),
+        parse_integer(raw["block"], "block", most=MAX_BLOCK),
+        parse_health(raw["health"], states),
+        parse_share(raw["share"]),
+        parse_integer(raw["born_ms"], "born_ms"),
     )
 
 
-def parse_news(body: bytes, life: int) -> News:
+def parse_update(body: bytes, life: int) -> ListUpdate:
     """An answer of a service as news; one odd host makes all of it odd, for changes build on each other."""
     raw = parse_json(body)
-    fields(raw, ("seq", "whole", "hosts"))
+    check_fields(raw, ("seq", "whole", "hosts"))
     if type(raw["whole"]) is not bool or not isinstance(raw["hosts"], list):
         raise Invalid("whole or hosts make no sense")
     states = (SERVING, DRAINING) if raw["whole"] else STATES
     entries = tuple(parse_entry(line, states) for line in raw["hosts"])
     if raw["whole"] and len({entry.host for entry in entries}) != len(entries):
         raise Invalid("a whole list names a host twice")
-    return News(life, whole_number(raw["seq"], "seq"), raw["whole"], entries)
+    return ListUpdate(life, parse_integer(raw["seq"], "seq"), raw["whole"], entries)
--- a/registry/follow.py
+++ b/registry/follow.py
@@ -14,40 +14,42 @@
 
 from ops import logs
 
-from .entries import Invalid, News, digits, parse_news
+from .entries import Invalid, ListUpdate, parse_digits, parse_update
 from .ledger import Ledger
 
 log = logs.get(__name__)
 
-PATH = "/registry/instances"
-LIFE = "Registry-Life"  # the header that tells the life of a list
-WAIT = 5.0  # seconds that a call may wait for news: until then nothing tells a quiet service from a hung one
-ANSWER_WITHIN = 2.0  # seconds beyond that
-CONNECT_WITHIN = 1.0
-BACK_OFF, BACK_OFF_MOST = 0.1, 5.0  # seconds before the next try, doubled with each failure
-BODY_MOST = 16 * 1024 * 1024
+INSTANCES_TARGET = "/registry/instances"
+LIFE_HEADER = "Registry-Life"  # the header that tells the life of a list
+POLL_WAIT = (
+    5.0  # seconds that a call may wait for news: until then nothing tells a quiet service from a hung one
+)
+ANSWER_TIMEOUT = 2.0  # seconds beyond that
+CONNECT_TIMEOUT = 1.0
+MIN_BACKOFF, MAX_BACKOFF = 0.1, 5.0  # seconds before the next try, doubled with each failure
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """One answer of a service."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    again: bool  # the connection may be used once more
+    reusable: bool  # the connection may be used once more
 
 
-class Link:
+class Connection:
     """One connection to a service."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str) -> None:
         self.reader, self.writer, self.host = reader, writer, host
         self.http = h11.Connection(h11.CLIENT)
 
-    async def call(self, target: str) -> Answer:
+    async def call(self, target: str) -> Response:
         """One request and its whole answer."""
         request = h11.Request(method="GET", target=target, headers=[("Host", self.host)])
         self.writer.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
@@ -60,19 +62,19 @@
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > BODY_MOST:
+                if len(body) > MAX_BODY_BYTES:
                     raise Invalid("an answer is too long")
             elif isinstance(event, h11.EndOfMessage):
-                again = self.http.their_state is h11.DONE and self.http.our_state is h11.DONE
-                if again:
+                reusable = self.http.their_state is h11.DONE and self.http.our_state is h11.DONE
+                if reusable:
                     self.http.start_next_cycle()
                 headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
-                return Answer(head.status_code, headers, bytes(body), again)
+                return Response(head.status_code, headers, bytes(body), reusable)
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionResetError("closed before the answer")
 
 
-class Follow:
+class UpstreamWatch:
     """Keeps a ledger up to date by the word of whichever service answers.
 
     took: is given news that is newer, and returns once the ledger has it.
@@ -82,96 +84,105 @@
         self,
         services: list[Address],
         ledger: Ledger,
-        took: Callable[[News], Awaitable[None]],
-        draw: Callable[[], float] = random.random,
-        wait: float = WAIT,
-        answer_within: float = ANSWER_WITHIN,
+        on_update: Callable[[ListUpdate], Awaitable[None]],
+        random_fraction: Callable[[], float] = random.random,
+        wait: float = POLL_WAIT,
+        answer_timeout: float = ANSWER_TIMEOUT,
     ) -> None:
-        self.services, self.ledger, self.took, self.draw = services, ledger, took, draw
-        self.wait, self.answer_within = wait, answer_within
-        self.at = 0  # the service that is asked
+        self.services, self.ledger, self.on_update, self.random_fraction = (
+            services,
+            ledger,
+            on_update,
+            random_fraction,
+        )
+        self.wait, self.answer_timeout = wait, answer_timeout
+        self.current = 0  # the service that is asked
         self.failures = 0  # without an answer between them
-        self.said: dict[Address, str] = {}  # why each of them was left last
+        self.last_errors: dict[Address, str] = {}  # why each of them was left last
         self.counts: Counter[str] = Counter()
-        self.doubted = False  # what is held does not fit to what a service told: the whole list
-        self.word: float | None = None  # when a service last confirmed what is held, by the loop's clock
-        self.word_age = 0.0  # seconds that its own word was old by then
+        self.needs_full_list = False  # what is held does not fit to what a service told: the whole list
+        self.confirmed_at: float | None = (
+            None  # when a service last confirmed what is held, by the loop's clock
+        )
+        self.confirmed_age = 0.0  # seconds that its own word was old by then
 
     def age(self) -> float | None:
         """Seconds since what is held was known to hold; None before the first word."""
-        if self.word is None:
+        if self.confirmed_at is None:
             return None
-        return asyncio.get_running_loop().time() - self.word + self.word_age
+        return asyncio.get_running_loop().time() - self.confirmed_at + self.confirmed_age
 
-    def held_since(self, file: Path) -> None:
+    def restore_age(self, file: Path) -> None:
         """What is held comes from a file, which was written when it changed last."""
-        self.word = asyncio.get_running_loop().time()
-        self.word_age = max(0.0, time.time() - file.stat().st_mtime)
+        self.confirmed_at = asyncio.get_running_loop().time()
+        self.confirmed_age = max(0.0, time.time() - file.stat().st_mtime)
 
     async def run(self) -> None:
         """Watch until cancelled: a service that fails or knows less is left for the next one."""
         while True:
-            where = self.services[self.at]
+            address = self.services[self.current]
             try:
-                await self._watch(where)
-            except (OSError, TimeoutError, Invalid, h11.ProtocolError) as wrong:
+                await self._watch(address)
+            except (OSError, TimeoutError, Invalid, h11.ProtocolError) as error:
                 self.counts["failures"] += 1
-                why = str(wrong) or type(wrong).__name__
-                if self.said.get(where) != why:  # once, until it answers or fails in another way
-                    log.warning("source_left", address=where, error=why)
-                self.said[where] = why
-            self.at = (self.at + 1) % len(self.services)
-            span = min(BACK_OFF_MOST, BACK_OFF * 2 ** min(self.failures // len(self.services), 16))
+                reason = str(error) or type(error).__name__
+                if self.last_errors.get(address) != reason:  # once, until it answers or fails in another way
+                    log.warning("source_left", address=address, error=reason)
+                self.last_errors[address] = reason
+            self.current = (self.current + 1) % len(self.services)
+            backoff = min(MAX_BACKOFF, MIN_BACKOFF * 2 ** min(self.failures // len(self.services), 16))
             self.failures += 1
-            await asyncio.sleep(span * (1 + self.draw()) / 2)
+            await asyncio.sleep(backoff * (1 + self.random_fraction()) / 2)
 
-    async def _watch(self, where: Address) -> None:
-        async with asyncio.timeout(CONNECT_WITHIN):
-            reader, writer = await asyncio.open_connection(*where)
+    async def _watch(self, address: Address) -> None:
+        async with asyncio.timeout(CONNECT_TIMEOUT):
+            reader, writer = await asyncio.open_connection(*address)
         try:
-            link = Link(reader, writer, f"{where[0]}:{where[1]}")
+            connection = Connection(reader, writer, f"{address[0]}:{address[1]}")
             first = True
             while True:
-                answer = await self._call(link, 0.0 if first else self.wait)
-                if not await self._heard(answer):
+                answer = await self._call(connection, 0.0 if first else self.wait)
+                if not await self._handle_answer(answer):
                     return
                 if first:
-                    log.info("source_followed", address=where, seq=self.ledger.seq)
-                    self.said.pop(where, None)
+                    log.info("source_followed", address=address, seq=self.ledger.seq)
+                    self.last_errors.pop(address, None)
                 first, self.failures = False, 0
-                if not answer.again:
+                if not answer.reusable:
                     return
         finally:
             writer.transport.abort()
 
-    async def _call(self, link: Link, wait: float) -> Answer:
+    async def _call(self, connection: Connection, wait: float) -> Response:
         """The first call does not wait, so that a hung service is noticed before it is relied on."""
-        target = PATH
-        if self.ledger.seq and not self.doubted:
+        target = INSTANCES_TARGET
+        if self.ledger.seq and not self.needs_full_list:
             target += f"?index={self.ledger.seq}&wait={int(wait * 1000)}"
-        async with asyncio.timeout(wait + self.answer_within):
-            return await link.call(target)
+        async with asyncio.timeout(wait + self.answer_timeout):
+            return await connection.call(target)
 
-    async def _heard(self, answer: Answer) -> bool:
+    async def _handle_answer(self, answer: Response) -> bool:
         """Take what an answer tells; False where this service knows less than what is held."""
         if answer.status != 200:
             raise Invalid(f"answered {answer.status}")
-        news = parse_news(answer.body, digits(answer.headers.get(LIFE.lower(), ""), LIFE))
+        update = parse_update(
+            answer.body, parse_digits(answer.headers.get(LIFE_HEADER.lower(), ""), LIFE_HEADER)
+        )
         held = (self.ledger.life, self.ledger.seq)
-        if (news.life, news.seq) < held:
+        if (update.life, update.seq) < held:
             self.counts["older"] += 1
             log.warning(
-                "older_news_passed_by", life=news.life, seq=news.seq, held_life=held[0], held_seq=held[1]
+                "older_news_passed_by", life=update.life, seq=update.seq, held_life=held[0], held_seq=held[1]
             )
             return False
-        if not news.whole and news.seq < self.ledger.seq:  # changes against a list that we don't hold
-            self.doubted = True
+        if not update.whole and update.seq < self.ledger.seq:  # changes against a list that we don't hold
+            self.needs_full_list = True
             raise Invalid("changes that do not fit to the list held")
-        if (news.life, news.seq) > held:
-            await self.took(news)
+        if (update.life, update.seq) > held:
+            await self.on_update(update)
             self.counts["taken"] += 1
-        self.doubted = False
-        self.word = asyncio.get_running_loop().time()
+        self.needs_full_list = False
+        self.confirmed_at = asyncio.get_running_loop().time()
         age = answer.headers.get("age", "0")
-        self.word_age = float(age) if age.isdigit() else 0.0
+        self.confirmed_age = float(age) if age.isdigit() else 0.0
         return True
--- a/registry/keep.py
+++ b/registry/keep.py
@@ -6,9 +6,9 @@
 import os
 from pathlib import Path
 
-from .entries import Invalid, Record, parse_news, whole_number
+from .entries import Invalid, Record, parse_integer, parse_update
 from .ledger import Ledger
-from .store import sync_folder
+from .store import sync_directory
 
 
 def save(path: Path, life: int, body: bytes) -> None:
@@ -20,7 +20,7 @@
         file.flush()
         os.fsync(file.fileno())
     os.replace(new, path)
-    sync_folder(path)
+    sync_directory(path)
 
 
 def load(path: Path, ledger: Ledger) -> None:
@@ -32,5 +32,5 @@
         or hashlib.blake2b(life + b"\n" + body, digest_size=16).hexdigest() != told.decode()
     ):
         raise Invalid("its checksum is wrong")
-    news = parse_news(body, whole_number(int(life), "life"))
+    news = parse_update(body, parse_integer(int(life), "life"))
     ledger.reset(news.life, news.seq, [Record(entry, news.seq, 0) for entry in news.entries])
--- a/registry/leases.py
+++ b/registry/leases.py
@@ -5,65 +5,65 @@
 from collections import deque
 from collections.abc import Callable, Collection
 
-TICK = 0.25  # seconds between two looks
-LATE = 0.75  # of its lease without a word: a host that counts as late once another one's ran out
-SHARE = 0.2  # of all hosts: no more are taken off without a person's word
-WINDOW = 60.0  # seconds over which that share holds
+CHECK_INTERVAL = 0.25  # seconds between two looks
+LATE_FRACTION = 0.75  # of its lease without a word: a host that counts as late once another one's ran out
+DEFAULT_HOLD_SHARE = 0.2  # of all hosts: no more are taken off without a person's word
+HOLD_WINDOW = 60.0  # seconds over which that share holds
 
 
 class Leases:
     """When each host was heard last, on a clock that stands while the service does."""
 
-    def __init__(self, clock: Callable[[], float], share: float = SHARE) -> None:
-        self.clock, self.share = clock, share
-        self.seen = clock()  # the clock at the last look
-        self.time = 0.0  # of this service: seconds in which it ran
-        self.heard: dict[str, tuple[float, float]] = {}  # when last, and the length of the lease
-        self.leaving: set[str] = set()  # being taken off
-        self.taken: deque[float] = deque()  # when hosts were taken off as their leases ran out
+    def __init__(self, clock: Callable[[], float], share: float = DEFAULT_HOLD_SHARE) -> None:
+        self.clock, self.hold_share = clock, share
+        self.last_check = clock()  # the clock at the last look
+        self.running_time = 0.0  # of this service: seconds in which it ran
+        self.renewals: dict[str, tuple[float, float]] = {}  # when last, and the length of the lease
+        self.expiring: set[str] = set()  # being taken off
+        self.removal_times: deque[float] = deque()  # when hosts were taken off as their leases ran out
         self.held: frozenset[str] = frozenset()  # would be taken off, but are too many
 
-    def hear(self, host: str, lease: int) -> None:
+    def renew(self, host: str, lease_ms: int) -> None:
         """A host's word: its lease, in milliseconds, begins anew."""
-        self.heard[host] = (self.time, lease / 1_000)
-        self.leaving.discard(host)
+        self.renewals[host] = (self.running_time, lease_ms / 1_000)
+        self.expiring.discard(host)
 
-    def forget(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """It is off the list."""
-        self.heard.pop(host, None)
-        self.leaving.discard(host)
+        self.renewals.pop(host, None)
+        self.expiring.discard(host)
 
-    def ran_out(self, host: str) -> bool:
+    def is_expired(self, host: str) -> bool:
         """Its lease is over."""
-        since, length = self.heard[host]
-        return self.time - since >= length
+        since, length = self.renewals[host]
+        return self.running_time - since >= length
 
-    def look(self) -> Collection[str]:
+    def collect_expired(self) -> Collection[str]:
         """Every TICK: the hosts to take off now. A look that comes late counts as one in time: for as long as
         the service stood it heard nobody."""
         now = self.clock()
-        self.time += min(max(0.0, now - self.seen), 2 * TICK)
-        self.seen = now
-        while self.taken and self.time - self.taken[0] > WINDOW:
-            self.taken.popleft()
-        stay = {host: told for host, told in self.heard.items() if host not in self.leaving}
-        over = [host for host in stay if self.ran_out(host)]
-        late = sum(self.time - since >= LATE * length for since, length in stay.values())
-        most = max(1, int(self.share * (len(self.heard) + len(self.taken))))
-        if over and late + len(self.taken) > most:
-            self.held = frozenset(over)
+        self.running_time += min(max(0.0, now - self.last_check), 2 * CHECK_INTERVAL)
+        self.last_check = now
+        while self.removal_times and self.running_time - self.removal_times[0] > HOLD_WINDOW:
+            self.removal_times.popleft()
+        active = {host: renewal for host, renewal in self.renewals.items() if host not in self.expiring}
+        expired = [host for host in active if self.is_expired(host)]
+        late = sum(self.running_time - since >= LATE_FRACTION * length for since, length in active.values())
+        max_removals = max(1, int(self.hold_share * (len(self.renewals) + len(self.removal_times))))
+        if expired and late + len(self.removal_times) > max_removals:
+            self.held = frozenset(expired)
             return ()
         if self.held:  # heard again: the others had no better chance, and get theirs
-            for host in over:
-                self.heard[host] = (self.time, self.heard[host][1])
+            for host in expired:
+                self.renewals[host] = (self.running_time, self.renewals[host][1])
             self.held = frozenset()
             return ()
-        self.taken.extend(self.time for _ in over)
-        self.leaving.update(over)
-        return over
+        self.removal_times.extend(self.running_time for _ in expired)
+        self.expiring.update(expired)
+        return expired
 
-    def confirm(self) -> Collection[str]:
+    def confirm_held(self) -> Collection[str]:
         """A person says that the held ones are gone."""
-        gone, self.held = self.held, frozenset()
-        self.leaving |= gone
-        return gone
+        confirmed, self.held = self.held, frozenset()
+        self.expiring |= confirmed
+        return confirmed
--- a/registry/meeting.py
+++ b/registry/meeting.py
@@ -12,22 +12,22 @@
 
 from ops.http import Refused
 
-from .entries import LEASE_LEAST, address, fields, name, whole_number
+from .entries import MIN_LEASE_MS, check_fields, parse_address, parse_integer, parse_name
 
 MAX_ANNOUNCEMENTS = 4_096  # over all clusters: bounds an answer as well, to some 300 KB
-RANK_MOST = 65_535
-LEASE_MOST = 300_000  # milliseconds
+MAX_RANK = 65_535
+MAX_LEASE_MS = 300_000  # milliseconds
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class Announcement:
     """One gateway's word."""
 
     rank: int
     life: int
     dial: str
-    left: float  # when, by the service's monotonic clock
-    until: float
+    announced_at: float  # when, by the service's monotonic clock
+    expires_at: float
 
 
 class Rendezvous:
@@ -36,35 +36,39 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """``clock``: monotonic, seconds."""
         self.clock = clock
-        self.announcements: dict[tuple[str, int], Seat] = {}
+        self.announcements: dict[tuple[str, int], Announcement] = {}
 
     def announce(self, cluster: str, raw: dict[str, Any]) -> dict[str, Any]:
         """A gateway leaves its address; the others' of its cluster, the last ones first. Raises Invalid, or
         Refused where another process of a greater life holds the rank, or the table is full."""
-        name(cluster, "cluster")
-        fields(raw, ("rank", "life", "dial", "lease_ms"))
-        address(raw["dial"])
-        rank = whole_number(raw["rank"], "rank", most=RANK_MOST)
-        life = whole_number(raw["life"], "life", 1)
-        lease = whole_number(raw["lease_ms"], "lease_ms", LEASE_LEAST, LEASE_MOST)
+        parse_name(cluster, "cluster")
+        check_fields(raw, ("rank", "life", "dial", "lease_ms"))
+        parse_address(raw["dial"])
+        rank = parse_integer(raw["rank"], "rank", most=MAX_RANK)
+        life = parse_integer(raw["life"], "life", 1)
+        lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_LEASE_MS)
         now, at = self.clock(), (cluster, rank)
-        held = self.announcements.get(at)
-        is_elder = held is not None and held.until > now and held.life > life
-        if not is_elder:
-            if held is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
+        current = self.announcements.get(at)
+        is_predecessor = current is not None and current.expires_at > now and current.life > life
+        if not is_predecessor:
+            if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 self._forget(now)
-            if held is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
+            if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 raise Refused(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
-            self.announcements[at] = Seat(rank, life, raw["dial"], now, now + lease / 1_000)
+            self.announcements[at] = Announcement(rank, life, raw["dial"], now, now + lease_ms / 1_000)
         # The elder of two processes of a rank is told of the newer one, by its own rank, and yields.
         others = [
-            seat
-            for (of, other), seat in self.announcements.items()
-            if of == cluster and seat.until > now and (other != rank or is_elder)
+            announcement
+            for (of, other), announcement in self.announcements.items()
+            if of == cluster and announcement.expires_at > now and (other != rank or is_predecessor)
         ]
-        told = sorted(others, key=lambda seat: (seat.rank == rank, seat.left), reverse=True)
-        return {"gateways": [{"rank": s.rank, "life": s.life, "dial": s.dial} for s in told]}
+        ordered = sorted(
+            others,
+            key=lambda announcement: (announcement.rank == rank, announcement.announced_at),
+            reverse=True,
+        )
+        return {"gateways": [{"rank": s.rank, "life": s.life, "dial": s.dial} for s in ordered]}
 
     def _forget(self, now: float) -> None:
-        for at in [at for at, seat in self.announcements.items() if seat.until <= now]:
+        for at in [at for at, announcement in self.announcements.items() if announcement.expires_at <= now]:
             del self.announcements[at]
--- a/registry/metrics.py
+++ b/registry/metrics.py
@@ -17,7 +17,7 @@
     def figures(self) -> dict[str, Any]:
         """What ``GET /figures`` tells."""
 
-    def trouble(self) -> str | None:
+    def health_problem(self) -> str | None:
         """Why ``GET /health`` says no; None: it says yes."""
 
 
@@ -38,7 +38,9 @@
 def families(service: Service) -> Iterable[Metric]:
     """What ``GET /figures`` tells, as metrics."""
     figures = service.figures()
-    yield gauge("birchdrum_registry_healthy", "1 where GET /health says yes", service.trouble() is None)
+    yield gauge(
+        "birchdrum_registry_healthy", "1 where GET /health says yes", service.health_problem() is None
+    )
     for name, text in GAUGES.items():
         yield gauge(f"birchdrum_registry_{name}", text, figures.get(name, 0))
     age = figures["age_s"]
--- a/registry/store.py
+++ b/registry/store.py
@@ -10,25 +10,25 @@
 from pathlib import Path
 from typing import Any
 
-from .entries import Entry, Invalid, Record, fields, parse_entry, parse_json, whole_number
+from .entries import Entry, Invalid, Record, check_fields, parse_entry, parse_integer, parse_json
 from .ledger import Ledger
 
 FORMAT = 1
 PRIMARY, FOLLOWER = "primary", "follower"
-TABLES = """
+SCHEMA = """
 CREATE TABLE about (key TEXT PRIMARY KEY, value TEXT NOT NULL, sum TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE hosts (key TEXT PRIMARY KEY, value TEXT NOT NULL, sum TEXT NOT NULL) WITHOUT ROWID;
 CREATE TABLE log (key INTEGER PRIMARY KEY, value TEXT NOT NULL, sum TEXT NOT NULL);
 """
 
 
-class Damaged(Exception):
+class StoreError(Exception):
     """The store can't be used; the text says why and what to do, in one line."""
 
 
-def may_pass(wrong: sqlite3.Error) -> bool:
+def is_transient(error: sqlite3.Error) -> bool:
     """Whether the store is as it was and a later write may succeed; else what is on disk is in doubt."""
-    return getattr(wrong, "sqlite_errorcode", None) in (sqlite3.SQLITE_FULL, sqlite3.SQLITE_BUSY)
+    return getattr(error, "sqlite_errorcode", None) in (sqlite3.SQLITE_FULL, sqlite3.SQLITE_BUSY)
 
 
 def checksum(key: Any, value: str) -> str:
@@ -36,7 +36,7 @@
     return hashlib.blake2b(f"{key}\n{value}".encode(), digest_size=8).hexdigest()
 
 
-def sync_folder(path: Path) -> None:
+def sync_directory(path: Path) -> None:
     """A new name in a folder is on disk once the folder is."""
     folder = os.open(path.parent, os.O_RDONLY)
     try:
@@ -55,7 +55,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise Damaged(f"{path} is in use by another process: end that one first") from None
+            raise StoreError(f"{path} is in use by another process: end that one first") from None
         self.db: sqlite3.Connection | None = None
 
     def _connect(self, path: Path) -> sqlite3.Connection:
@@ -67,30 +67,30 @@
     def create(self, role: str, life: int) -> None:
         """A new store, whole under its name or not there at all."""
         if self.path.exists():
-            raise Damaged(f"{self.path} is there already: start without --new, or move it away")
+            raise StoreError(f"{self.path} is there already: start without --new, or move it away")
         new = Path(f"{self.path}.new")
         for old in (new, Path(f"{new}-journal"), Path(f"{self.path}-journal")):
             old.unlink(missing_ok=True)  # what a start that was cut short left, or belongs to a lost store
         db = self._connect(new)
-        db.executescript(TABLES)
+        db.executescript(SCHEMA)
         about = {"format": FORMAT, "role": role, "life": life, "seq": 0}
         rows = [(key, str(value), checksum(key, str(value))) for key, value in about.items()]
         db.executemany("INSERT INTO about VALUES (?, ?, ?)", rows)
         db.close()
         os.rename(new, self.path)
-        sync_folder(self.path)
+        sync_directory(self.path)
 
     def load(self, ledger: Ledger) -> str:
         """Verify the store and read all of it; the role that it was kept in. Raises Damaged."""
         if not self.path.exists():
-            raise Damaged(
+            raise StoreError(
                 f"{self.path} does not exist: restore it from a backup, or start with --new for an empty list"
             )
         try:
             return self._load(ledger)
-        except (sqlite3.Error, Invalid, KeyError, ValueError, TypeError) as wrong:
-            raise Damaged(
-                f"{self.path} is damaged ({wrong}): keep it aside and restore a backup, promote a follower, "
+        except (sqlite3.Error, Invalid, KeyError, ValueError, TypeError) as error:
+            raise StoreError(
+                f"{self.path} is damaged ({error}): keep it aside and restore a backup, promote a follower, "
                 "or start with --new for an empty list"
             ) from None
 
@@ -105,44 +105,44 @@
             raise Invalid(f"format {about['format']} is not known here")
         life, seq = int(about["life"]), int(about["seq"])
         records = [self._record(host, value) for host, value in self._rows("hosts")]
-        log = [(key, self._told(value)) for key, value in self._rows("log")]
+        log = [(key, self._parse_changes(value)) for key, value in self._rows("log")]
         if (log[-1][0] if log else 0) != seq or any(record.version > seq for record in records):
             raise Invalid("its numbers do not fit together")
         ledger.load(life, records, log)
         return about["role"]
 
     def _rows(self, table: str) -> Iterable[tuple[Any, str]]:
-        for key, value, told in self.db.execute(f"SELECT key, value, sum FROM {table} ORDER BY key"):
-            if told != checksum(key, value):
+        for key, value, stored_sum in self.db.execute(f"SELECT key, value, sum FROM {table} ORDER BY key"):
+            if stored_sum != checksum(key, value):
                 raise Invalid(f"a row of {table} was altered")
             yield key, value
 
     @staticmethod
     def _record(host: str, value: str) -> Record:
         raw = parse_json(value.encode())
-        fields(raw, ("entry", "version", "lease"))
+        check_fields(raw, ("entry", "version", "lease"))
         record = Record(
             parse_entry(raw["entry"]),
-            whole_number(raw["version"], "version"),
-            whole_number(raw["lease"], "lease"),
+            parse_integer(raw["version"], "version"),
+            parse_integer(raw["lease"], "lease"),
         )
         if record.entry.host != host:
             raise Invalid("a host is under another one's name")
         return record
 
     @staticmethod
-    def _told(value: str) -> tuple[Entry, ...]:
+    def _parse_changes(value: str) -> tuple[Entry, ...]:
         return tuple(parse_entry(raw) for raw in parse_json(value.encode())["told"])
 
     def write(
         self,
         life: int,
         seq: int,
-        steps: Iterable[tuple[int, tuple[Entry, ...]]],
+        changes: Iterable[tuple[int, tuple[Entry, ...]]],
         records: dict[str, Record | None],
         kept: int,
         role: str | None = None,
-        anew: bool = False,
+        replace_all: bool = False,
     ) -> None:
         """One transaction, on disk once this returns; sqlite3.Error: nothing of it counts.
 
@@ -151,19 +151,20 @@
         db = self.db
         db.execute("BEGIN IMMEDIATE")
         try:
-            if anew:
+            if replace_all:
                 db.execute("DELETE FROM hosts")
                 db.execute("DELETE FROM log")
             for host, record in records.items():
                 if record is None:
                     db.execute("DELETE FROM hosts WHERE key = ?", (host,))
                 else:
-                    told = (
-                        f'{{"entry":{record.entry.text},"version":{record.version},"lease":{record.lease}}}'
+                    value = (
+                        f'{{"entry":{record.entry.json_text},'
+                        f'"version":{record.version},"lease":{record.lease_ms}}}'
                     )
-                    self._put("hosts", host, told)
-            for number, entries in steps:
-                self._put("log", number, f'{{"told":[{",".join(entry.text for entry in entries)}]}}')
+                    self._put("hosts", host, value)
+            for number, entries in changes:
+                self._put("log", number, f'{{"told":[{",".join(entry.json_text for entry in entries)}]}}')
             last = db.execute("SELECT key FROM log ORDER BY key DESC LIMIT 1 OFFSET ?", (kept,)).fetchone()
             if last:
                 db.execute("DELETE FROM log WHERE key <= ?", last)
@@ -191,17 +192,17 @@
 def backup(path: Path, to: Path) -> None:
     """A copy of a store that may be in use, whole under its name or not there at all; it is verified."""
     if not path.exists():
-        raise Damaged(f"{path} does not exist")
+        raise StoreError(f"{path} does not exist")
     if to.exists():
-        raise Damaged(f"{to} is there already")
+        raise StoreError(f"{to} is there already")
     new = Path(f"{to}.new")
     new.unlink(missing_ok=True)
     source = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=5.0)
     target = sqlite3.connect(new)
     try:
         source.backup(target)
-    except sqlite3.Error as wrong:
-        raise Damaged(f"{path} can't be copied: {wrong}") from None
+    except sqlite3.Error as error:
+        raise StoreError(f"{path} can't be copied: {error}") from None
     finally:
         source.close()
         target.close()
@@ -212,4 +213,4 @@
         copy.close()
         Path(f"{new}.lock").unlink()
     os.rename(new, to)
-    sync_folder(to)
+    sync_directory(to)
--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -12,7 +12,7 @@
 
 from registry import primary
 from registry.entries import Entry, Record
-from registry.leases import TICK, Leases
+from registry.leases import CHECK_INTERVAL, Leases
 from registry.primary import Primary
 from registry.store import PRIMARY, Store
 
@@ -29,19 +29,19 @@
         self.next = {f"s-{number}": self.now + self.random.uniform(0, 3) for number in range(hosts)}
         self.off: set[str] = set()
         for host in self.next:
-            self.leases.hear(host, LEASE)
+            self.leases.renew(host, LEASE)
 
-    def run(self, seconds: float, silent=(), step=TICK) -> None:
+    def run(self, seconds: float, silent=(), step=CHECK_INTERVAL) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += step
             for host, at in self.next.items():
                 if at <= self.now and host not in silent and host not in self.off:
-                    self.leases.hear(host, LEASE)
+                    self.leases.renew(host, LEASE)
                     self.next[host] = self.now + 3
-            for host in self.leases.look():
+            for host in self.leases.collect_expired():
                 self.off.add(host)
-                self.leases.forget(host)
+                self.leases.remove(host)
 
 
 def test_a_few_silent_hosts_are_taken_off_at_their_time_and_no_others():
@@ -95,7 +95,7 @@
     silent = {f"s-{number}" for number in range(30)}
     clock.run(20, silent)
     assert clock.leases.held == silent and not clock.off
-    assert set(clock.leases.confirm()) == silent
+    assert set(clock.leases.confirm_held()) == silent
     clock.run(1, silent)
     assert not clock.leases.held
 
@@ -121,22 +121,22 @@
     async def run():
         store = Store(tmp_path / "a.db")
         store.create(PRIMARY, 0)
-        node = Primary(store, 8, hold_share=0.2, hosts_most=10, settle=0.0, lease=5_000)
-        await node.begin()
-        node.ledger.apply(node.number(node.ledger.seq), (ENTRY,), {"s-1": Record(ENTRY, 1, 5_000)})
-        node.leases.hear("s-1", 5_000)
+        node = Primary(store, 8, hold_share=0.2, max_hosts=10, settle=0.0, default_lease_ms=5_000)
+        await node.on_start()
+        node.ledger.apply(node.next_seq(node.ledger.seq), (ENTRY,), {"s-1": Record(ENTRY, 1, 5_000)})
+        node.leases.renew("s-1", 5_000)
         before, clock = node.ledger.seq, primary.now_us
         monkeypatch.setattr(primary, "now_us", lambda: clock() + jump)
         monkeypatch.setattr("time.time", lambda: clock() / 1e6 + jump / 1e6)
-        await asyncio.sleep(3 * TICK)
-        assert not node.leases.ran_out("s-1") and node.leases.time < 2
-        after = node.number(node.ledger.seq)
+        await asyncio.sleep(3 * CHECK_INTERVAL)
+        assert not node.leases.is_expired("s-1") and node.leases.running_time < 2
+        after = node.next_seq(node.ledger.seq)
         monkeypatch.undo()
-        assert before < after < node.number(after)
+        assert before < after < node.next_seq(after)
         node.stop.set()
         for task in node.tasks:
             task.cancel()
-        await node.ended()
+        await node.on_stop()
 
     run()
 
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -12,7 +12,7 @@
 
 from registry.entries import Entry, Record
 from registry.ledger import Ledger
-from registry.store import PRIMARY, Damaged, Store
+from registry.store import PRIMARY, Store, StoreError
 
 
 def entry(number: int, health="SERVING") -> Entry:
@@ -147,7 +147,7 @@
     for cut in sorted(cuts):
         path = tmp_path / f"cut{cut}.db"
         path.write_bytes(raw[:cut])
-        with pytest.raises(Damaged, match="is damaged"):
+        with pytest.raises(StoreError, match="is damaged"):
             loaded(path)
 
 
@@ -163,7 +163,7 @@
         path.write_bytes(flipped)
         try:
             ledger = loaded(path)
-        except Damaged:
+        except StoreError:
             refused += 1
         else:  # free space, or a figure of SQLite's own
             assert ledger.records == whole.records and ledger.seq == whole.seq and at not in values
@@ -177,7 +177,7 @@
     raw = bytearray(path.read_bytes())
     raw[39] += 1  # pages that are free, as the file's head tells it
     path.write_bytes(raw)
-    with pytest.raises(Damaged, match="is damaged"):
+    with pytest.raises(StoreError, match="is damaged"):
         loaded(path)
 
 
