--- a/registry/entries.py
+++ b/registry/entries.py
@@ -1,4 +1,4 @@
-"""Hosts as the list names them, and the checks on everything that comes from outside."""
+"""The data model of the host list, and validation of all external input."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 STATES = (SERVING, DRAINING, DELETED)
-MAX_INTEGER = 2**53 - 1  # the largest that every JSON reader keeps exact
+MAX_INTEGER = 2**53 - 1  # the largest integer that every JSON parser represents exactly
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
 MAX_BLOCK = 2**31 - 1
 MAX_SHARE = 1_000.0
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One host, with the fields that the discovery page gives it."""
+    """One host, with the fields that the discovery protocol defines."""
 
     host: str
     dial: str
@@ -37,7 +37,7 @@
 
     @cached_property
     def json_text(self) -> str:
-        """It as JSON, made once: whole lists and changes are put together from these."""
+        """The entry as JSON. Cached, because full lists and change sets are concatenated from it."""
         return json.dumps(
             {
                 "host": self.host,
@@ -53,22 +53,22 @@
         )
 
     def with_health(self, health: str) -> Entry:
-        """The same host in another state."""
+        """Return a copy with another health state."""
         return replace(self, health=health)
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A host on the list, and what its writers are told of it."""
+    """A listed host, with the version and lease that its writers are given."""
 
     entry: Entry
-    version: int  # the seq of the word that holds: the next writer names it
-    lease_ms: int  # milliseconds
+    version: int  # seq of the last change; the next write must name it (compare-and-set)
+    lease_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """What one answer to a watch tells."""
+    """The content of one watch response: the full list, or the changes since an index."""
 
     life: int
     seq: int
@@ -79,29 +79,29 @@
 def _unique_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
-        raise Invalid("a field is named twice")
+        raise Invalid("duplicate field in JSON object")
     return found
 
 
 def _reject_constant(name: str) -> None:
-    raise Invalid(f"{name} is no number")
+    raise Invalid(f"{name} is not a valid JSON number")
 
 
 def parse_json(body: bytes) -> dict[str, Any]:
-    """A body as an object; raises Invalid."""
+    """Parse a request or response body as a JSON object; raises Invalid."""
     try:
         raw = json.loads(body, object_pairs_hook=_unique_fields, parse_constant=_reject_constant)
     except Invalid:
         raise
     except (ValueError, RecursionError):
-        raise Invalid("the body is no JSON") from None
+        raise Invalid("the body is not valid JSON") from None
     if not isinstance(raw, dict):
-        raise Invalid("the body is no JSON object")
+        raise Invalid("the body is not a JSON object")
     return raw
 
 
 def check_fields(raw: dict[str, Any], needed: Iterable[str], may: Iterable[str] = ()) -> None:
-    """All that is needed is there, and nothing that is unknown."""
+    """Raise Invalid if a required field is missing or an unknown field is present."""
     needed = set(needed)
     if missing := needed - raw.keys():
         raise Invalid(f"missing: {', '.join(sorted(missing))}")
@@ -110,28 +110,30 @@
 
 
 def parse_integer(raw: Any, name: str, least: int = 0, most: int = MAX_INTEGER) -> int:
-    """A JSON number without a fraction, in its bounds."""
+    """Validate a JSON integer against its bounds."""
     if type(raw) is not int or not least <= raw <= most:
         raise Invalid(f"{name} must be a whole number from {least} to {most}")
     return raw
 
 
 def parse_digits(raw: str, name: str, most: int = MAX_INTEGER) -> int:
-    """A number as it stands in a query."""
+    """Parse a decimal integer from a query parameter."""
     if not re.fullmatch(r"[0-9]{1,16}", raw, re.ASCII):
         raise Invalid(f"{name} must be a whole number from 0 to {most}")
     return parse_integer(int(raw), name, most=most)
 
 
 def parse_name(raw: Any, what: str) -> str:
-    """An id, or the name of a site or class."""
+    """Validate a host ID, or the name of a site, class or cluster."""
     if not isinstance(raw, str) or not NAME.fullmatch(raw):
-        raise Invalid(f"{what} must be 1 to 64 letters, digits, '.', '_' or '-', a letter or digit first")
+        raise Invalid(
+            f"{what} must be 1 to 64 letters, digits, '.', '_' or '-', starting with a letter or digit"
+        )
     return raw
 
 
 def parse_address(raw: Any, what: str = "dial") -> tuple[str, int]:
-    """``A.B.C.D:PORT`` as a pair: there are no names to look up, and no other form than this one."""
+    """Parse ``A.B.C.D:PORT``. Host names and IPv6 are not supported."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     try:
         ipaddress.IPv4Address(host)
@@ -143,23 +145,23 @@
 
 
 def parse_health(raw: Any, states: tuple[str, ...] = STATES) -> str:
-    """A state by its name."""
+    """Validate the name of a health state."""
     if raw not in states:
         raise Invalid(f"health must be one of {', '.join(states)}")
     return raw
 
 
 def parse_share(raw: Any) -> float:
-    """How large a host is against the others."""
+    """Validate a host's relative capacity."""
     if type(raw) not in (int, float) or not 0 < raw <= MAX_SHARE or not math.isfinite(raw):
-        raise Invalid(f"share must be a number above 0, {MAX_SHARE:g} at most")
+        raise Invalid(f"share must be a number greater than 0 and at most {MAX_SHARE:g}")
     return float(raw)
 
 
 def parse_entry(raw: Any, states: tuple[str, ...] = STATES) -> Entry:
-    """A host as a list names it; raises Invalid."""
+    """Parse a host entry from a list; raises Invalid."""
     if not isinstance(raw, dict):
-        raise Invalid("a host is no JSON object")
+        raise Invalid("host entry is not a JSON object")
     check_fields(raw, ("host", "dial", "site", "class", "block", "health", "share", "born_ms"))
     parse_address(raw["dial"])
     return Entry(
@@ -175,13 +177,13 @@
 
 
 def parse_update(body: bytes, life: int) -> ListUpdate:
-    """An answer of a service as news; one odd host makes all of it odd, for changes build on each other."""
+    """Parse a watch response. One malformed host rejects the whole response, since later changes build on it."""
     raw = parse_json(body)
     check_fields(raw, ("seq", "whole", "hosts"))
     if type(raw["whole"]) is not bool or not isinstance(raw["hosts"], list):
-        raise Invalid("whole or hosts make no sense")
+        raise Invalid("whole must be a boolean and hosts a list")
     states = (SERVING, DRAINING) if raw["whole"] else STATES
     entries = tuple(parse_entry(line, states) for line in raw["hosts"])
     if raw["whole"] and len({entry.host for entry in entries}) != len(entries):
-        raise Invalid("a whole list names a host twice")
+        raise Invalid("full list contains a host twice")
     return ListUpdate(life, parse_integer(raw["seq"], "seq"), raw["whole"], entries)
