--- a/registry/leases.py
+++ b/registry/leases.py
@@ -1,46 +1,53 @@
-"""Leases: by the monotonic clock, only over time in which the service ran, never many at once unseen."""
+"""Host leases, measured on the monotonic clock and only while the service runs.
+
+Expired hosts are removed from the list, unless so many expire at once that a fault of the network or of the
+service is the likelier cause; then all removals are held until the hosts renew or an operator confirms.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Collection
 
-CHECK_INTERVAL = 0.25  # seconds between two looks
-LATE_FRACTION = 0.75  # of its lease without a word: a host that counts as late once another one's ran out
-DEFAULT_HOLD_SHARE = 0.2  # of all hosts: no more are taken off without a person's word
-HOLD_WINDOW = 60.0  # seconds over which that share holds
+CHECK_INTERVAL = 0.25  # seconds between two checks for expired leases
+LATE_FRACTION = 0.75  # of a lease without renewal: such hosts count as late once another lease has expired
+DEFAULT_HOLD_SHARE = 0.2  # of all hosts: the most that are removed without an operator's confirmation
+HOLD_WINDOW = 60.0  # seconds: the removals that count against the share
 
 
 class Leases:
-    """When each host was heard last, on a clock that stands while the service does."""
+    """The last renewal of each host, on a clock that stops while the service is stopped."""
 
     def __init__(self, clock: Callable[[], float], share: float = DEFAULT_HOLD_SHARE) -> None:
         self.clock, self.hold_share = clock, share
-        self.last_check = clock()  # the clock at the last look
-        self.running_time = 0.0  # of this service: seconds in which it ran
-        self.renewals: dict[str, tuple[float, float]] = {}  # when last, and the length of the lease
-        self.expiring: set[str] = set()  # being taken off
-        self.removal_times: deque[float] = deque()  # when hosts were taken off as their leases ran out
-        self.held: frozenset[str] = frozenset()  # would be taken off, but are too many
+        self.last_check = clock()
+        self.running_time = 0.0  # seconds that this service has been running
+        self.renewals: dict[str, tuple[float, float]] = {}  # last renewal in running time, lease in seconds
+        self.expiring: set[str] = set()  # removal is queued
+        self.removal_times: deque[float] = deque()  # when leases expired within HOLD_WINDOW
+        self.held: frozenset[str] = frozenset()  # expired but kept, because too many expired at once
 
     def renew(self, host: str, lease_ms: int) -> None:
-        """A host's word: its lease, in milliseconds, begins anew."""
+        """Start the host's lease anew."""
         self.renewals[host] = (self.running_time, lease_ms / 1_000)
         self.expiring.discard(host)
 
     def remove(self, host: str) -> None:
-        """It is off the list."""
+        """Drop the lease of a host that is no longer listed."""
         self.renewals.pop(host, None)
         self.expiring.discard(host)
 
     def is_expired(self, host: str) -> bool:
-        """Its lease is over."""
+        """Return whether the host's lease has expired."""
         since, length = self.renewals[host]
         return self.running_time - since >= length
 
     def collect_expired(self) -> Collection[str]:
-        """Every TICK: the hosts to take off now. A look that comes late counts as one in time: for as long as
-        the service stood it heard nobody."""
+        """Return the hosts to remove now; called every CHECK_INTERVAL.
+
+        A delayed check advances the clock by two intervals at most: while the service was stopped it could not
+        receive renewals.
+        """
         now = self.clock()
         self.running_time += min(max(0.0, now - self.last_check), 2 * CHECK_INTERVAL)
         self.last_check = now
@@ -53,7 +60,7 @@
         if expired and late + len(self.removal_times) > max_removals:
             self.held = frozenset(expired)
             return ()
-        if self.held:  # heard again: the others had no better chance, and get theirs
+        if self.held:  # renewals work again: hosts that have not renewed yet get a full lease to do so
             for host in expired:
                 self.renewals[host] = (self.running_time, self.renewals[host][1])
             self.held = frozenset()
@@ -63,7 +70,7 @@
         return expired
 
     def confirm_held(self) -> Collection[str]:
-        """A person says that the held ones are gone."""
+        """Release the held hosts for removal, after an operator's confirmation."""
         confirmed, self.held = self.held, frozenset()
         self.expiring |= confirmed
         return confirmed
