--- a/registry/keep.py
+++ b/registry/keep.py
@@ -1,4 +1,4 @@
-"""An agent's last list in a file: a start without any service goes on from there."""
+"""The agent's list file, from which it restarts when no registry service can be reached."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def save(path: Path, life: int, body: bytes) -> None:
-    """The whole list in the place of the one before, or no change at all."""
+    """Replace the file atomically with the full list."""
     head = hashlib.blake2b(b"%d\n%b" % (life, body), digest_size=16).hexdigest()
     new = Path(f"{path}.new")
     with new.open("wb") as file:
@@ -24,13 +24,13 @@
 
 
 def load(path: Path, ledger: Ledger) -> None:
-    """Take a kept list; raises Invalid or OSError, and the ledger stays as it was."""
+    """Load a list file; raises Invalid or OSError and then leaves the ledger unchanged."""
     head, _, body = path.read_bytes().partition(b"\n")
-    told, _, life = head.partition(b" ")
+    expected, _, life = head.partition(b" ")
     if (
         not life.isdigit()
-        or hashlib.blake2b(life + b"\n" + body, digest_size=16).hexdigest() != told.decode()
+        or hashlib.blake2b(life + b"\n" + body, digest_size=16).hexdigest() != expected.decode()
     ):
-        raise Invalid("its checksum is wrong")
-    news = parse_update(body, parse_integer(int(life), "life"))
-    ledger.reset(news.life, news.seq, [Record(entry, news.seq, 0) for entry in news.entries])
+        raise Invalid("checksum mismatch")
+    update = parse_update(body, parse_integer(int(life), "life"))
+    ledger.reset(update.life, update.seq, [Record(entry, update.seq, 0) for entry in update.entries])
--- a/registry/ledger.py
+++ b/registry/ledger.py
@@ -1,4 +1,4 @@
-"""The list in memory: hosts, the changes that are kept, and answers made once for all who wait."""
+"""The host list in memory, with a bounded change log and cached response bodies."""
 
 from __future__ import annotations
 
@@ -8,31 +8,30 @@
 
 from .entries import DELETED, Entry, ListUpdate, Record
 
-MAX_CHANGES = 8_192  # changes: a reader that lags by more gets the whole list
+MAX_CHANGES = 8_192  # changes retained; a reader that lags further behind gets the full list
 
 
 class Ledger:
-    """What has been told, by number. All of it may be told: it is on disk where one is kept.
+    """The current hosts and the recent changes by sequence number.
 
-    ``seq`` 0 means that nothing is known yet; then nothing may be answered.
+    Everything in it may be served: where there is a store, changes are on disk before they get here.
+    ``seq`` 0 means that no list has been loaded yet; readers must not be answered then.
     """
 
     def __init__(self, max_changes: int = MAX_CHANGES) -> None:
         self.max_changes = max_changes
         self.life = self.seq = 0
         self.records: dict[str, Record] = {}
-        self.removed: dict[
-            str, tuple[int, Entry]
-        ] = {}  # hosts taken off in the changes that are kept, and when
-        self.seqs: list[int] = []  # each number that was given out and is kept, and what it told
-        self.changes: list[tuple[Entry, ...]] = []
-        self.bodies_built = 0  # answers that were put together
-        self._body_cache: dict[int | None, bytes] = {}  # by the reader's index, for as long as seq holds
+        self.removed: dict[str, tuple[int, Entry]] = {}  # by a retained change, with its seq
+        self.seqs: list[int] = []  # sequence numbers of the retained changes, ascending
+        self.changes: list[tuple[Entry, ...]] = []  # parallel to seqs
+        self.bodies_built = 0
+        self._body_cache: dict[int | None, bytes] = {}  # by the reader's index; cleared with each change
 
     def load(
         self, life: int, records: Iterable[Record], log: Iterable[tuple[int, tuple[Entry, ...]]]
     ) -> None:
-        """What a store or a file kept."""
+        """Replace the content by what a store or file contains."""
         self.life, self._body_cache = life, {}
         self.records = {record.entry.host: record for record in records}
         log = list(log)
@@ -43,7 +42,7 @@
             self._track_removals(seq, entries)
 
     def reset(self, life: int, seq: int, records: Iterable[Record]) -> None:
-        """Another list than before: nobody's index is known any more."""
+        """Switch to another list without history, so that readers with an old index get the full list."""
         self.load(life, records, [(seq, ())])
 
     def _track_removals(self, seq: int, entries: tuple[Entry, ...]) -> None:
@@ -54,7 +53,7 @@
                 self.removed.pop(entry.host, None)
 
     def apply(self, seq: int, entries: tuple[Entry, ...], records: dict[str, Record | None]) -> None:
-        """One step: what it tells, and the hosts as they are then (None: off the list)."""
+        """Apply one change: the entries to publish, and the resulting records (None: removed)."""
         assert seq > self.seq
         for host, record in records.items():
             if record is None:
@@ -66,29 +65,31 @@
         self.changes.append(entries)
         self._track_removals(seq, entries)
         self._body_cache = {}
-        if len(self.seqs) > 2 * self.max_changes:  # in large steps, so that each costs nothing on average
+        if len(self.seqs) > 2 * self.max_changes:  # trimmed in bulk: amortized O(1) per change
             del self.seqs[: -self.max_changes], self.changes[: -self.max_changes]
             self.removed = {
-                host: changes for host, changes in self.removed.items() if changes[0] >= self.seqs[0]
+                host: removal for host, removal in self.removed.items() if removal[0] >= self.seqs[0]
             }
 
     def update_since(self, index: int | None) -> ListUpdate:
-        """What is newer than this number, which is known; None: the whole list."""
+        """Return the changes after a retained index, or the full list for None."""
         if index is not None:
             later = self.changes[bisect_right(self.seqs, index) :]
             return ListUpdate(
-                self.life, self.seq, False, tuple(entry for changes in later for entry in changes)
+                self.life, self.seq, False, tuple(entry for entries in later for entry in entries)
             )
         return ListUpdate(self.life, self.seq, True, tuple(record.entry for record in self.records.values()))
 
     def has_seq(self, index: int) -> bool:
-        """This number was given out and is kept."""
+        """Return whether this sequence number was assigned and is still retained."""
         at = bisect_left(self.seqs, index)
         return at < len(self.seqs) and self.seqs[at] == index
 
     def body(self, index: int | None) -> bytes:
-        """The answer to a reader that stands at this number, made once for all who do; the whole list where
-        it was never given out or is not kept."""
+        """Return the response body for a reader at this index, built once for all readers at it.
+
+        The full list is returned for an index that was never assigned or is no longer retained.
+        """
         key = index if index is not None and self.has_seq(index) else None
         if key not in self._body_cache:
             self.bodies_built += 1
@@ -99,14 +100,14 @@
         return self._body_cache[key]
 
     def as_changes(self, update: ListUpdate) -> tuple[Entry, ...]:
-        """News as changes against what is held: a whole list leaves out what is as it was."""
+        """Return an update as changes against the current list; a full list is reduced to its differences."""
         if not update.whole:
             return update.entries
         names = {entry.host for entry in update.entries}
         removed = (r.entry.with_health(DELETED) for host, r in self.records.items() if host not in names)
-        held = {record.entry for record in self.records.values()}
-        return (*removed, *(entry for entry in update.entries if entry not in held))
+        current = {record.entry for record in self.records.values()}
+        return (*removed, *(entry for entry in update.entries if entry not in current))
 
     def count_by_health(self) -> Counter[str]:
-        """Hosts by state."""
+        """Count the hosts by health state."""
         return Counter(record.entry.health for record in self.records.values())
