--- a/registry/store.py
+++ b/registry/store.py
@@ -1,4 +1,4 @@
-"""The store: SQLite on disk, verified at the start, one process at a time."""
+"""The on-disk store: SQLite, verified on load, used by one process at a time."""
 
 from __future__ import annotations
 
@@ -23,21 +23,24 @@
 
 
 class StoreError(Exception):
-    """The store can't be used; the text says why and what to do, in one line."""
+    """The store can't be used; the message is one line with the cause and the remedy."""
 
 
 def is_transient(error: sqlite3.Error) -> bool:
-    """Whether the store is as it was and a later write may succeed; else what is on disk is in doubt."""
+    """Return whether a failed write left the store unchanged, so that a later one may succeed.
+
+    After any other error the state on disk is uncertain.
+    """
     return getattr(error, "sqlite_errorcode", None) in (sqlite3.SQLITE_FULL, sqlite3.SQLITE_BUSY)
 
 
 def checksum(key: Any, value: str) -> str:
-    """Tells a row that was altered: SQLite's own check looks at the structure, not into values."""
+    """Return a row's checksum: SQLite's integrity check covers the file's structure, not the stored values."""
     return hashlib.blake2b(f"{key}\n{value}".encode(), digest_size=8).hexdigest()
 
 
 def sync_directory(path: Path) -> None:
-    """A new name in a folder is on disk once the folder is."""
+    """Flush the directory of ``path``: a created or renamed file is durable only after that."""
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -46,7 +49,7 @@
 
 
 class Store:
-    """The list on disk. Its calls block: the service makes them in a thread, one after another."""
+    """The host list on disk. Its methods block; the service calls them from a single worker thread."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -55,7 +58,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise StoreError(f"{path} is in use by another process: end that one first") from None
+            raise StoreError(f"{path} is in use by another process: stop that process first") from None
         self.db: sqlite3.Connection | None = None
 
     def _connect(self, path: Path) -> sqlite3.Connection:
@@ -65,12 +68,12 @@
         return db
 
     def create(self, role: str, life: int) -> None:
-        """A new store, whole under its name or not there at all."""
+        """Create an empty store atomically: it is renamed into place once complete."""
         if self.path.exists():
             raise StoreError(f"{self.path} is there already: start without --new, or move it away")
         new = Path(f"{self.path}.new")
         for old in (new, Path(f"{new}-journal"), Path(f"{self.path}-journal")):
-            old.unlink(missing_ok=True)  # what a start that was cut short left, or belongs to a lost store
+            old.unlink(missing_ok=True)  # left by an interrupted start, or by a store that was lost
         db = self._connect(new)
         db.executescript(SCHEMA)
         about = {"format": FORMAT, "role": role, "life": life, "seq": 0}
@@ -81,7 +84,7 @@
         sync_directory(self.path)
 
     def load(self, ledger: Ledger) -> str:
-        """Verify the store and read all of it; the role that it was kept in. Raises Damaged."""
+        """Verify the store, load it into the ledger and return its role; raises StoreError."""
         if not self.path.exists():
             raise StoreError(
                 f"{self.path} does not exist: restore it from a backup, or start with --new for an empty list"
@@ -100,21 +103,21 @@
             raise Invalid(" ".join(found.split()))
         about = dict(self._rows("about"))
         if about.keys() != {"format", "role", "life", "seq"} or about["role"] not in (PRIMARY, FOLLOWER):
-            raise Invalid("its description makes no sense")
+            raise Invalid("invalid metadata in table about")
         if about["format"] != str(FORMAT):
-            raise Invalid(f"format {about['format']} is not known here")
+            raise Invalid(f"unsupported format {about['format']}")
         life, seq = int(about["life"]), int(about["seq"])
         records = [self._record(host, value) for host, value in self._rows("hosts")]
         log = [(key, self._parse_changes(value)) for key, value in self._rows("log")]
         if (log[-1][0] if log else 0) != seq or any(record.version > seq for record in records):
-            raise Invalid("its numbers do not fit together")
+            raise Invalid("inconsistent sequence numbers")
         ledger.load(life, records, log)
         return about["role"]
 
     def _rows(self, table: str) -> Iterable[tuple[Any, str]]:
         for key, value, stored_sum in self.db.execute(f"SELECT key, value, sum FROM {table} ORDER BY key"):
             if stored_sum != checksum(key, value):
-                raise Invalid(f"a row of {table} was altered")
+                raise Invalid(f"checksum mismatch in a row of table {table}")
             yield key, value
 
     @staticmethod
@@ -127,7 +130,7 @@
             parse_integer(raw["lease"], "lease"),
         )
         if record.entry.host != host:
-            raise Invalid("a host is under another one's name")
+            raise Invalid("a row's key differs from the host stored in it")
         return record
 
     @staticmethod
@@ -144,9 +147,9 @@
         role: str | None = None,
         replace_all: bool = False,
     ) -> None:
-        """One transaction, on disk once this returns; sqlite3.Error: nothing of it counts.
+        """Write one transaction, durable on return; on sqlite3.Error it has been rolled back.
 
-        anew: this is another list, and nothing from before stays.
+        replace_all: delete the previous hosts and changes first, since this is another list.
         """
         db = self.db
         db.execute("BEGIN IMMEDIATE")
@@ -183,14 +186,14 @@
         self.db.execute(f"INSERT OR REPLACE INTO {table} VALUES (?, ?, ?)", row)
 
     def close(self) -> None:
-        """Let another process have it."""
+        """Close the database and release the lock."""
         if self.db:
             self.db.close()
         os.close(self.lock)
 
 
 def backup(path: Path, to: Path) -> None:
-    """A copy of a store that may be in use, whole under its name or not there at all; it is verified."""
+    """Copy a store, which may be in use, verify the copy and rename it into place."""
     if not path.exists():
         raise StoreError(f"{path} does not exist")
     if to.exists():
