--- a/registry/metrics.py
+++ b/registry/metrics.py
@@ -1,4 +1,4 @@
-"""The list service's figures for a monitoring system; imported only with ``--metrics``."""
+"""Prometheus metrics of a registry service; imported only with ``--metrics``."""
 
 from __future__ import annotations
 
@@ -12,53 +12,53 @@
 
 
 class Service(Protocol):
-    """What a page needs of a primary, follower or agent."""
+    """The part of a primary, follower or agent that the metrics are read from."""
 
     def figures(self) -> dict[str, Any]:
-        """What ``GET /figures`` tells."""
+        """The values of ``GET /figures``."""
 
     def health_problem(self) -> str | None:
-        """Why ``GET /health`` says no; None: it says yes."""
+        """Why ``GET /health`` fails, or None if it succeeds."""
 
 
 GAUGES = {
-    "seq": "The list's number",
-    "watches": "Readers that wait for news",
-    "connections": "Connections of readers and writers",
-    "changes_kept": "Changes that can be told one by one",
-    "writes_waiting": "Writes that wait for their transaction",
+    "seq": "Sequence number of the list",
+    "watches": "Watches waiting for a change",
+    "connections": "Open connections of readers and writers",
+    "changes_kept": "Changes retained for incremental updates",
+    "writes_waiting": "Writes queued for a transaction",
 }
 
 
 def page(service: Service) -> Page:
-    """The page of a primary, follower or agent."""
+    """The metrics page of a primary, follower or agent."""
     return Page(lambda: families(service))
 
 
 def families(service: Service) -> Iterable[Metric]:
-    """What ``GET /figures`` tells, as metrics."""
+    """Convert the values of ``GET /figures`` to metrics."""
     figures = service.figures()
-    yield gauge(
-        "birchdrum_registry_healthy", "1 where GET /health says yes", service.health_problem() is None
-    )
+    yield gauge("birchdrum_registry_healthy", "1 if GET /health succeeds", service.health_problem() is None)
     for name, text in GAUGES.items():
         yield gauge(f"birchdrum_registry_{name}", text, figures.get(name, 0))
     age = figures["age_s"]
     yield gauge(
-        "birchdrum_registry_age_seconds", "Age of what is told; NaN before the first word", _number(age)
+        "birchdrum_registry_age_seconds",
+        "Age of the served list; NaN before the first one",
+        _nan_if_none(age),
     )
     leases = figures.get("leases", {})
     yield gauge(
-        "birchdrum_registry_leases_held", "Hosts kept although their leases ran out", leases.get("held", 0)
+        "birchdrum_registry_leases_held", "Hosts kept although their leases expired", leases.get("held", 0)
     )
-    yield counter("birchdrum_registry_bytes_out", "Bytes of answers", figures["bytes_out"])
-    hosts = GaugeMetricFamily("birchdrum_registry_hosts", "Hosts on the list by state", labels=("state",))
+    yield counter("birchdrum_registry_bytes_out", "Bytes sent in responses", figures["bytes_out"])
+    hosts = GaugeMetricFamily("birchdrum_registry_hosts", "Listed hosts by health state", labels=("state",))
     yield labelled(hosts, figures["hosts"].items())
-    calls = CounterMetricFamily("birchdrum_registry_calls", "Calls by how they ended", labels=("end",))
+    calls = CounterMetricFamily("birchdrum_registry_calls", "Requests by outcome", labels=("end",))
     yield labelled(calls, figures["calls"].items())
-    events = CounterMetricFamily("birchdrum_registry_events", "What happened to the list", labels=("event",))
+    events = CounterMetricFamily("birchdrum_registry_events", "Registry events by kind", labels=("event",))
     yield labelled(events, figures["counts"].items())
 
 
-def _number(value: float | None) -> float:
+def _nan_if_none(value: float | None) -> float:
     return float("nan") if value is None else value
