--- a/registry/leases.py
+++ b/registry/leases.py
@@ -45,8 +45,8 @@
     def collect_expired(self) -> Collection[str]:
         """Return the hosts to remove now; called every CHECK_INTERVAL.
 
-        A delayed check advances the clock by two intervals at most: while the service was stopped it could not
-        receive renewals.
+        A delayed check advances the clock by two intervals at most: while the service was stopped it could
+        not receive renewals.
         """
         now = self.clock()
         self.running_time += min(max(0.0, now - self.last_check), 2 * CHECK_INTERVAL)
--- a/registry/store.py
+++ b/registry/store.py
@@ -35,7 +35,7 @@
 
 
 def checksum(key: Any, value: str) -> str:
-    """Return a row's checksum: SQLite's integrity check covers the file's structure, not the stored values."""
+    """Return a row's checksum: SQLite's integrity check covers the file structure, not the values."""
     return hashlib.blake2b(f"{key}\n{value}".encode(), digest_size=8).hexdigest()
 
 
