--- a/registry/entries.py
+++ b/registry/entries.py
@@ -177,7 +177,7 @@
 
 
 def parse_update(body: bytes, life: int) -> ListUpdate:
-    """Parse a watch response; one malformed host rejects all of it, since later changes build on each other."""
+    """Parse a watch response; one malformed host rejects all of it, as changes build on each other."""
     raw = parse_json(body)
     check_fields(raw, ("seq", "whole", "hosts"))
     if type(raw["whole"]) is not bool or not isinstance(raw["hosts"], list):
