--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -1,15 +1,17 @@
-"""When a version of the settings takes effect: after all who might still act by the one before it can't.
+"""Leased agreement on settings versions: a new version takes effect only once no gateway can act by the old.
 
-Knows neither clock nor socket: microseconds of a monotonic clock are handed in. ``orchidlane/agreed.py`` is
-a gateway's side. What a change does to a key has one of three rules:
+The module does no I/O and reads no clock; callers pass microseconds of a monotonic clock.
+``orchidlane/agreed.py`` is the gateway's side. A change has one of three rules:
 
-    together  old and new may hold side by side: in force at once
-    within    they may for a time: in force once all are able; who was not told yet is out of lease by then
-    never     they may not: all first say that they are ready, and from that word on act by neither; in force
-              once each has said so, has left, or must have run out of lease
+    together  old and new values may be in force at the same time: effective immediately
+    within    they may for a bounded time: effective once every holder can apply the new version; a holder
+              that has not been notified by then has an expired lease
+    never     they may not: each holder first reports that it is prepared, and from then on acts by neither;
+              effective once every holder is prepared, has left, or must have an expired lease
 
-A holder counts its lease from its question, with a clock that may be slow by ``DRIFT``; here it counts from
-the answer, longer by as much. So a lease that is over here is over there.
+A holder measures its lease from sending its query, on a clock that may be slow by ``DRIFT``. The source
+measures it from sending the answer and adds the same margin, so a lease that has expired at the source has
+also expired at the holder.
 """
 
 from __future__ import annotations
@@ -19,72 +21,83 @@
 from typing import Any
 
 MS = 1_000  # microseconds
-DRIFT = 0.001
+DRIFT = 0.001  # the greatest relative error of a clock's rate
 LEASE_MS = 3_000
-WAITS = 3  # a question waits a part of the lease for news
+PARKS_PER_LEASE = 3  # a query is parked for at most this fraction of a lease (long poll)
 TOGETHER, WITHIN, NEVER = "together", "within", "never"
 RULES = (TOGETHER, WITHIN, NEVER)
 
 
 class Conflict(Exception):
-    """A word that another one came before; the text says which."""
+    """A proposal conflicts with a pending or earlier version; the message names it."""
 
 
 @dataclass(slots=True)
 class HolderState:
-    """One life of a holder."""
+    """The source's view of one incarnation of a holder."""
 
-    until: int  # it may act until then
-    asked: int = 0  # number of its latest question
-    prepared: int = 0
-    refused: str | None = None
+    lease_until: int
+    last_query: int = 0  # number of its latest query
+    prepared: int = 0  # the pending version that it is prepared for
+    refused: str | None = None  # why it can't apply the pending version
     version: int = 0
-    answered: int = 0  # the question that was answered last
-    told: PersistedState | None = None  # with what
-    waits: int | None = None  # since when a question waits for news
+    last_answered: int = 0  # number of the query that was answered last
+    answered_state: PersistedState | None = None  # the state in that answer
+    parked_since: int | None = None  # when its query was parked (long poll)
 
 
 @dataclass(frozen=True, slots=True)
 class PersistedState:
-    """What has to be on disk before a word is answered; all else is learnt anew."""
+    """State that must be on disk before a query is answered; the rest is relearned from the holders."""
 
     life: int
     version: int
     pending: int = 0
     rule: str = TOGETHER
-    last: int = 0  # the greatest that was ever put, withdrawn ones as well
+    last: int = 0  # the greatest version ever proposed, including withdrawn ones
 
 
 def max_overlap_us(lease_ms: int = LEASE_MS) -> int:
-    """Microseconds that the decisions of two gateways by ``within`` may lie apart at most: the one who was
-    told last before the effect goes on for its lease, counted by the longer clock on both sides."""
+    """Return for how long, in microseconds, two gateways may act by different versions under ``within``.
+
+    The gateway that was answered last before the change took effect goes on for its lease, extended by the
+    drift of both clocks.
+    """
     return int(lease_ms * MS * (1 + DRIFT) ** 2)
 
 
 class Source:
-    """The one who gives out versions."""
+    """The coordinator that assigns versions and grants leases on them."""
 
     def __init__(
         self, now: int, state: PersistedState, lease_ms: int = LEASE_MS, restored: bool = False
     ) -> None:
-        """``kept`` as it was on disk: after a start there may be holders that nothing is known of.
-        ``restored``: from a backup, under a life of its own, so that what they hold may be newer: no lease is
-        given until theirs are over."""
+        """Start from the persisted ``state``.
+
+        Holders with leases from before the start may be unknown, so no pending change takes effect until those
+        leases have expired.
+
+        ``restored``: the state comes from a backup, under a new life. Holders may have newer versions, so no
+        lease is granted until all earlier leases have expired.
+        """
         self.state, self.lease_ms = state, lease_ms
         self.lease_us = int(lease_ms * MS * (1 + DRIFT))
         self.recovery_until = now + self.lease_us
         self.restored = restored
-        self.proposed_at = now  # of the pending change
+        self.proposed_at = now
         self.holders: dict[tuple[str, int], HolderState] = {}
 
     def propose(self, now: int, version: int, rule: str) -> PersistedState:
-        """A new version, with the strictest rule of what it changes; to be kept, then ``carry_on``. Raises
-        Conflict while another is on its way, and for one that is not newer."""
+        """Propose a version under the strictest rule of its changes.
+
+        The caller persists the returned state and then calls ``advance``. Raises Conflict while another
+        version is pending, and for a version that is not newer.
+        """
         if self.state.pending:
-            raise Conflict(f"version {self.state.pending} is on its way: withdraw it, or wait")
+            raise Conflict(f"version {self.state.pending} is still on its way: withdraw it, or wait")
         if version <= max(self.state.version, self.state.last):
             raise Conflict(
-                f"version {max(self.state.version, self.state.last)} was there: give a greater one"
+                f"version {max(self.state.version, self.state.last)} was there already: propose a greater one"
             )
         self.proposed_at = now
         if rule == TOGETHER:
@@ -94,47 +107,54 @@
         return self.state
 
     def withdraw(self) -> PersistedState:
-        """The pending version is not to come; nobody acts by it yet."""
+        """Withdraw the pending version, which no holder acts by yet."""
         self.state = PersistedState(self.state.life, self.state.version, last=self.state.last)
         return self.state
 
-    def handle_query(self, now: int, question: Mapping[str, Any]) -> dict[str, Any] | None:
-        """A holder's question, and its answer. None: it knows all, and is answered by ``news``."""
-        at = question["holder"], question["life"]
-        seat = self.holders.setdefault(at, HolderState(now))
-        if question["asked"] > seat.asked:  # else one that came late
-            seat.asked, seat.version = question["asked"], question["version"]
-            seat.prepared, seat.refused = question["prepared"], question["refused"]
+    def handle_query(self, now: int, query: Mapping[str, Any]) -> dict[str, Any] | None:
+        """Handle a holder's query and return the answer, or None if it is parked until ``due_answers``."""
+        key = query["holder"], query["life"]
+        holder = self.holders.setdefault(key, HolderState(now))
+        if query["asked"] > holder.last_query:  # otherwise a reordered older query
+            holder.last_query, holder.version = query["asked"], query["version"]
+            holder.prepared, holder.refused = query["prepared"], query["refused"]
         self.advance(now)
-        knows_all = question["had"] == seat.answered == question["asked"] - 1 and seat.told == self.state
-        if knows_all and seat.until > now:
-            seat.waits = now
+        is_up_to_date = (
+            query["had"] == holder.last_answered == query["asked"] - 1 and holder.answered_state == self.state
+        )
+        if is_up_to_date and holder.lease_until > now:
+            holder.parked_since = now
             return None
-        return self._answer(now, at, seat, question["asked"])
+        return self._answer(now, key, holder, query["asked"])
 
     def due_answers(self, now: int) -> list[dict[str, Any]]:
-        """Answers that are due: something has changed, or a question has waited long enough."""
+        """Return the answers to parked queries after a change, or once they were parked long enough."""
         self.advance(now)
         return [
-            self._answer(now, at, seat, seat.asked)
-            for at, seat in self.holders.items()
-            if seat.waits is not None
-            and (seat.told != self.state or now - seat.waits >= self.lease_us // WAITS)
+            self._answer(now, key, holder, holder.last_query)
+            for key, holder in self.holders.items()
+            if holder.parked_since is not None
+            and (
+                holder.answered_state != self.state
+                or now - holder.parked_since >= self.lease_us // PARKS_PER_LEASE
+            )
         ]
 
-    def _answer(self, now: int, at: tuple[str, int], seat: HolderState, asked: int) -> dict[str, Any]:
+    def _answer(self, now: int, key: tuple[str, int], holder: HolderState, asked: int) -> dict[str, Any]:
         state, lease_ms = self.state, self.lease_ms
-        # Who is not ready after a whole lease holds the others up no longer: its own runs out.
-        is_late = state.pending and seat.prepared != state.pending and now - self.proposed_at > self.lease_us
-        if is_late or (self.restored and now < self.recovery_until):
+        # A holder that is not prepared after a full lease is not renewed, so it stops blocking the others.
+        is_overdue = (
+            state.pending and holder.prepared != state.pending and now - self.proposed_at > self.lease_us
+        )
+        if is_overdue or (self.restored and now < self.recovery_until):
             lease_ms = 0
         else:
-            seat.until = now + self.lease_us
-        seat.answered, seat.told, seat.waits = asked, state, None
+            holder.lease_until = now + self.lease_us
+        holder.last_answered, holder.answered_state, holder.parked_since = asked, state, None
         return {
             "source": state.life,
-            "holder": at[0],
-            "life": at[1],
+            "holder": key[0],
+            "life": key[1],
             "asked": asked,
             "version": state.version,
             "prepare": state.pending,
@@ -143,13 +163,18 @@
         }
 
     def remove_holder(self, holder: str, life: int) -> None:
-        """It ended in order, and acts no more."""
+        """Remove a holder that has shut down cleanly and no longer acts."""
         self.holders.pop((holder, life), None)
 
     def advance(self, now: int) -> bool:
-        """Whether the pending version takes effect now: to be kept before the next answer."""
+        """Put the pending version into effect if nothing blocks it.
+
+        Returns whether it did; the caller persists the state before the next answer.
+        """
         self.holders = {
-            at: seat for at, seat in self.holders.items() if seat.until > now or at in self._latest()
+            key: holder
+            for key, holder in self.holders.items()
+            if holder.lease_until > now or key in self._latest_lives()
         }
         if not self.state.pending or now < self.recovery_until or self.blocking_holders(now):
             return False
@@ -157,14 +182,14 @@
         return True
 
     def blocking_holders(self, now: int) -> dict[str, str]:
-        """Holders that the pending version waits for, with why."""
+        """Return the holders that block the pending version, each with the reason."""
         return {
-            name: seat.refused or "has not answered yet"
-            for (name, _), seat in self.holders.items()
-            if seat.until > now and seat.prepared != self.state.pending
+            name: holder.refused or "has not answered yet"
+            for (name, _), holder in self.holders.items()
+            if holder.lease_until > now and holder.prepared != self.state.pending
         }
 
-    def _latest(self) -> set[tuple[str, int]]:
+    def _latest_lives(self) -> set[tuple[str, int]]:
         lives: dict[str, int] = {}
         for name, life in self.holders:
             lives[name] = max(life, lives.get(name, 0))
