--- a/registry/meeting.py
+++ b/registry/meeting.py
@@ -1,7 +1,7 @@
-"""Where the gateways of a cluster find each other: each leaves its address for a while and is told others'.
+"""Rendezvous of a cluster's gateways: each announces its address with a lease and receives the others'.
 
-Nothing of it is on disk or replicated: who is forgotten after a start leaves its address again within
-seconds, and gateways that know each other need it no more.
+Announcements are neither persisted nor replicated: after a restart of the service gateways announce again
+within seconds, and gateways that already know each other no longer depend on it.
 """
 
 from __future__ import annotations
@@ -14,33 +14,35 @@
 
 from .entries import MIN_LEASE_MS, check_fields, parse_address, parse_integer, parse_name
 
-MAX_ANNOUNCEMENTS = 4_096  # over all clusters: bounds an answer as well, to some 300 KB
+MAX_ANNOUNCEMENTS = 4_096  # over all clusters; also bounds a response, to about 300 KB
 MAX_RANK = 65_535
 MAX_LEASE_MS = 300_000  # milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """One gateway's word."""
+    """One gateway's announced address."""
 
     rank: int
     life: int
     dial: str
-    announced_at: float  # when, by the service's monotonic clock
+    announced_at: float  # seconds on the service's monotonic clock
     expires_at: float
 
 
 class Rendezvous:
-    """All clusters' gateways, in memory."""
+    """The announced gateways of all clusters, in memory."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """``clock``: monotonic, seconds."""
+        """``clock`` returns monotonic seconds."""
         self.clock = clock
         self.announcements: dict[tuple[str, int], Announcement] = {}
 
     def announce(self, cluster: str, raw: dict[str, Any]) -> dict[str, Any]:
-        """A gateway leaves its address; the others' of its cluster, the last ones first. Raises Invalid, or
-        Refused where another process of a greater life holds the rank, or the table is full."""
+        """Record a gateway's address and return the others of its cluster, the most recent first.
+
+        Raises Invalid for malformed input, and Refused if the table is full.
+        """
         parse_name(cluster, "cluster")
         check_fields(raw, ("rank", "life", "dial", "lease_ms"))
         parse_address(raw["dial"])
@@ -52,15 +54,17 @@
         is_predecessor = current is not None and current.expires_at > now and current.life > life
         if not is_predecessor:
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
-                self._forget(now)
+                self._remove_expired(now)
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 raise Refused(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
             self.announcements[at] = Announcement(rank, life, raw["dial"], now, now + lease_ms / 1_000)
-        # The elder of two processes of a rank is told of the newer one, by its own rank, and yields.
+        # Of two processes with one rank, the predecessor also receives its successor's address, and yields.
         others = [
             announcement
-            for (of, other), announcement in self.announcements.items()
-            if of == cluster and announcement.expires_at > now and (other != rank or is_predecessor)
+            for (of_cluster, other_rank), announcement in self.announcements.items()
+            if of_cluster == cluster
+            and announcement.expires_at > now
+            and (other_rank != rank or is_predecessor)
         ]
         ordered = sorted(
             others,
@@ -69,6 +73,6 @@
         )
         return {"gateways": [{"rank": s.rank, "life": s.life, "dial": s.dial} for s in ordered]}
 
-    def _forget(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for at in [at for at, announcement in self.announcements.items() if announcement.expires_at <= now]:
             del self.announcements[at]
