--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -74,8 +74,8 @@
     ) -> None:
         """Start from the persisted ``state``.
 
-        Holders with leases from before the start may be unknown, so no pending change takes effect until those
-        leases have expired.
+        Holders with leases from before the start may be unknown, so no pending change takes effect until
+        those leases have expired.
 
         ``restored``: the state comes from a backup, under a new life. Holders may have newer versions, so no
         lease is granted until all earlier leases have expired.
