--- a/registry/follow.py
+++ b/registry/follow.py
@@ -1,4 +1,4 @@
-"""A watch on one of several services, for followers and agents."""
+"""Watches one of several registry services, on behalf of followers and agents."""
 
 from __future__ import annotations
 
@@ -20,13 +20,11 @@
 log = logs.get(__name__)
 
 INSTANCES_TARGET = "/registry/instances"
-LIFE_HEADER = "Registry-Life"  # the header that tells the life of a list
-POLL_WAIT = (
-    5.0  # seconds that a call may wait for news: until then nothing tells a quiet service from a hung one
-)
-ANSWER_TIMEOUT = 2.0  # seconds beyond that
+LIFE_HEADER = "Registry-Life"  # the life of the list; a greater one supersedes all sequence numbers
+POLL_WAIT = 5.0  # seconds of a long poll; until it ends, a hung service looks like an idle one
+ANSWER_TIMEOUT = 2.0  # seconds on top of the long poll
 CONNECT_TIMEOUT = 1.0
-MIN_BACKOFF, MAX_BACKOFF = 0.1, 5.0  # seconds before the next try, doubled with each failure
+MIN_BACKOFF, MAX_BACKOFF = 0.1, 5.0  # seconds, doubled each time all services have failed
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 Address = tuple[str, int]
@@ -34,23 +32,23 @@
 
 @dataclass(slots=True)
 class Response:
-    """One answer of a service."""
+    """One HTTP response of a service."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    reusable: bool  # the connection may be used once more
+    reusable: bool  # the connection can be kept alive
 
 
 class Connection:
-    """One connection to a service."""
+    """One HTTP connection to a service."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str) -> None:
         self.reader, self.writer, self.host = reader, writer, host
         self.http = h11.Connection(h11.CLIENT)
 
     async def call(self, target: str) -> Response:
-        """One request and its whole answer."""
+        """Send a GET request and read the complete response."""
         request = h11.Request(method="GET", target=target, headers=[("Host", self.host)])
         self.writer.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
         head, body = None, bytearray()
@@ -63,7 +61,7 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY_BYTES:
-                    raise Invalid("an answer is too long")
+                    raise Invalid("the response body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 reusable = self.http.their_state is h11.DONE and self.http.our_state is h11.DONE
                 if reusable:
@@ -71,13 +69,13 @@
                 headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
                 return Response(head.status_code, headers, bytes(body), reusable)
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed before the answer")
+                raise ConnectionResetError("connection closed before the response was complete")
 
 
 class UpstreamWatch:
-    """Keeps a ledger up to date by the word of whichever service answers.
+    """Keeps a ledger up to date from whichever of the services answers.
 
-    took: is given news that is newer, and returns once the ledger has it.
+    on_update: called with each newer update; returns once the ledger contains it.
     """
 
     def __init__(
@@ -96,29 +94,27 @@
             random_fraction,
         )
         self.wait, self.answer_timeout = wait, answer_timeout
-        self.current = 0  # the service that is asked
-        self.failures = 0  # without an answer between them
-        self.last_errors: dict[Address, str] = {}  # why each of them was left last
+        self.current = 0  # index of the service in use
+        self.failures = 0  # consecutive
+        self.last_errors: dict[Address, str] = {}  # why each service was last abandoned
         self.counts: Counter[str] = Counter()
-        self.needs_full_list = False  # what is held does not fit to what a service told: the whole list
-        self.confirmed_at: float | None = (
-            None  # when a service last confirmed what is held, by the loop's clock
-        )
-        self.confirmed_age = 0.0  # seconds that its own word was old by then
+        self.needs_full_list = False  # the last changes did not apply to the current list
+        self.confirmed_at: float | None = None  # loop time at which a service last confirmed the list
+        self.confirmed_age = 0.0  # seconds: the age that the service itself reported then
 
     def age(self) -> float | None:
-        """Seconds since what is held was known to hold; None before the first word."""
+        """Return the seconds since the list was last confirmed current, or None if it never was."""
         if self.confirmed_at is None:
             return None
         return asyncio.get_running_loop().time() - self.confirmed_at + self.confirmed_age
 
     def restore_age(self, file: Path) -> None:
-        """What is held comes from a file, which was written when it changed last."""
+        """Take the age of a list that was loaded from ``file`` from the time of its last write."""
         self.confirmed_at = asyncio.get_running_loop().time()
         self.confirmed_age = max(0.0, time.time() - file.stat().st_mtime)
 
     async def run(self) -> None:
-        """Watch until cancelled: a service that fails or knows less is left for the next one."""
+        """Watch until cancelled, moving to the next service when one fails or has an older list."""
         while True:
             address = self.services[self.current]
             try:
@@ -126,7 +122,7 @@
             except (OSError, TimeoutError, Invalid, h11.ProtocolError) as error:
                 self.counts["failures"] += 1
                 reason = str(error) or type(error).__name__
-                if self.last_errors.get(address) != reason:  # once, until it answers or fails in another way
+                if self.last_errors.get(address) != reason:  # log each failure once until it changes or ends
                     log.warning("source_left", address=address, error=reason)
                 self.last_errors[address] = reason
             self.current = (self.current + 1) % len(self.services)
@@ -154,7 +150,7 @@
             writer.transport.abort()
 
     async def _call(self, connection: Connection, wait: float) -> Response:
-        """The first call does not wait, so that a hung service is noticed before it is relied on."""
+        """Request an update. The first call of a connection does not wait, to detect a hung service early."""
         target = INSTANCES_TARGET
         if self.ledger.seq and not self.needs_full_list:
             target += f"?index={self.ledger.seq}&wait={int(wait * 1000)}"
@@ -162,23 +158,27 @@
             return await connection.call(target)
 
     async def _handle_answer(self, answer: Response) -> bool:
-        """Take what an answer tells; False where this service knows less than what is held."""
+        """Apply a response. Returns False if this service has an older list than the ledger."""
         if answer.status != 200:
             raise Invalid(f"answered {answer.status}")
         update = parse_update(
             answer.body, parse_digits(answer.headers.get(LIFE_HEADER.lower(), ""), LIFE_HEADER)
         )
-        held = (self.ledger.life, self.ledger.seq)
-        if (update.life, update.seq) < held:
+        current = (self.ledger.life, self.ledger.seq)
+        if (update.life, update.seq) < current:
             self.counts["older"] += 1
             log.warning(
-                "older_news_passed_by", life=update.life, seq=update.seq, held_life=held[0], held_seq=held[1]
+                "older_news_passed_by",
+                life=update.life,
+                seq=update.seq,
+                held_life=current[0],
+                held_seq=current[1],
             )
             return False
-        if not update.whole and update.seq < self.ledger.seq:  # changes against a list that we don't hold
+        if not update.whole and update.seq < self.ledger.seq:  # the changes are based on another list
             self.needs_full_list = True
-            raise Invalid("changes that do not fit to the list held")
-        if (update.life, update.seq) > held:
+            raise Invalid("received changes do not apply to the current list")
+        if (update.life, update.seq) > current:
             await self.on_update(update)
             self.counts["taken"] += 1
         self.needs_full_list = False
