--- a/registry/reading.py
+++ b/registry/reading.py
@@ -1,4 +1,4 @@
-"""The discovery protocol towards readers: the same at a primary, a follower and an agent."""
+"""The discovery protocol for readers, identical at a primary, a follower and an agent."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 
 
 class WatchEndpoint:
-    """Answers readers from a ledger; whoever waits is told of each change at once."""
+    """Answers readers from a ledger and wakes long polls on each change."""
 
     def __init__(
         self, ledger: Ledger, age: Callable[[], float | None], unavailable_reason: Callable[[], str | None]
     ) -> None:
         self.ledger, self.age, self.unavailable_reason = ledger, age, unavailable_reason
-        self.watches: dict[Exchange, asyncio.TimerHandle] = {}  # all of them stand at the ledger's seq
+        self.watches: dict[
+            Exchange, asyncio.TimerHandle
+        ] = {}  # long polls with their timers; all have the ledger's seq as index
 
     def handle(self, exchange: Exchange, request: Request) -> None:
-        """``GET /registry/instances``, with or without ``index`` and ``wait``."""
+        """Handle ``GET /registry/instances`` with the optional parameters ``index`` and ``wait``."""
         request.terms("index", "wait")
         if "index" not in request.query:
             if "wait" in request.query:
@@ -34,8 +36,8 @@
         else:
             index = parse_digits(request.query["index"], "index")
             wait = parse_digits(request.query.get("wait", "0"), "wait", MAX_WAIT_MS)
-        if why := self.unavailable_reason():
-            raise Refused(503, why, {"Retry-After": "1"})
+        if reason := self.unavailable_reason():
+            raise Refused(503, reason, {"Retry-After": "1"})
         if wait and index == self.ledger.seq and not exchange.server.ending and not exchange.ended:
             loop = asyncio.get_running_loop()
             self.watches[exchange] = loop.call_later(wait / 1_000, self._on_wait_expired, exchange)
@@ -50,12 +52,12 @@
         exchange.answer(self.ledger.body(index), headers)
 
     def _on_wait_expired(self, exchange: Exchange) -> None:
-        """The wait is over, without news."""
+        """Answer a long poll whose wait ended without a change."""
         del self.watches[exchange]
         self._answer(exchange, self.ledger.seq)
 
     def notify(self, index: int) -> None:
-        """The ledger went on from this number, at which all who wait stand; at an end it is the same one."""
+        """Answer all long polls, which have this index; on shutdown it is still the ledger's current seq."""
         watches, self.watches = self.watches, {}
         for exchange, timer in watches.items():
             timer.cancel()
