--- a/registry/copies.py
+++ b/registry/copies.py
@@ -1,4 +1,4 @@
-"""Those that copy a list: a follower with a store, and the agent on a gateway's machine."""
+"""Replicas of the list: the follower, which has a store, and the agent on a gateway's machine."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 log = logs.get(__name__)
 
-SAVE_INTERVAL = 1.0  # seconds between two writings of an agent's file
+SAVE_INTERVAL = 1.0  # seconds between two writes of an agent's list file
 
 
 class Follower(StoredService):
-    """Holds in its own store what another service tells."""
+    """Replicates another service's list into its own store."""
 
     role = FOLLOWER
 
@@ -31,7 +31,7 @@
         self.demote = demote
 
     async def on_start(self) -> None:
-        """What it held at its end is told until somebody knows better."""
+        """Load the store and serve its list until an update arrives."""
         role = self.store.load(self.ledger)
         if role != FOLLOWER and not self.demote:
             raise StoreError(f"{self.store.path} is a primary's: leave --follow out, or add --demote")
@@ -42,13 +42,13 @@
         self.spawn(self.upstream.run())
 
     async def apply_update(self, update: ListUpdate) -> None:
-        """News that is newer: to disk, then to readers."""
+        """Store a newer update, then publish it to readers."""
         index, position = self.ledger.seq, (update.life, update.seq)
         changes = self.ledger.as_changes(update)
-        if update.seq <= index:  # another life, and its clock was behind
+        if update.seq <= index:  # a new life, of a primary whose clock was behind
             records = [Record(entry, update.seq, 0) for entry in update.entries]
-            held = {record.entry.host: record for record in records}
-            await self._store_update(*position, [(update.seq, ())], held, replace_all=True)
+            by_host = {record.entry.host: record for record in records}
+            await self._store_update(*position, [(update.seq, ())], by_host, replace_all=True)
             self.ledger.reset(update.life, update.seq, records)
         else:
             changed = changed_records(changes, update.seq)
@@ -65,7 +65,7 @@
         records: dict[str, Record | None],
         replace_all: bool = False,
     ) -> None:
-        """What can't be stored is not told: the same news is asked for again, later."""
+        """Store an update. One that can't be stored is not published and is requested again later."""
         try:
             await self.commit(life, seq, changes, records, self.ledger.max_changes, FOLLOWER, replace_all)
             self.write_failed = False
@@ -73,16 +73,16 @@
             if not is_transient(error):
                 raise
             self.write_failed = True
-            raise Invalid(f"its news could not be stored: {error}") from None
+            raise Invalid(f"update could not be stored: {error}") from None
 
 
 def changed_records(entries: tuple[Entry, ...], seq: int) -> dict[str, Record | None]:
-    """What the hosts named are after these entries, as far as a reader is told it."""
+    """Return the records that result from these entries; replicas don't know the leases."""
     return {e.host: None if e.health == DELETED else Record(e, seq, 0) for e in entries}
 
 
 class Agent(Service):
-    """On a gateway's machine: answers from memory, whoever of the services is there."""
+    """Answers the gateways of one machine from memory, also while no service can be reached."""
 
     role = "agent"
 
@@ -94,7 +94,7 @@
         self.disk = ThreadPoolExecutor(1)
 
     async def on_start(self) -> None:
-        """The last list, where one is kept and whole."""
+        """Load the list file, if there is a valid one."""
         if self.list_file:
             try:
                 keep.load(self.list_file, self.ledger)
@@ -107,7 +107,7 @@
         self.spawn(self.upstream.run())
 
     async def apply_update(self, update: ListUpdate) -> None:
-        """News that is newer."""
+        """Apply a newer update, publish it to readers and schedule a save."""
         index = self.ledger.seq
         changes = self.ledger.as_changes(update)
         if update.seq <= index:
@@ -136,7 +136,7 @@
             await asyncio.sleep(SAVE_INTERVAL)
 
     async def on_stop(self) -> None:
-        """The last list is kept."""
+        """Save the last list."""
         if self.list_file and self.save_requested.is_set():
             self._save_now(self.ledger.life, self.ledger.body(None))
         self.disk.shutdown()
