--- a/registry/service.py
+++ b/registry/service.py
@@ -1,4 +1,4 @@
-"""What a primary, a follower and an agent have in common: one ledger, its readers, operators, an end."""
+"""The common base of primary, follower and agent: ledger, HTTP endpoints, background tasks, shutdown."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 log = logs.get(__name__)
 
 GATEWAYS_PATH = ["registry", "gateways"]
-MAX_OPERATOR_CONNECTIONS = 16  # connections at the address for operators
+MAX_OPERATOR_CONNECTIONS = 16
 SHUTDOWN_TIMEOUT = 2.0  # seconds
 
 
 def to_json(raw: Any) -> bytes:
-    """JSON in one line."""
+    """Encode as compact JSON."""
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
 class Service:
-    """What all three have: the ledger, readers, operators, an orderly end."""
+    """Base class of the three roles."""
 
     role = ""
 
@@ -45,57 +45,57 @@
         self.reader_server = Server(self.handle, connections)
         self.operator_server = Server(self.handle_operator, MAX_OPERATOR_CONNECTIONS)
         self.tasks: list[asyncio.Task] = []
-        self.metrics_page: Page | None = None  # where metrics are on
+        self.metrics_page: Page | None = None  # set if metrics are enabled
         self.stop = asyncio.Event()
-        self.failed = False  # it ends for a reason of its own
+        self.failed = False  # a background task has failed
 
     def enable_metrics(self) -> None:
-        """Answer GET /metrics at the operators' address from now on."""
-        from .metrics import page  # heavy: only where it is wanted
+        """Serve GET /metrics at the operators' address."""
+        from .metrics import page  # imported on demand, since prometheus-client is large
 
         self.metrics_page = page(self)
 
     def age(self) -> float | None:
-        """Seconds since what is held was known to hold; None where nobody was heard yet."""
+        """Return the seconds since the list was last confirmed current, or None if it never was."""
         return self.upstream.age() if self.upstream else 0.0
 
     def unavailable_reason(self) -> str | None:
-        """Why readers can't be answered now."""
+        """Return why readers can't be answered now, or None if they can."""
         return None if self.ledger.seq else "no list yet"
 
     def handle(self, exchange: Exchange, request: Request) -> None:
-        """A reader's call, or a writer's."""
+        """Route a request of a reader, a host or a gateway."""
         if request.path == INSTANCES_PATH:
             if request.method != "GET":
-                raise Refused(405, "only GET is known here", {"Allow": "GET"})
+                raise Refused(405, "only GET is allowed here", {"Allow": "GET"})
             self.watch_endpoint.handle(exchange, request)
         elif request.path[:2] == INSTANCES_PATH and 3 <= len(request.path) <= 4:
             self.handle_host(exchange, request, *request.path[2:])
         elif request.path[:2] == GATEWAYS_PATH and len(request.path) == 3:
             if request.method != "POST":
-                raise Refused(405, "only POST is known here", {"Allow": "POST"})
+                raise Refused(405, "only POST is allowed here", {"Allow": "POST"})
             request.terms()
             self.handle_gateway(exchange, request, request.path[2])
         else:
             raise Refused(404, "no such path: see /registry/instances, /registry/gateways")
 
     def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
-        """A call about one host; only a primary takes them."""
-        first = ":".join(map(str, self.upstream.services[0]))
-        raise Refused(421, f"writes go to the primary, {first}", primary=first)
+        """Handle a request about one host; only a primary accepts these."""
+        primary = ":".join(map(str, self.upstream.services[0]))
+        raise Refused(421, f"writes go to the primary, {primary}", primary=primary)
 
     def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
-        """A gateway leaves its address; only a primary takes them, so that all meet at one."""
-        first = ":".join(map(str, self.upstream.services[0]))
-        raise Refused(421, f"gateways meet at the primary, {first}", primary=first)
+        """Handle a gateway's announcement; only a primary accepts these, so that all share one table."""
+        primary = ":".join(map(str, self.upstream.services[0]))
+        raise Refused(421, f"gateways meet at the primary, {primary}", primary=primary)
 
     def handle_operator(self, exchange: Exchange, request: Request) -> None:
-        """An operator's call."""
+        """Handle an operator's request."""
         request.terms()
         call = (request.method, *request.path)
         if call == ("GET", "health"):
-            if why := self.health_problem():
-                raise Refused(503, why)
+            if reason := self.health_problem():
+                raise Refused(503, reason)
             exchange.answer(b'{"ok":true}')
         elif call == ("GET", "figures"):
             exchange.answer(to_json(self.figures()))
@@ -104,16 +104,16 @@
         else:
             raise Refused(
                 404,
-                "no such call: GET /health, GET /figures, with --metrics GET /metrics, "
-                "at a primary GET or POST /hold",
+                "no such call: available are GET /health, GET /figures, GET /metrics (with --metrics), "
+                "GET and POST /hold (at a primary)",
             )
 
     def health_problem(self) -> str | None:
-        """What an operator should know at once."""
+        """Return why GET /health fails, or None if the service is healthy."""
         return self.unavailable_reason()
 
     def figures(self) -> dict[str, Any]:
-        """Gauges, and counts since the start."""
+        """Return gauges, and counters since the start."""
         ledger, age = self.ledger, self.age()
         used = resource.getrusage(resource.RUSAGE_SELF)
         return {
@@ -134,7 +134,7 @@
         }
 
     async def run(self, listen: Address, operators: Address) -> int:
-        """Serve until told to stop; the exit status."""
+        """Serve until ``stop`` is set; returns the exit status."""
         await self.operator_server.listen(operators)
         await self.on_start()
         await self.reader_server.listen(listen)
@@ -159,11 +159,11 @@
         return 1 if self.failed else 0
 
     def position(self) -> tuple[int, int]:
-        """Where the list stands."""
+        """Return the life and sequence number of the list."""
         return self.ledger.life, self.ledger.seq
 
     def spawn(self, work: Any) -> None:
-        """Something that goes on until the end; if it breaks, all ends."""
+        """Run a background task until shutdown; if it fails, the service stops."""
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(self._on_task_done)
         self.tasks.append(task)
@@ -175,34 +175,34 @@
             self.stop.set()
 
     async def on_start(self) -> None:
-        """Before the first reader."""
+        """Called before the first reader is accepted."""
 
     async def finish_writes(self) -> None:
-        """What was asked for before the end is done."""
+        """Called on shutdown to finish queued writes."""
 
     async def on_stop(self) -> None:
-        """After the last reader."""
+        """Called after the last connection is closed."""
 
 
 class StoredService(Service):
-    """A service with a store, which blocks and so has a thread of its own."""
+    """A service with a store, whose blocking calls run in a worker thread."""
 
     def __init__(self, store: Store, connections: int) -> None:
         super().__init__(connections)
         self.store = store
         self.disk = ThreadPoolExecutor(1)
-        self.write_failed = False  # the last write found no room on disk
+        self.write_failed = False  # the last write failed, for lack of disk space or a lock
 
     def health_problem(self) -> str | None:
-        """A full disk wants a person."""
+        """Report failing writes, which need an operator."""
         return "writes fail: no room on disk" if self.write_failed else super().health_problem()
 
     async def commit(self, *args: Any, **more: Any) -> None:
-        """Store.write, to its end whatever happens to the caller."""
+        """Run Store.write to completion, even if the caller is cancelled."""
         loop = asyncio.get_running_loop()
         await asyncio.shield(loop.run_in_executor(self.disk, lambda: self.store.write(*args, **more)))
 
     async def on_stop(self) -> None:
-        """Nothing is half written."""
+        """Wait for the last write and close the store."""
         self.disk.shutdown()
         self.store.close()
