--- a/registry/follow.py
+++ b/registry/follow.py
@@ -87,13 +87,12 @@
         wait: float = POLL_WAIT,
         answer_timeout: float = ANSWER_TIMEOUT,
     ) -> None:
-        self.services, self.ledger, self.on_update, self.random_fraction = (
-            services,
-            ledger,
-            on_update,
-            random_fraction,
-        )
-        self.wait, self.answer_timeout = wait, answer_timeout
+        self.services = services
+        self.ledger = ledger
+        self.on_update = on_update
+        self.random_fraction = random_fraction
+        self.wait = wait
+        self.answer_timeout = answer_timeout
         self.current = 0  # index of the service in use
         self.failures = 0  # consecutive
         self.last_errors: dict[Address, str] = {}  # why each service was last abandoned
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -110,12 +110,10 @@
         super().__init__(store, connections)
         self.leases = Leases(time.monotonic, hold_share)
         self.meeting = Rendezvous(time.monotonic)
-        self.max_hosts, self.settle, self.default_lease_ms, self.seq_above = (
-            max_hosts,
-            settle,
-            default_lease_ms,
-            seq_above,
-        )
+        self.max_hosts = max_hosts
+        self.settle = settle
+        self.default_lease_ms = default_lease_ms
+        self.seq_above = seq_above
         self.promote = promote
         self.readable_at = 0.0  # by the loop's clock: until then a new list may still lack most hosts
         self.write_queue: list[tuple[Operation, Exchange | None]] = []
