--- a/registry/primary.py
+++ b/registry/primary.py
@@ -1,4 +1,4 @@
-"""The primary: takes writes, one transaction after another, and keeps leases."""
+"""The primary: serializes writes into transactions and tracks host leases."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 
 log = logs.get(__name__)
 
-MAX_BATCH = 256  # writes in one transaction
-MAX_QUEUED_WRITES = 4_096  # writes that wait for theirs
-MAX_CLOCK_AHEAD_MS = 86_400_000  # milliseconds that a host's clock may be ahead of ours
+MAX_BATCH = 256  # writes per transaction
+MAX_QUEUED_WRITES = 4_096
+MAX_CLOCK_AHEAD_MS = 86_400_000  # by which a host's clock may be ahead of this one
 
 
 def now_us() -> int:
-    """The clock, in microseconds."""
+    """Return the wall clock in microseconds."""
     return time.time_ns() // 1_000
 
 
 class Draft:
-    """The list as the writes of one transaction leave it, before it is on disk."""
+    """The uncommitted changes of one transaction, layered over the ledger."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -59,26 +59,28 @@
         self.host_count = len(ledger.records)
 
     def get(self, host: str) -> Record | None:
-        """A host on the list."""
+        """Return the host's record, or None if it is not listed."""
         return self.records[host] if host in self.records else self.ledger.records.get(host)
 
     def last_removal(self, host: str) -> tuple[int, int]:
-        """Of a host that was taken off: the version of that word and its last start, 0 where forgotten."""
+        """Return the version and ``born_ms`` of a host's last removal, zeros if it is no longer retained."""
         seq, entry = self.removed.get(host) or self.ledger.removed.get(host, (0, None))
         return seq, entry.born_ms if entry else 0
 
     def check_version(self, host: str, version: int) -> Record:
-        """A host on the list; Refused where it isn't the one that the writer knows."""
+        """Return the host's record; raises Refused if its version is not the given one (compare-and-set)."""
         record = self.get(host)
         if record is None:
-            raise Refused(404, "not on the list: register", version=self.last_removal(host)[0])
+            raise Refused(404, "not on the list: register first", version=self.last_removal(host)[0])
         if record.version != version:
-            shown = parse_json(record.entry.json_text.encode())
-            raise Refused(409, "a newer word holds", version=record.version, entry=shown)
+            current = parse_json(record.entry.json_text.encode())
+            raise Refused(
+                409, "version conflict: a newer write exists", version=record.version, entry=current
+            )
         return record
 
     def put(self, seq: int, entry: Entry, record: Record | None) -> None:
-        """One write."""
+        """Add one write to the transaction."""
         self.host_count += (record is not None) - (self.get(entry.host) is not None)
         self.records[entry.host] = record
         self.changes.append((seq, (entry,)))
@@ -86,13 +88,12 @@
             self.removed[entry.host] = (seq, entry)
 
 
-Operation = Callable[
-    [Draft, int], tuple[Entry, Record | None] | None
-]  # what a write leads to, with its number
+# Maps a draft and the next seq to the published entry and the new record (None: removed); None: no change.
+Operation = Callable[[Draft, int], tuple[Entry, Record | None] | None]
 
 
 class Primary(StoredService):
-    """Takes writes, keeps leases."""
+    """Accepts writes and removes hosts with expired leases."""
 
     role = PRIMARY
 
@@ -115,29 +116,32 @@
         self.default_lease_ms = default_lease_ms
         self.seq_above = seq_above
         self.promote = promote
-        self.readable_at = 0.0  # by the loop's clock: until then a new list may still lack most hosts
+        self.readable_at = 0.0  # loop time; before it a new list may still lack most hosts
         self.write_queue: list[tuple[Operation, Exchange | None]] = []
         self.write_queued = asyncio.Event()
-        self.committing = False  # with a transaction
+        self.committing = False
 
     def next_seq(self, last: int) -> int:
-        """The next seq."""
+        """Return a sequence number above ``last``, taken from the clock if that is ahead."""
         return max(last + 1, self.seq_above + 1, now_us())
 
     def unavailable_reason(self) -> str | None:
-        """A new list is not read before hosts had the time to register."""
+        """Refuse reads of a new list until hosts have had time to register."""
         if asyncio.get_running_loop().time() < self.readable_at:
-            return "a new list: hosts have yet to register"
+            return "new list: waiting for hosts to register"
         return super().unavailable_reason()
 
     def health_problem(self) -> str | None:
-        """A held list wants a person, too."""
+        """Report held removals as well, which need an operator."""
         if self.leases.held:
-            return f"list held: {len(self.leases.held)} leases ran out at once, see /hold"
+            return f"list held: {len(self.leases.held)} leases expired at once, see /hold"
         return super().health_problem()
 
     async def on_start(self) -> None:
-        """A seq of this start's own, so that nothing given out after a backup was made counts as known."""
+        """Load the store and begin with a fresh seq.
+
+        Otherwise numbers that were assigned after a backup was made could be assigned again after a restore.
+        """
         role = self.store.load(self.ledger)
         if role != PRIMARY and not self.promote:
             raise StoreError(f"{self.store.path} is a follower's: start with --follow, or with --promote")
@@ -149,9 +153,9 @@
                 h: Record(r.entry, seq, r.lease_ms or self.default_lease_ms)
                 for h, r in self.ledger.records.items()
             }
-        past = (now_us() - life) / 1e6 if self.ledger.life else 0.0
-        if role == PRIMARY and 0 <= past < self.settle:
-            self.readable_at = asyncio.get_running_loop().time() + self.settle - past
+        age = (now_us() - life) / 1e6 if self.ledger.life else 0.0
+        if role == PRIMARY and 0 <= age < self.settle:
+            self.readable_at = asyncio.get_running_loop().time() + self.settle - age
         await self.commit(life, seq, [(seq, ())], records, self.ledger.max_changes, PRIMARY)
         self.ledger.life = life
         self.ledger.apply(seq, (), records)
@@ -161,19 +165,19 @@
         self.spawn(self._lease_loop())
 
     async def finish_writes(self) -> None:
-        """Writes that wait get their transaction."""
-        ends = time.monotonic() + SHUTDOWN_TIMEOUT
-        while (self.write_queue or self.committing) and not self.failed and time.monotonic() < ends:
+        """Wait for the queued writes to be committed."""
+        deadline = time.monotonic() + SHUTDOWN_TIMEOUT
+        while (self.write_queue or self.committing) and not self.failed and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
 
     def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
-        """A gateway leaves its address and is told others'."""
+        """Record a gateway's address and answer with those of the others."""
         exchange.answer(to_json(self.meeting.announce(cluster, parse_json(request.body))))
 
-    # -- calls about one host --------------------------------------------------------------------------
+    # -- requests about one host -----------------------------------------------------------------------
 
     def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
-        """Register, look up, take out; or by name: renew, drain."""
+        """Handle GET, PUT (register) and DELETE of a host, and the verbs renew and drain."""
         parse_name(host, "host")
         call = (request.method, verb)
         if call == ("GET", ""):
@@ -190,22 +194,22 @@
                 lambda draft, seq: (draft.check_version(host, version).entry.with_health(DELETED), None),
             )
         elif call == ("POST", "renew"):
-            version = self._version(request)
+            version = self._requested_version(request)
             record = Draft(self.ledger).check_version(host, version)
             self.leases.renew(host, record.lease_ms)
             self.counts["renewed"] += 1
             exchange.answer(to_json({"version": record.version, "lease_ms": record.lease_ms}))
         elif call == ("POST", "drain"):
-            version = self._version(request)
+            version = self._requested_version(request)
             self._enqueue(exchange, lambda draft, seq: self._drain(draft, seq, host, version))
         elif verb in ("", "renew", "drain"):
             allow = "POST" if verb else "GET, PUT, DELETE"
-            raise Refused(405, f"known here: {allow}", {"Allow": allow})
+            raise Refused(405, f"allowed here: {allow}", {"Allow": allow})
         else:
-            raise Refused(404, "no such path: renew and drain are known behind a host")
+            raise Refused(404, "no such path: a host has the verbs renew and drain")
 
     @staticmethod
-    def _version(request: Request) -> int:
+    def _requested_version(request: Request) -> int:
         request.terms()
         raw = parse_json(request.body)
         check_fields(raw, ("version",))
@@ -235,26 +239,28 @@
         )
         lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_LEASE_MS)
         version = parse_integer(raw["version"], "version")
-        born = None
+        requested_born_ms = None
         if "born_ms" in raw:
-            born = parse_integer(raw["born_ms"], "born_ms", most=now_us() // 1_000 + MAX_CLOCK_AHEAD_MS)
+            requested_born_ms = parse_integer(
+                raw["born_ms"], "born_ms", most=now_us() // 1_000 + MAX_CLOCK_AHEAD_MS
+            )
 
-        def decide(draft: Draft, seq: int) -> tuple[Entry, Record]:
+        def register(draft: Draft, seq: int) -> tuple[Entry, Record]:
             if draft.get(host):
                 started = draft.check_version(host, version).entry.born_ms
             else:
-                left, started = draft.last_removal(host)
-                if left != version:
-                    raise Refused(409, "a newer word holds: it was taken off", version=left)
+                removed_version, started = draft.last_removal(host)
+                if removed_version != version:
+                    raise Refused(409, "version conflict: the host was removed", version=removed_version)
                 if draft.host_count >= self.max_hosts:
                     raise Refused(403, f"the list is full: {self.max_hosts} hosts")
-            if born is not None and born < started:
+            if requested_born_ms is not None and requested_born_ms < started:
                 raise Refused(409, "a later start of this host is known", version=version, born_ms=started)
-            at = max(now_us() // 1_000, started + 1) if born is None else born
-            new = replace(entry, born_ms=at)
+            born_ms = max(now_us() // 1_000, started + 1) if requested_born_ms is None else requested_born_ms
+            new = replace(entry, born_ms=born_ms)
             return new, Record(new, seq, lease_ms)
 
-        self._enqueue(exchange, decide)
+        self._enqueue(exchange, register)
 
     @staticmethod
     def _drain(draft: Draft, seq: int, host: str, version: int) -> tuple[Entry, Record]:
@@ -263,7 +269,7 @@
         return entry, Record(entry, seq, record.lease_ms)
 
     def _expire(self, draft: Draft, host: str) -> tuple[Entry, None] | None:
-        """A lease ran out; it may have been renewed since."""
+        """Remove a host whose lease expired, unless it has renewed since."""
         record = draft.get(host)
         if record is None or not self.leases.is_expired(host):
             return None
@@ -271,15 +277,15 @@
         log.warning("lease_expired", host=host)
         return record.entry.with_health(DELETED), None
 
-    def _enqueue(self, exchange: Exchange, decide: Operation) -> None:
+    def _enqueue(self, exchange: Exchange, operation: Operation) -> None:
         if self.reader_server.ending:
-            raise Refused(503, "ending", {"Retry-After": "1"})
+            raise Refused(503, "shutting down", {"Retry-After": "1"})
         if len(self.write_queue) >= MAX_QUEUED_WRITES:
-            raise Refused(503, "too many writes wait", {"Retry-After": "1"})
-        self.write_queue.append((decide, exchange))
+            raise Refused(503, "write queue is full", {"Retry-After": "1"})
+        self.write_queue.append((operation, exchange))
         self.write_queued.set()
 
-    # -- one transaction after another -----------------------------------------------------------------
+    # -- transactions ----------------------------------------------------------------------------------
 
     async def _write_loop(self) -> None:
         while True:
@@ -297,39 +303,41 @@
                 log.error("writes_refused", writes=len(batch), error=error)
                 for _, exchange in batch:
                     if exchange:
-                        exchange.refuse(Refused(503, "not stored, nothing has changed", {"Retry-After": "1"}))
+                        exchange.refuse(
+                            Refused(503, "write failed, nothing has changed", {"Retry-After": "1"})
+                        )
                 if not is_transient(error):
-                    raise  # what is on disk is in doubt: a new start verifies it
+                    raise  # the state on disk is uncertain: the service stops, and a restart verifies it
 
     async def _commit_batch(self, batch: list[tuple[Operation, Exchange | None]]) -> None:
-        """Decide writes in order, each on what those before it leave; then the disk, readers, writers."""
+        """Apply the writes in order to a draft, commit it, then publish to readers and answer the writers."""
         draft, seq = Draft(self.ledger), self.ledger.seq
         answers: list[tuple[Exchange, Refused | bytes]] = []
-        for decide, exchange in batch:
+        for operation, exchange in batch:
             next_seq = self.next_seq(seq)
             try:
-                done = decide(draft, next_seq)
+                outcome = operation(draft, next_seq)
             except Refused as refused:
                 answers.append((exchange, refused))
                 continue
-            if done is None:
+            if outcome is None:
                 continue
-            seq, (entry, record) = next_seq, done
+            seq, (entry, record) = next_seq, outcome
             draft.put(seq, entry, record)
             if exchange:
-                told = {"version": seq, "born_ms": entry.born_ms}
+                body = {"version": seq, "born_ms": entry.born_ms}
                 if record:
-                    told["lease_ms"] = record.lease_ms
-                answers.append((exchange, to_json(told)))
+                    body["lease_ms"] = record.lease_ms
+                answers.append((exchange, to_json(body)))
         if draft.changes:
             await self.commit(self.ledger.life, seq, draft.changes, draft.records, self.ledger.max_changes)
             self.write_failed = False
             self._publish(draft)
-        for exchange, said in answers:
-            if isinstance(said, Refused):
-                exchange.refuse(said)
+        for exchange, answer in answers:
+            if isinstance(answer, Refused):
+                exchange.refuse(answer)
             else:
-                exchange.answer(said)
+                exchange.answer(answer)
 
     def _publish(self, draft: Draft) -> None:
         index, records = self.ledger.seq, draft.records
@@ -351,7 +359,7 @@
             before = self.leases.held
             self._enqueue_removals(self.leases.collect_expired())
             if self.leases.held and not before:
-                # Nobody is taken off until hosts are heard again or POST /hold confirms that they are gone.
+                # No host is removed until hosts renew again or an operator confirms with POST /hold.
                 log.error("list_held", leases_out=len(self.leases.held), leases=len(self.leases.renewals))
             elif before and not self.leases.held:
                 log.warning("list_released")
@@ -362,7 +370,7 @@
             self.write_queued.set()
 
     def handle_operator(self, exchange: Exchange, request: Request) -> None:
-        """With the held list: who is on it, and a person's word that they are gone."""
+        """Add GET and POST /hold, which list the held hosts and confirm their removal."""
         held = self.leases.held
         if request.path != ["hold"]:
             super().handle_operator(exchange, request)
@@ -372,14 +380,14 @@
             raw = parse_json(request.body)
             check_fields(raw, ("held",))
             if parse_integer(raw["held"], "held") != len(held) or not held:
-                raise Refused(409, f"held now: {len(held)}; look again", held=len(held))
+                raise Refused(409, f"the number of held hosts is {len(held)}: check again", held=len(held))
             log.warning("hold_confirmed", hosts=len(held))
             self._enqueue_removals(self.leases.confirm_held())
             exchange.answer(to_json({"taken_off": len(held)}))
         else:
-            raise Refused(405, "known here: GET, POST", {"Allow": "GET, POST"})
+            raise Refused(405, "allowed here: GET, POST", {"Allow": "GET, POST"})
 
     def figures(self) -> dict[str, Any]:
-        """With leases and writes."""
+        """Add the lease and write queue gauges."""
         leases = {"kept": len(self.leases.renewals), "held": len(self.leases.held)}
         return super().figures() | {"leases": leases, "writes_waiting": len(self.write_queue)}
