--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m registry serve|agent|backup``: the list service, its agents, a copy of its store."""
+"""``python -m registry serve|agent|backup``: command line of the host registry."""
 
 from __future__ import annotations
 
@@ -20,57 +20,57 @@
 from .service import Service
 from .store import FOLLOWER, PRIMARY, Store, StoreError, backup
 
-RESERVED_DESCRIPTORS = 64  # descriptors for all but readers
+RESERVED_DESCRIPTORS = 64  # file descriptors kept for everything but reader connections
 
 
 def socket_address(text: str) -> tuple[str, int]:
-    """An option's IPv4 address and port."""
+    """Parse an option that is an IPv4 address and port."""
     try:
-        return entries.parse_address(text, "it")
+        return entries.parse_address(text, "value")
     except entries.Invalid as error:
         raise argparse.ArgumentTypeError(str(error)) from None
 
 
 def socket_addresses(text: str) -> list[tuple[str, int]]:
-    """Some of them with commas between."""
+    """Parse an option that is a comma-separated list of addresses."""
     return [socket_address(part) for part in text.split(",")]
 
 
 def integer_in_range(least: int, most: int):
-    """An option's whole number."""
+    """Return a parser for an integer option with bounds."""
 
     def parse(text: str) -> int:
         try:
-            return entries.parse_integer(int(text), "it", least, most)
+            return entries.parse_integer(int(text), "value", least, most)
         except ValueError:
-            raise argparse.ArgumentTypeError(f"a whole number from {least} to {most}") from None
+            raise argparse.ArgumentTypeError(f"must be a whole number from {least} to {most}") from None
 
     return parse
 
 
 def fraction(text: str) -> float:
-    """An option between 0 and 1."""
+    """Parse an option between 0 and 1."""
     if not 0 <= float(text) <= 1:
-        raise argparse.ArgumentTypeError("a number from 0 to 1")
+        raise argparse.ArgumentTypeError("must be a number from 0 to 1")
     return float(text)
 
 
 def build_parser(prog: str = "python -m registry") -> argparse.ArgumentParser:
-    """All that can be said on the command line."""
+    """Build the parser of the command line."""
     parser = argparse.ArgumentParser(prog=prog, description="Keeps the list of hosts that gateways watch.")
     commands = parser.add_subparsers(dest="call", required=True)
     serve_parser = commands.add_parser(
         "serve",
-        help="a primary, or with --follow a copy of one",
+        help="run a primary, or with --follow a follower",
         description="Keep the list in a store. A primary takes writes, a follower refuses them.",
     )
     agent_parser = commands.add_parser(
         "agent",
-        help="on a gateway's machine: answers with the last list whatever happens to the services",
+        help="run on a gateway's machine and answer with the last list while no service can be reached",
         description="Follow one of several services and answer gateways on this machine.",
     )
     backup_parser = commands.add_parser(
-        "backup", help="copy a store, in use or not", description="Copy a store and verify the copy."
+        "backup", help="copy a store, which may be in use", description="Copy a store and verify the copy."
     )
     for service_parser in (serve_parser, agent_parser):
         service_parser.add_argument(
@@ -78,17 +78,17 @@
             type=socket_address,
             required=True,
             metavar="IP:PORT",
-            help="where readers and writers call",
+            help="address for readers and writers",
         )
         service_parser.add_argument(
             "--operators",
             type=socket_address,
             required=True,
             metavar="IP:PORT",
-            help="where operators call: GET /health, GET /figures, GET and POST /hold",
+            help="address for operators: GET /health, GET /figures, GET and POST /hold",
         )
         service_parser.add_argument(
-            "--metrics", action="store_true", help="with GET /metrics at the operators' address, too"
+            "--metrics", action="store_true", help="also serve GET /metrics at the operators' address"
         )
         service_parser.add_argument(
             "--log-form", choices=logs.FORMS, default="text", help="logfmt or JSON lines (%(default)s)"
@@ -97,65 +97,63 @@
             "--log-level",
             choices=tuple(logs.LEVELS),
             default="info",
-            help="the least that is written (%(default)s)",
+            help="minimum level of log lines (%(default)s)",
         )
         service_parser.add_argument(
             "--connections",
             type=integer_in_range(1, 100_000),
             default=1_024,
-            help="of readers, at most (%(default)s)",
+            help="maximum number of reader connections (%(default)s)",
         )
         service_parser.add_argument(
             "--follow",
             type=socket_addresses,
             required=service_parser is agent_parser,
             metavar="IP:PORT,...",
-            help="services to follow, the primary first; each is tried in turn",
+            help="services to follow, the primary first; tried in order",
         )
-    serve_parser.add_argument("--store", type=Path, required=True, help="the file that the list is kept in")
+    serve_parser.add_argument("--store", type=Path, required=True, help="file of the store")
+    serve_parser.add_argument("--new", action="store_true", help="create an empty store; fails if one exists")
+    serve_parser.add_argument("--promote", action="store_true", help="use a follower's store as a primary")
     serve_parser.add_argument(
-        "--new", action="store_true", help="make an empty store; refused where there is one"
-    )
-    serve_parser.add_argument("--promote", action="store_true", help="take a follower's store as a primary")
-    serve_parser.add_argument(
-        "--demote", action="store_true", help="with --follow: take a primary's store as a copy"
+        "--demote", action="store_true", help="with --follow: use a primary's store as a follower"
     )
     serve_parser.add_argument(
         "--settle",
         type=float,
         default=15.0,
         metavar="SECONDS",
-        help="a new primary's readers wait so long for hosts to register (%(default)s)",
+        help="refuse reads of a new list for this long, while hosts register (%(default)s)",
     )
     serve_parser.add_argument(
         "--hold-share",
         type=fraction,
         default=leases.DEFAULT_HOLD_SHARE,
         metavar="PART",
-        help="of the hosts: when leases of more run out at once none is taken off (%(default)s)",
+        help="hold all removals if the leases of a greater part of the hosts expire at once (%(default)s)",
     )
     serve_parser.add_argument(
         "--lease",
         type=integer_in_range(entries.MIN_LEASE_MS, entries.MAX_LEASE_MS),
         default=30_000,
         metavar="MS",
-        help="after --promote: the lease of hosts until they register anew (%(default)s)",
+        help="after --promote: lease of the hosts until they register again (%(default)s)",
     )
     serve_parser.add_argument(
         "--hosts",
         type=integer_in_range(1, 100_000),
         default=10_000,
-        help="on the list, at most (%(default)s)",
+        help="maximum number of listed hosts (%(default)s)",
     )
     serve_parser.add_argument(
         "--seq-above",
         type=integer_in_range(0, entries.MAX_INTEGER // 2),
         default=0,
         metavar="SEQ",
-        help="go on above this number, where a store was lost and the clock can't be trusted",
+        help="continue above this sequence number, if a store was lost and the clock can't be trusted",
     )
     agent_parser.add_argument(
-        "--keep", type=Path, metavar="FILE", help="keep the last list here for the next start"
+        "--keep", type=Path, metavar="FILE", help="save the last list here for the next start"
     )
     backup_parser.add_argument("store", type=Path)
     backup_parser.add_argument("to", type=Path)
@@ -163,7 +161,7 @@
 
 
 def build_service(args: argparse.Namespace) -> Service:
-    """What the options ask for; raises Damaged."""
+    """Build the service that the options describe; raises StoreError."""
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     connections = max(1, min(args.connections, files - RESERVED_DESCRIPTORS))
     if args.call == "agent":
@@ -186,7 +184,7 @@
 
 
 async def serve(args: argparse.Namespace) -> int:
-    """Until SIGTERM or SIGINT."""
+    """Run the service until SIGTERM or SIGINT."""
     service = build_service(args)
     if args.metrics:
         service.enable_metrics()
@@ -197,7 +195,7 @@
 
 
 def main(argv: Sequence[str] | None = None, parser: argparse.ArgumentParser | None = None) -> int:
-    """One plain line and 1 where it can't be done."""
+    """Run a command; on failure it prints one line and returns 1."""
     args = (parser or build_parser()).parse_args(argv)
     if args.call != "backup":
         logs.start(args.log_form, args.log_level)
