--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -36,14 +36,14 @@
     return [socket_address(part) for part in text.split(",")]
 
 
-def integer_in_range(least: int, most: int):
+def integer_in_range(minimum: int, maximum: int):
     """Return a parser for an integer option with bounds."""
 
     def parse(text: str) -> int:
         try:
-            return entries.parse_integer(int(text), "value", least, most)
+            return entries.parse_integer(int(text), "value", minimum, maximum)
         except ValueError:
-            raise argparse.ArgumentTypeError(f"must be a whole number from {least} to {most}") from None
+            raise argparse.ArgumentTypeError(f"must be a whole number from {minimum} to {maximum}") from None
 
     return parse
 
--- a/registry/entries.py
+++ b/registry/entries.py
@@ -100,27 +100,27 @@
     return raw
 
 
-def check_fields(raw: dict[str, Any], needed: Iterable[str], may: Iterable[str] = ()) -> None:
+def check_fields(raw: dict[str, Any], required: Iterable[str], optional: Iterable[str] = ()) -> None:
     """Raise Invalid if a required field is missing or an unknown field is present."""
-    needed = set(needed)
-    if missing := needed - raw.keys():
+    required = set(required)
+    if missing := required - raw.keys():
         raise Invalid(f"missing: {', '.join(sorted(missing))}")
-    if unknown := raw.keys() - needed - set(may):
+    if unknown := raw.keys() - required - set(optional):
         raise Invalid(f"unknown: {', '.join(sorted(repr(name[:32]) for name in unknown))[:160]}")
 
 
-def parse_integer(raw: Any, name: str, least: int = 0, most: int = MAX_INTEGER) -> int:
+def parse_integer(raw: Any, name: str, minimum: int = 0, maximum: int = MAX_INTEGER) -> int:
     """Validate a JSON integer against its bounds."""
-    if type(raw) is not int or not least <= raw <= most:
-        raise Invalid(f"{name} must be a whole number from {least} to {most}")
+    if type(raw) is not int or not minimum <= raw <= maximum:
+        raise Invalid(f"{name} must be a whole number from {minimum} to {maximum}")
     return raw
 
 
-def parse_digits(raw: str, name: str, most: int = MAX_INTEGER) -> int:
+def parse_digits(raw: str, name: str, maximum: int = MAX_INTEGER) -> int:
     """Parse a decimal integer from a query parameter."""
     if not re.fullmatch(r"[0-9]{1,16}", raw, re.ASCII):
-        raise Invalid(f"{name} must be a whole number from 0 to {most}")
-    return parse_integer(int(raw), name, most=most)
+        raise Invalid(f"{name} must be a whole number from 0 to {maximum}")
+    return parse_integer(int(raw), name, maximum=maximum)
 
 
 def parse_name(raw: Any, what: str) -> str:
@@ -169,7 +169,7 @@
         raw["dial"],
         parse_name(raw["site"], "site"),
         parse_name(raw["class"], "class"),
-        parse_integer(raw["block"], "block", most=MAX_BLOCK),
+        parse_integer(raw["block"], "block", maximum=MAX_BLOCK),
         parse_health(raw["health"], states),
         parse_share(raw["share"]),
         parse_integer(raw["born_ms"], "born_ms"),
--- a/registry/meeting.py
+++ b/registry/meeting.py
@@ -46,7 +46,7 @@
         parse_name(cluster, "cluster")
         check_fields(raw, ("rank", "life", "dial", "lease_ms"))
         parse_address(raw["dial"])
-        rank = parse_integer(raw["rank"], "rank", most=MAX_RANK)
+        rank = parse_integer(raw["rank"], "rank", maximum=MAX_RANK)
         life = parse_integer(raw["life"], "life", 1)
         lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_LEASE_MS)
         now, at = self.clock(), (cluster, rank)
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -110,7 +110,7 @@
     ) -> None:
         super().__init__(store, connections)
         self.leases = Leases(time.monotonic, hold_share)
-        self.meeting = Rendezvous(time.monotonic)
+        self.rendezvous = Rendezvous(time.monotonic)
         self.max_hosts = max_hosts
         self.settle = settle
         self.default_lease_ms = default_lease_ms
@@ -172,7 +172,7 @@
 
     def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
         """Record a gateway's address and answer with those of the others."""
-        exchange.answer(to_json(self.meeting.announce(cluster, parse_json(request.body))))
+        exchange.answer(to_json(self.rendezvous.announce(cluster, parse_json(request.body))))
 
     # -- requests about one host -----------------------------------------------------------------------
 
@@ -232,7 +232,7 @@
             raw["dial"],
             parse_name(raw["site"], "site"),
             parse_name(raw["class"], "class"),
-            parse_integer(raw["block"], "block", most=MAX_BLOCK),
+            parse_integer(raw["block"], "block", maximum=MAX_BLOCK),
             parse_health(raw.get("health", SERVING), (SERVING, DRAINING)),
             parse_share(raw["share"]),
             0,
@@ -242,7 +242,7 @@
         requested_born_ms = None
         if "born_ms" in raw:
             requested_born_ms = parse_integer(
-                raw["born_ms"], "born_ms", most=now_us() // 1_000 + MAX_CLOCK_AHEAD_MS
+                raw["born_ms"], "born_ms", maximum=now_us() // 1_000 + MAX_CLOCK_AHEAD_MS
             )
 
         def register(draft: Draft, seq: int) -> tuple[Entry, Record]:
@@ -257,8 +257,8 @@
             if requested_born_ms is not None and requested_born_ms < started:
                 raise Refused(409, "a later start of this host is known", version=version, born_ms=started)
             born_ms = max(now_us() // 1_000, started + 1) if requested_born_ms is None else requested_born_ms
-            new = replace(entry, born_ms=born_ms)
-            return new, Record(new, seq, lease_ms)
+            registered = replace(entry, born_ms=born_ms)
+            return registered, Record(registered, seq, lease_ms)
 
         self._enqueue(exchange, register)
 
