--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -1,4 +1,4 @@
-"""Leases: only over time in which the service ran, and never many at once unseen."""
+"""Host leases: counted only while the service runs, and mass expiry held for an operator."""
 
 from __future__ import annotations
 
@@ -20,103 +20,103 @@
 ENTRY = Entry("s-1", "127.0.0.1:6001", "hall-a", "m", 1, "SERVING", 1.0, 1)
 
 
-class Clock:
-    """Leases with a clock of their own; some hosts renew three times a lease."""
+class LeaseSimulation:
+    """Leases on a simulated clock; hosts that are not silent renew three times per lease."""
 
     def __init__(self, hosts: int, share=0.2, seed=1) -> None:
         self.now, self.random = 100.0, random.Random(seed)
         self.leases = Leases(lambda: self.now, share)
-        self.next = {f"s-{number}": self.now + self.random.uniform(0, 3) for number in range(hosts)}
-        self.off: set[str] = set()
-        for host in self.next:
+        self.next_renewal = {f"s-{number}": self.now + self.random.uniform(0, 3) for number in range(hosts)}
+        self.removed: set[str] = set()
+        for host in self.next_renewal:
             self.leases.renew(host, LEASE)
 
     def run(self, seconds: float, silent=(), step=CHECK_INTERVAL) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += step
-            for host, at in self.next.items():
-                if at <= self.now and host not in silent and host not in self.off:
+            for host, at in self.next_renewal.items():
+                if at <= self.now and host not in silent and host not in self.removed:
                     self.leases.renew(host, LEASE)
-                    self.next[host] = self.now + 3
+                    self.next_renewal[host] = self.now + 3
             for host in self.leases.collect_expired():
-                self.off.add(host)
+                self.removed.add(host)
                 self.leases.remove(host)
 
 
-def test_a_few_silent_hosts_are_taken_off_at_their_time_and_no_others():
-    clock = Clock(100)
-    clock.run(30)
+def test_only_the_few_hosts_with_expired_leases_are_removed():
+    simulation = LeaseSimulation(100)
+    simulation.run(30)
     silent = {"s-1", "s-2", "s-3"}
-    clock.run(6, silent)
-    assert clock.off == set()
-    clock.run(5, silent)
-    assert clock.off == silent
-
-
-def test_all_at_once_are_held_from_the_first_and_stay_once_they_are_heard():
-    clock = Clock(100)
-    clock.run(30)
-    everyone = set(clock.next)
-    clock.run(60, everyone)
-    assert clock.off == set() and len(clock.leases.held) == 100
-    clock.run(30)
-    assert clock.off == set() and not clock.leases.held
-    clock.run(12, {"s-5"})
-    assert clock.off == {"s-5"}
-
-
-def test_hosts_that_come_back_last_get_a_whole_lease():
-    clock = Clock(100)
-    clock.run(30, ())
-    clock.run(60, set(clock.next))
-    last = {f"s-{number}" for number in range(10)}
-    clock.run(7, last)  # by now the hold has ended, and these were not yet heard
-    assert not clock.leases.held and clock.off == set()
-    clock.run(30)
-    assert clock.off == set()
-
-
-def test_one_after_another_no_more_than_the_share_goes_within_a_minute():
-    clock = Clock(100)
-    clock.run(30)
+    simulation.run(6, silent)
+    assert simulation.removed == set()
+    simulation.run(5, silent)
+    assert simulation.removed == silent
+
+
+def test_mass_expiry_is_held_and_released_by_renewals():
+    simulation = LeaseSimulation(100)
+    simulation.run(30)
+    all_hosts = set(simulation.next_renewal)
+    simulation.run(60, all_hosts)
+    assert simulation.removed == set() and len(simulation.leases.held) == 100
+    simulation.run(30)
+    assert simulation.removed == set() and not simulation.leases.held
+    simulation.run(12, {"s-5"})
+    assert simulation.removed == {"s-5"}
+
+
+def test_hosts_not_renewed_before_release_get_a_full_lease():
+    simulation = LeaseSimulation(100)
+    simulation.run(30, ())
+    simulation.run(60, set(simulation.next_renewal))
+    late = {f"s-{number}" for number in range(10)}
+    simulation.run(7, late)  # the hold has ended before these hosts renewed
+    assert not simulation.leases.held and simulation.removed == set()
+    simulation.run(30)
+    assert simulation.removed == set()
+
+
+def test_gradual_expiry_removes_at_most_the_share_per_minute():
+    simulation = LeaseSimulation(100)
+    simulation.run(30)
     silent: set[str] = set()
     for number in range(40):
         silent.add(f"s-{number}")
-        clock.run(0.75, silent)
-    clock.run(15, silent)
-    assert 0 < len(clock.off) <= 20
-    assert len(clock.leases.held) == 40 - len(clock.off)
+        simulation.run(0.75, silent)
+    simulation.run(15, silent)
+    assert 0 < len(simulation.removed) <= 20
+    assert len(simulation.leases.held) == 40 - len(simulation.removed)
 
 
-def test_a_person_confirms_those_that_are_held():
-    clock = Clock(100)
-    clock.run(30)
+def test_operator_confirms_held_removals():
+    simulation = LeaseSimulation(100)
+    simulation.run(30)
     silent = {f"s-{number}" for number in range(30)}
-    clock.run(20, silent)
-    assert clock.leases.held == silent and not clock.off
-    assert set(clock.leases.confirm_held()) == silent
-    clock.run(1, silent)
-    assert not clock.leases.held
+    simulation.run(20, silent)
+    assert simulation.leases.held == silent and not simulation.removed
+    assert set(simulation.leases.confirm_held()) == silent
+    simulation.run(1, silent)
+    assert not simulation.leases.held
 
 
-def test_of_two_hosts_one_may_go():
-    clock = Clock(2)
-    clock.run(20, {"s-0"})
-    assert clock.off == {"s-0"}
+def test_one_of_two_hosts_may_be_removed():
+    simulation = LeaseSimulation(2)
+    simulation.run(20, {"s-0"})
+    assert simulation.removed == {"s-0"}
 
 
-def test_time_in_which_the_service_stood_still_does_not_count():
-    clock = Clock(10)
-    clock.run(5)
-    for _ in range(20):  # stopped for an hour, again and again
-        clock.now += 3_600
-        clock.run(1)
-    assert clock.off == set() and not clock.leases.held
+def test_time_while_service_is_paused_does_not_count():
+    simulation = LeaseSimulation(10)
+    simulation.run(5)
+    for _ in range(20):  # paused for an hour each time
+        simulation.now += 3_600
+        simulation.run(1)
+    assert simulation.removed == set() and not simulation.leases.held
 
 
 @pytest.mark.parametrize("jump", [-86_400 * 10**6, 86_400 * 10**6])
-def test_a_wall_clock_that_jumps_moves_no_lease_and_takes_no_number_back(tmp_path, monkeypatch, jump):
+def test_wall_clock_jump_affects_neither_leases_nor_seq_order(tmp_path, monkeypatch, jump):
     @asyncio_test
     async def run():
         store = Store(tmp_path / "a.db")
@@ -142,7 +142,7 @@
 
 
 @asyncio_test
-async def test_a_service_that_is_stopped_or_away_takes_nobody_off(tmp_path):
+async def test_paused_or_restarted_service_removes_no_host(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         versions = [(await node.put(f"s-{number}", lease_ms=2000))["version"] for number in range(3)]
@@ -154,12 +154,12 @@
         await node.kill()
         await asyncio.sleep(2.5)
         await node.start()
-        for number, version in enumerate(versions):  # each has its whole lease from the start on
+        for number, version in enumerate(versions):  # each host has a full lease from the restart
             assert (await node.post(f"s-{number}", "renew", version)).status == 200
 
 
 @asyncio_test
-async def test_a_held_list_is_said_aloud_until_an_operator_confirms(tmp_path):
+async def test_held_list_is_reported_until_operator_confirms(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         for number in range(8):
@@ -172,7 +172,7 @@
         assert health.status == 503 and "held" in health["error"]
         assert b"event=list_held leases_out=8 leases=9" in node.log
         assert len((await node.list())["hosts"]) == 9
-        for body in ({"held": 7}, {"held": 9}):  # not what is held now
+        for body in ({"held": 7}, {"held": 9}):  # not the current number
             assert (await call(node.operators, "POST", "/hold", body)).status == 409
         assert (await call(node.operators, "POST", "/hold", {"held": "8"})).status == 400
         assert (await call(node.operators, "POST", "/hold", {"held": 8}))["taken_off"] == 8
