--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -1,4 +1,4 @@
-"""What is on disk: nothing acknowledged is lost, nothing damaged is served, numbers never go back."""
+"""The store: acknowledged writes survive, damage is detected, and sequence numbers never decrease."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return Entry(f"s-{number}", f"127.0.0.1:{6000 + number}", "hall-a", "m", 1, health, 1.0, number)
 
 
-def filled(path, hosts=40) -> None:
-    """A store with some hosts."""
+def create_store(path, hosts=40) -> None:
+    """Create a store with some hosts."""
     store = Store(path)
     store.create(PRIMARY, 0)
     store.load(Ledger())
@@ -30,7 +30,7 @@
     store.close()
 
 
-def loaded(path) -> Ledger:
+def load_store(path) -> Ledger:
     ledger, store = Ledger(), Store(path)
     try:
         store.load(ledger)
@@ -40,16 +40,16 @@
 
 
 class Writer:
-    """Keeps changing hosts of its own, and remembers what was acknowledged."""
+    """Changes its own hosts continuously and records which writes were acknowledged."""
 
-    def __init__(self, where: str, number: int, seed: int) -> None:
-        self.where, self.number, self.random = where, number, random.Random(seed)
-        self.sure: dict[str, tuple[int, str]] = {}  # by host: the version acknowledged and the state
-        self.doubt: dict[str, str] = {}  # by host: the state asked for, not acknowledged
-        self.done = 0
+    def __init__(self, address: str, number: int, seed: int) -> None:
+        self.address, self.number, self.random = address, number, random.Random(seed)
+        self.acknowledged: dict[str, tuple[int, str]] = {}  # by host: acknowledged version and state
+        self.unacknowledged: dict[str, str] = {}  # by host: requested state without acknowledgement
+        self.write_count = 0
 
     async def run(self) -> None:
-        wire = await Wire.open(self.where)
+        wire = await Wire.open(self.address)
         try:
             while True:
                 await self._step(wire)
@@ -58,30 +58,30 @@
 
     async def _step(self, wire: Wire) -> None:
         name = f"w{self.number}-{self.random.randrange(5)}"
-        version, state = self.sure.get(name, (0, "DELETED"))
-        asked = self.random.choice(("SERVING", "DRAINING", "DELETED"))
+        version, state = self.acknowledged.get(name, (0, "DELETED"))
+        requested = self.random.choice(("SERVING", "DRAINING", "DELETED"))
         if state == "DELETED":
-            asked = "SERVING"
-        self.doubt = {name: asked}
-        answer = await word(wire, name, asked, version)
+            requested = "SERVING"
+        self.unacknowledged = {name: requested}
+        answer = await word(wire, name, requested, version)
         assert answer.status == 200, answer
         assert answer["version"] > version
-        self.sure[name], self.doubt = (answer["version"], asked), {}
-        self.done += 1
+        self.acknowledged[name], self.unacknowledged = (answer["version"], requested), {}
+        self.write_count += 1
 
 
 @asyncio_test
-async def test_sigkill_under_writing_loses_no_acknowledged_write_and_leaves_no_half_one(tmp_path):
+async def test_sigkill_during_writes_loses_no_acknowledged_write_and_leaves_no_partial_one(tmp_path):
     async with Registry(tmp_path) as registry:
-        node, chance = registry.service(), random.Random(11)
+        node, rng = registry.service(), random.Random(11)
         last, kills = 0, 12
         for kill in range(kills):
             await node.start(*(["--new"] if not kill else []))
             before = {line["host"]: line["health"] for line in (await node.list())["hosts"]}
             writers = [Writer(node.listen, f"{kill}-{number}", kill * 10 + number) for number in range(6)]
             tasks = [asyncio.create_task(writer.run()) for writer in writers]
-            wanted = chance.randrange(1, 120)
-            while sum(writer.done for writer in writers) < wanted:
+            wanted = rng.randrange(1, 120)
+            while sum(writer.write_count for writer in writers) < wanted:
                 await asyncio.sleep(0.001)
             await node.kill()
             await asyncio.gather(*tasks)
@@ -90,18 +90,20 @@
             assert answer["seq"] > last
             last = answer["seq"]
             found = {line["host"]: line["health"] for line in answer["hosts"]}
-            assert {h: s for h, s in found.items() if h in before} == before  # those of earlier rounds
+            assert {h: s for h, s in found.items() if h in before} == before  # hosts of earlier rounds
             for writer in writers:
-                for name, (version, state) in writer.sure.items():
-                    may = {state, writer.doubt.get(name, state)}
-                    assert found.get(name, "DELETED") in may, (name, version)
+                for name, (version, state) in writer.acknowledged.items():
+                    allowed = {state, writer.unacknowledged.get(name, state)}
+                    assert found.get(name, "DELETED") in allowed, (name, version)
                     assert last > version
-            assert set(found) <= set(before) | {h for w in writers for h in (*w.sure, *w.doubt)}
+            assert set(found) <= set(before) | {
+                h for w in writers for h in (*w.acknowledged, *w.unacknowledged)
+            }
             await node.kill()
 
 
 @asyncio_test
-async def test_changes_from_before_a_restart_are_still_told_one_by_one(tmp_path):
+async def test_changes_from_before_restart_are_still_served_incrementally(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         seq = (await node.list())["seq"]
@@ -109,13 +111,13 @@
         await node.post("s-1", "drain", first["version"])
         await node.kill()
         await node.start()
-        told = await node.list(f"?index={seq}")
-        assert told["whole"] is False and told["seq"] > first["version"]
-        assert [line["health"] for line in told["hosts"]] == ["SERVING", "DRAINING"]
+        answer = await node.list(f"?index={seq}")
+        assert answer["whole"] is False and answer["seq"] > first["version"]
+        assert [line["health"] for line in answer["hosts"]] == ["SERVING", "DRAINING"]
 
 
 @asyncio_test
-async def test_versions_and_leases_outlive_a_restart(tmp_path):
+async def test_versions_and_leases_survive_restart(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         put = await node.put("s-1", lease_ms=7000)
@@ -129,18 +131,20 @@
         assert (await node.put("s-2", version=0))["version"] == gone["version"]
 
 
-def test_a_write_is_on_disk_before_it_is_answered(tmp_path):
-    """No kill shows it: only the settings say what outlives a loss of power."""
-    filled(tmp_path / "a.db", hosts=1)
+def test_write_is_durable_before_it_is_acknowledged(tmp_path):
+    """Killing the process can't simulate a power failure, so the durability settings are checked instead."""
+    create_store(tmp_path / "a.db", hosts=1)
     store = Store(tmp_path / "a.db")
     store.load(Ledger())
-    told = [store.db.execute(f"PRAGMA {name}").fetchone()[0] for name in ("journal_mode", "synchronous")]
+    durability = [
+        store.db.execute(f"PRAGMA {name}").fetchone()[0] for name in ("journal_mode", "synchronous")
+    ]
     store.close()
-    assert told == ["delete", 3]  # 3: EXTRA, the folder too
+    assert durability == ["delete", 3]  # 3: EXTRA, which also syncs the directory
 
 
-def test_each_truncated_store_is_refused(tmp_path):
-    filled(tmp_path / "whole.db")
+def test_truncated_store_is_refused(tmp_path):
+    create_store(tmp_path / "whole.db")
     raw = (tmp_path / "whole.db").read_bytes()
     cuts = {0, 1, 99, 100, 512, len(raw) - 1} | set(range(4096, len(raw), 4096))
     assert len(cuts) > 6
@@ -148,41 +152,41 @@
         path = tmp_path / f"cut{cut}.db"
         path.write_bytes(raw[:cut])
         with pytest.raises(StoreError, match="is damaged"):
-            loaded(path)
+            load_store(path)
 
 
-def test_a_flipped_bit_is_refused_or_changes_nothing(tmp_path):
-    filled(tmp_path / "whole.db")
-    raw, chance = (tmp_path / "whole.db").read_bytes(), random.Random(5)
-    whole, refused = loaded(tmp_path / "whole.db"), 0
+def test_flipped_bit_is_refused_or_changes_nothing(tmp_path):
+    create_store(tmp_path / "whole.db")
+    raw, rng = (tmp_path / "whole.db").read_bytes(), random.Random(5)
+    whole, refused = load_store(tmp_path / "whole.db"), 0
     path = tmp_path / "flipped.db"
     values = [raw.index(b'"dial":"127.0.0.1:6020"') + at for at in (3, 12, 20)]
-    for at in [*values, *(chance.randrange(len(raw)) for _ in range(300))]:
+    for at in [*values, *(rng.randrange(len(raw)) for _ in range(300))]:
         flipped = bytearray(raw)
-        flipped[at] ^= 1 << chance.randrange(8)
+        flipped[at] ^= 1 << rng.randrange(8)
         path.write_bytes(flipped)
         try:
-            ledger = loaded(path)
+            ledger = load_store(path)
         except StoreError:
             refused += 1
-        else:  # free space, or a figure of SQLite's own
+        else:  # the bit was in free space or in SQLite's own metadata
             assert ledger.records == whole.records and ledger.seq == whole.seq and at not in values
         (tmp_path / "flipped.db-journal").unlink(missing_ok=True)
     assert refused > 100
 
 
-def test_damage_that_no_row_shows_is_refused(tmp_path):
+def test_damage_outside_rows_is_refused(tmp_path):
     path = tmp_path / "a.db"
-    filled(path)
+    create_store(path)
     raw = bytearray(path.read_bytes())
-    raw[39] += 1  # pages that are free, as the file's head tells it
+    raw[39] += 1  # the number of free pages in the file header
     path.write_bytes(raw)
     with pytest.raises(StoreError, match="is damaged"):
-        loaded(path)
+        load_store(path)
 
 
 @asyncio_test
-async def test_a_missing_damaged_or_used_store_is_refused_with_one_line(tmp_path):
+async def test_missing_damaged_or_locked_store_is_refused_with_one_line(tmp_path):
     async with Registry(tmp_path) as registry:
         node = registry.service()
         assert "does not exist" in await registry.refused(*node.words())
@@ -202,7 +206,7 @@
 
 
 @asyncio_test
-async def test_numbers_go_on_above_all_others_after_the_store_was_lost(tmp_path):
+async def test_sequence_numbers_continue_above_earlier_ones_after_store_loss(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         last = (await node.put("s-1"))["version"]
@@ -220,7 +224,7 @@
 
 
 @asyncio_test
-async def test_a_store_restored_from_a_backup_gives_no_number_a_second_meaning(tmp_path):
+async def test_restored_backup_reuses_no_sequence_number(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         kept = await node.put("s-1")
@@ -238,7 +242,7 @@
 
 
 @asyncio_test
-async def test_a_new_list_is_not_read_before_hosts_could_register(tmp_path):
+async def test_new_list_is_not_readable_before_hosts_could_register(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service(settle=1.5).start("--new")
         assert (await node.list()).status == 503
@@ -251,12 +255,12 @@
 
 
 @asyncio_test
-async def test_a_full_disk_refuses_writes_and_changes_nothing(tmp_path):
+async def test_full_disk_refuses_writes_and_changes_nothing(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         put = await node.put("s-1")
         blocker = sqlite3.connect(node.store, isolation_level=None)
-        blocker.execute("BEGIN IMMEDIATE")  # stands for any write that the store can't take
+        blocker.execute("BEGIN IMMEDIATE")  # makes the store's writes fail, like a full disk
         answer = await node.post("s-1", "drain", put["version"])
         assert answer.status == 503
         assert (await call(node.operators, "GET", "/health")).status == 503
