--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -1,4 +1,4 @@
-"""The list service's calls: what readers and writers get, and what bad input gets."""
+"""The registry's HTTP interface: responses to readers and writers, and handling of invalid input."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from ops.http import Server
 
 
-async def one(registry: Registry, **options):
+async def started_node(registry: Registry, **options):
     return await registry.service(**options).start("--new")
 
 
 @asyncio_test
-async def test_a_reader_gets_the_whole_list_then_changes_with_every_field(tmp_path):
+async def test_reader_gets_full_list_then_changes_with_every_field(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         first = await node.put("s-1", share=0.5, block=3, born_ms=1700000000000)
         whole = await node.list()
         assert whole["whole"] is True and whole["seq"] == first["version"]
@@ -38,9 +38,9 @@
 
 
 @asyncio_test
-async def test_a_watch_waits_for_news_or_for_its_time(tmp_path):
+async def test_watch_returns_on_change_or_timeout(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         seq = (await node.list())["seq"]
         empty = await node.list(f"?index={seq}&wait=50")
         assert (empty["seq"], empty["whole"], empty["hosts"]) == (seq, False, [])
@@ -49,17 +49,17 @@
         while (await node.figures())["watches"] == 0:
             await asyncio.sleep(0.01)
         put = await node.put("s-1")
-        told = await wire.answer()
-        assert (told["seq"], told["whole"], names(told)) == (put["version"], False, {"s-1"})
-        wire.send("GET", f"{PATH}?index={told['seq']}&wait=60000")  # the same connection goes on
+        change = await wire.answer()
+        assert (change["seq"], change["whole"], names(change)) == (put["version"], False, {"s-1"})
+        wire.send("GET", f"{PATH}?index={change['seq']}&wait=60000")  # on the same connection
         await node.remove("s-1", put["version"])
         assert [line["health"] for line in (await wire.answer())["hosts"]] == ["DELETED"]
 
 
 @asyncio_test
-async def test_a_watch_that_is_cut_off_leaves_nothing_behind(tmp_path):
+async def test_aborted_watch_releases_its_resources(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         seq = (await node.list())["seq"]
         wires = [await Wire.open(node.listen) for _ in range(20)]
         for wire in wires:
@@ -70,16 +70,16 @@
             if number % 2:
                 wire.close()
             else:
-                wire.writer.write_eof()  # a half-closed one can't ask again
+                wire.writer.write_eof()  # a half-closed connection can't send another request
         while (figures := await node.figures())["watches"] or figures["connections"]:
             await asyncio.sleep(0.01)
         assert (await node.put("s-1")).status == 200
 
 
 @asyncio_test
-async def test_an_index_that_was_never_given_out_gets_the_whole_list(tmp_path):
+async def test_unassigned_index_gets_full_list(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         put = await node.put("s-1")
         for index in (0, 41, put["version"] - 1, put["version"] + 1, 2**53 - 1):
             answer = await asyncio.wait_for(node.list(f"?index={index}&wait=60000"), 5)
@@ -87,14 +87,14 @@
 
 
 @asyncio_test
-async def test_a_late_writer_undoes_no_newer_word(tmp_path):
+async def test_stale_write_does_not_overwrite_newer_one(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         old = await node.put("s-1")
-        new = await node.put("s-1", version=old["version"])  # the process started again
+        new = await node.put("s-1", version=old["version"])  # a restart of the host's process
         assert new["born_ms"] > old["born_ms"]
-        goodbye = await node.remove("s-1", old["version"])
-        assert goodbye.status == 409 and goodbye["version"] == new["version"]
+        stale_removal = await node.remove("s-1", old["version"])
+        assert stale_removal.status == 409 and stale_removal["version"] == new["version"]
         assert (await node.post("s-1", "drain", old["version"])).status == 409
         assert (await node.post("s-1", "renew", old["version"])).status == 409
         assert (await node.put("s-1", version=0)).status == 409
@@ -103,19 +103,19 @@
         whole = await node.list()
         assert whole["seq"] == new["version"] and whole["hosts"][0]["health"] == "SERVING"
         ahead = await node.put("s-1", version=new["version"], born_ms=new["born_ms"] + 3_600_000)
-        new = await node.put("s-1", version=ahead["version"])  # though its clock was ahead
+        new = await node.put("s-1", version=ahead["version"])  # the host's clock was ahead before
         assert new["born_ms"] > ahead["born_ms"]
-        gone = await node.remove("s-1", new["version"])
-        late = await node.put("s-1", version=0)  # was on its way when the host was taken out
-        assert late.status == 409 and late["version"] == gone["version"]
-        again = await node.put("s-1", version=gone["version"])
+        removed = await node.remove("s-1", new["version"])
+        late = await node.put("s-1", version=0)  # delayed, and overtaken by the host's removal
+        assert late.status == 409 and late["version"] == removed["version"]
+        again = await node.put("s-1", version=removed["version"])
         assert again.status == 200 and again["born_ms"] > new["born_ms"]
 
 
 @asyncio_test
-async def test_of_writers_at_the_same_time_one_wins(tmp_path):
+async def test_one_of_several_concurrent_writers_wins(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         old = await node.put("s-1")
         wires = [await Wire.open(node.listen) for _ in range(16)]
         for number, wire in enumerate(wires):
@@ -128,9 +128,9 @@
 
 
 @asyncio_test
-async def test_a_lease_that_runs_out_takes_the_host_off_and_a_renewed_one_stays(tmp_path):
+async def test_expired_lease_removes_host_and_renewed_lease_keeps_it(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         kept = await node.put("kept", lease_ms=2000)
         lost = await node.put("lost", lease_ms=2000)
         seq = (await node.list())["seq"]
@@ -141,7 +141,9 @@
         late = await node.post("lost", "renew", lost["version"])
         assert late.status == 404 and late["version"] > lost["version"]
         same = await node.put("lost", version=late["version"], born_ms=lost["born_ms"])
-        assert same.status == 200 and same["born_ms"] == lost["born_ms"]  # the process is the same
+        assert (
+            same.status == 200 and same["born_ms"] == lost["born_ms"]
+        )  # the host's process has not restarted
 
 
 BAD_TARGETS = [
@@ -203,9 +205,9 @@
 
 
 @asyncio_test
-async def test_bad_input_gets_one_line_of_reason_and_changes_nothing(tmp_path):
+async def test_invalid_input_gets_one_line_error_and_changes_nothing(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         put = await node.put("s-1")
         before = await node.list()
         wire = await Wire.open(node.listen)
@@ -246,11 +248,11 @@
         (b"\x16\x03\x01\x02\x00", 400),  # TLS
     ],
 )
-def test_what_is_no_http_is_told_so_and_closed(tmp_path, raw, status):
+def test_invalid_http_gets_error_and_is_closed(tmp_path, raw, status):
     @asyncio_test
     async def run():
         async with Registry(tmp_path) as registry:
-            node = await one(registry)
+            node = await started_node(registry)
             wire = await Wire.open(node.listen)
             wire.writer.write(raw)
             answer = await asyncio.wait_for(wire.answer(), 9)
@@ -262,9 +264,9 @@
 
 
 @asyncio_test
-async def test_slow_silent_and_unread_callers_are_closed_in_bounded_time(tmp_path):
+async def test_slow_idle_and_non_reading_clients_are_closed_in_bounded_time(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         for number in range(300):
             await node.put(f"s-{number}")
         silent, slow, unread = [await Wire.open(node.listen) for _ in range(3)]
@@ -279,15 +281,15 @@
                 await asyncio.sleep(0.1)
         calls = (await node.figures())["calls"]
         assert (calls["closed_slow"], calls["cut_unread"]) == (2, 1)
-        assert calls["answered"] < 500  # what does not fit between them was never made
+        assert calls["answered"] < 500  # responses beyond the socket buffers were never built
 
 
 @asyncio_test
-async def test_a_connection_without_a_request_is_closed_after_a_while():
+async def test_idle_connection_is_closed_after_timeout():
     server = Server(lambda exchange, request: exchange.answer(b"{}"), 4, idle_for=0.1)
     await server.listen(("127.0.0.1", 0))
     wire = await Wire.open(address_of(server.server))
-    for _ in range(3):  # it goes on for as long as it asks
+    for _ in range(3):  # requests keep the connection open
         assert (await wire.call("GET", "/")).status == 200
     assert await asyncio.wait_for(wire.reader.read(), 5) == b""
     assert server.counts["closed_idle"] == 1 and not server.exchanges
@@ -295,19 +297,19 @@
 
 
 @asyncio_test
-async def test_more_connections_than_the_bound_are_told_so_and_hold_nothing(tmp_path):
+async def test_connections_beyond_the_limit_get_429_and_hold_no_resources(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry, connections=8)
+        node = await started_node(registry, connections=8)
         seq = (await node.list())["seq"]
         watches = [await Wire.open(node.listen) for _ in range(8)]
         for wire in watches:
             wire.send("GET", f"{PATH}?index={seq}&wait=60000")
         while (await node.figures())["watches"] < 8:
             await asyncio.sleep(0.01)
-        over = [await call(node.listen, "GET", PATH) for _ in range(4)]
-        assert [answer.status for answer in over] == [429] * 4
-        many = [await Wire.open(node.listen) for _ in range(40)]
-        for wire in many:  # they say nothing
+        rejected = [await call(node.listen, "GET", PATH) for _ in range(4)]
+        assert [answer.status for answer in rejected] == [429] * 4
+        idle_clients = [await Wire.open(node.listen) for _ in range(40)]
+        for wire in idle_clients:  # clients that send nothing
             assert await asyncio.wait_for(wire.reader.read(), 5) == b""
         figures = await node.figures()
         assert figures["watches"] == 8 and figures["calls"]["cut_crowded"] > 20
@@ -320,9 +322,9 @@
 
 
 @asyncio_test
-async def test_a_full_list_takes_no_more_hosts_but_lets_those_on_it_speak(tmp_path):
+async def test_full_list_rejects_new_hosts_but_accepts_listed_ones(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry, hosts=2)
+        node = await started_node(registry, hosts=2)
         first = await node.put("s-1")
         assert (await node.put("s-2")).status == 200
         assert (await node.put("s-3")).status == 403
@@ -330,9 +332,9 @@
 
 
 @asyncio_test
-async def test_sigterm_answers_watches_and_ends_with_nothing_lost(tmp_path):
+async def test_sigterm_answers_watches_and_loses_nothing(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await one(registry)
+        node = await started_node(registry)
         seq = (await node.list())["seq"]
         wires = [await Wire.open(node.listen) for _ in range(5)]
         for wire in wires:
