--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -1,4 +1,4 @@
-"""The list service before a fleet of 200 watchers; ``-s`` prints the figures of docs/measurements.md."""
+"""The registry with a fleet of 200 watchers; ``-s`` prints the figures of docs/measurements.md."""
 
 from __future__ import annotations
 
@@ -15,21 +15,26 @@
 
 
 class Watcher(asyncio.Protocol):
-    """Watches one service as a gateway does; keeps what it was told, in order."""
-
-    def __init__(self, node: Node, index: int, seed: int, breaks: float = 0.0) -> None:
-        self.node, self.index, self.random, self.breaks = node, index, random.Random(seed), breaks
-        self.told: list[tuple[str, str]] = []
-        self.wholes = self.answers = self.bytes = self.connections = 0
+    """Watches one service as a gateway does and records the changes in the order received."""
+
+    def __init__(self, node: Node, index: int, seed: int, disconnect_rate: float = 0.0) -> None:
+        self.node, self.index, self.random, self.disconnect_rate = (
+            node,
+            index,
+            random.Random(seed),
+            disconnect_rate,
+        )
+        self.changes: list[tuple[str, str]] = []
+        self.full_lists = self.answers = self.bytes = self.connections = 0
         self.buffer = b""
         self.done = False
         self.transport: asyncio.Transport | None = None
 
     async def start(self) -> None:
-        where, _, port = self.node.listen.rpartition(":")
+        address, _, port = self.node.listen.rpartition(":")
         while not self.done:
             try:
-                await asyncio.get_running_loop().create_connection(lambda: self, where, int(port))
+                await asyncio.get_running_loop().create_connection(lambda: self, address, int(port))
                 return
             except OSError:
                 await asyncio.sleep(0.05)
@@ -37,7 +42,7 @@
     def connection_made(self, transport) -> None:
         self.transport, self.buffer = transport, b""
         self.connections += 1
-        if self.done:  # it was still connecting at the end
+        if self.done:  # the connection was still being set up when the watcher ended
             transport.abort()
             return
         self.ask()
@@ -48,8 +53,8 @@
     def data_received(self, data: bytes) -> None:
         self.buffer += data
         self.bytes += len(data)
-        head, found, body = self.buffer.partition(b"\r\n\r\n")
-        if not found:
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
+        if not separator:
             return
         length = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
         if len(body) < length:
@@ -59,16 +64,16 @@
         assert answer["seq"] >= self.index
         self.index = answer["seq"]
         self.answers += 1
-        self.wholes += answer["whole"]
-        self.told += [(line["host"], line["health"]) for line in answer["hosts"]]
-        if b"close" in head or self.random.random() < self.breaks:
+        self.full_lists += answer["whole"]
+        self.changes += [(line["host"], line["health"]) for line in answer["hosts"]]
+        if b"close" in head or self.random.random() < self.disconnect_rate:
             self.transport.abort()
         else:
             self.ask()
 
     def connection_lost(self, error) -> None:
         if not self.done:
-            self.again = asyncio.get_running_loop().create_task(self.start())
+            self.reconnect = asyncio.get_running_loop().create_task(self.start())
 
     def end(self) -> None:
         self.done = True
@@ -76,7 +81,7 @@
 
 
 async def hosts_on(node: Node, count: int, **changes) -> dict[str, int]:
-    """Register hosts, many at a time; their versions."""
+    """Register hosts over several connections and return their versions."""
     wires = [await Wire.open(node.listen) for _ in range(10)]
     versions = {}
     for start in range(0, count, len(wires)):
@@ -90,10 +95,10 @@
     return versions
 
 
-async def watchers_on(node: Node, breaks=0.0) -> list[Watcher]:
-    """All of them, waiting."""
+async def watchers_on(node: Node, disconnect_rate=0.0) -> list[Watcher]:
+    """Start all watchers and wait until each has a pending watch."""
     seq = (await node.list())["seq"]
-    watchers = [Watcher(node, seq, number, breaks) for number in range(WATCHERS)]
+    watchers = [Watcher(node, seq, number, disconnect_rate) for number in range(WATCHERS)]
     await asyncio.gather(*(watcher.start() for watcher in watchers))
     while (await node.figures())["watches"] < WATCHERS:
         await asyncio.sleep(0.02)
@@ -101,40 +106,42 @@
 
 
 class Changes:
-    """Random words about the hosts of one service, one after another; keeps those that were acknowledged."""
+    """Makes random changes to the hosts of one service and records the acknowledged ones."""
 
     def __init__(self, node: Node, versions: dict[str, int], seed: int) -> None:
         self.node, self.versions, self.random = node, versions, random.Random(seed)
         self.states = dict.fromkeys(versions, "SERVING")
-        self.made: list[tuple[str, str]] = []
+        self.acknowledged: list[tuple[str, str]] = []
 
-    async def make(self, wire: Wire) -> None:
+    async def write_random(self, wire: Wire) -> None:
         name = self.random.choice(sorted(self.versions))
         version, state = self.versions[name], self.states[name]
-        asked = "SERVING" if state == "DELETED" else self.random.choice(("SERVING", "DRAINING", "DELETED"))
-        answer = await word(wire, name, asked, version)
+        requested = (
+            "SERVING" if state == "DELETED" else self.random.choice(("SERVING", "DRAINING", "DELETED"))
+        )
+        answer = await word(wire, name, requested, version)
         assert answer.status == 200
-        self.versions[name], self.states[name] = answer["version"], asked
-        self.made.append((name, asked))
+        self.versions[name], self.states[name] = answer["version"], requested
+        self.acknowledged.append((name, requested))
 
 
 @asyncio_test
-async def test_each_change_reaches_each_of_200_watchers_once_and_in_order_also_across_reconnects(tmp_path):
+async def test_each_change_reaches_200_reconnecting_watchers_once_and_in_order(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         changes = Changes(node, await hosts_on(node, HOSTS), seed=3)
-        watchers = await watchers_on(node, breaks=0.1)
+        watchers = await watchers_on(node, disconnect_rate=0.1)
         wire = await Wire.open(node.listen)
         for _ in range(60):
-            await changes.make(wire)
+            await changes.write_random(wire)
         await node.kill()
         await node.start()
         wire = await Wire.open(node.listen)
         for _ in range(60):
-            await changes.make(wire)
-        await until(lambda: all(len(watcher.told) >= 120 for watcher in watchers), 30)
-        assert all(watcher.told == changes.made for watcher in watchers)
-        assert sum(watcher.wholes for watcher in watchers) == 0
+            await changes.write_random(wire)
+        await until(lambda: all(len(watcher.changes) >= 120 for watcher in watchers), 30)
+        assert all(watcher.changes == changes.acknowledged for watcher in watchers)
+        assert sum(watcher.full_lists for watcher in watchers) == 0
         assert sum(watcher.connections for watcher in watchers) > 3 * WATCHERS
         for watcher in watchers:
             watcher.end()
@@ -143,7 +150,7 @@
 
 
 @asyncio_test
-async def test_many_watches_cost_one_answer_made_and_one_sent_each(tmp_path):
+async def test_response_is_built_once_and_sent_once_per_watcher(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         changes = Changes(node, await hosts_on(node, HOSTS), seed=4)
@@ -152,15 +159,15 @@
         wire, delays = await Wire.open(node.listen), []
         for count in range(1, 41):
             started = time.perf_counter()
-            await changes.make(wire)
-            await until(lambda count=count: all(len(watcher.told) == count for watcher in watchers))
+            await changes.write_random(wire)
+            await until(lambda count=count: all(len(watcher.changes) == count for watcher in watchers))
             delays.append(1000 * (time.perf_counter() - started))
         after = await node.figures()
         each = (sum(watcher.bytes for watcher in watchers) - sent) / 40 / WATCHERS
         made = after["answers_made"] - before["answers_made"]
-        assert made == 40  # however many wait
+        assert made == 40  # independent of the number of watchers
         cpu = 1000 * (after["cpu_s"] - before["cpu_s"]) / 40
-        assert each < 400  # one host's line and a head, however many hosts there are
+        assert each < 400  # one host's entry and the response head, independent of the number of hosts
         assert sum(watcher.answers for watcher in watchers) == 40 * WATCHERS
         print(f"\nwrite to last of {WATCHERS} watchers: median {statistics.median(delays):.1f} ms, ", end="")
         print(f"worst {max(delays):.1f} ms; {each:.0f} bytes a change and watcher; CPU {cpu:.1f} ms a change")
@@ -171,18 +178,18 @@
             own = Changes(node, {k: v for k, v in changes.versions.items() if int(k[2:]) % 16 == number}, 5)
             own.states = {name: changes.states[name] for name in own.versions}
             for _ in range(count // 16):
-                await own.make(wire)
+                await own.write_random(wire)
 
         await asyncio.gather(*(write(number, wire) for number, wire in enumerate(wires)))
-        await until(lambda: all(len(watcher.told) == 40 + count for watcher in watchers), 30)
+        await until(lambda: all(len(watcher.changes) == 40 + count for watcher in watchers), 30)
         rate = count / (time.perf_counter() - started)
         answers = sum(watcher.answers for watcher in watchers) / WATCHERS - 40
-        assert answers <= count  # words that are stored together are told together
+        assert answers <= count  # changes of one transaction are sent in one response
         print(f"16 writers: {rate:.0f} changes a second, {answers / count:.2f} answers a change and watcher")
         before = await node.figures()
         await asyncio.sleep(2)
         after = await node.figures()
-        assert after["bytes_out"] == before["bytes_out"]  # nobody is told anything at rest
+        assert after["bytes_out"] == before["bytes_out"]  # nothing is sent while nothing changes
         rest = (after["cpu_s"] - before["cpu_s"]) / 2
         print(f"at rest: {100 * rest:.1f}% of a core, {after['rss_kb_most'] // 1024} MB at most so far")
         for watcher in watchers:
@@ -190,7 +197,7 @@
 
 
 @asyncio_test
-async def test_after_sigkill_a_thousand_hosts_are_told_again_whole(tmp_path):
+async def test_full_list_of_1000_hosts_is_served_after_sigkill(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
         await hosts_on(node, 1_000)
@@ -208,10 +215,12 @@
 
 
 @asyncio_test
-async def test_the_log_stays_bounded_under_calls_that_fail(tmp_path):
+async def test_log_stays_bounded_under_failing_requests(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.service().start("--new")
-        assert len(await hosts_on(node, 300, lease_ms=10_000)) == 300  # all are on before one runs out
+        assert (
+            len(await hosts_on(node, 300, lease_ms=10_000)) == 300
+        )  # all are listed before the first lease expires
         while (await call(node.operators, "GET", "/hold"))["held"] < 300:
             await asyncio.sleep(0.05)
         assert (await call(node.operators, "POST", "/hold", {"held": 300})).status == 200
