--- a/registry/primary.py
+++ b/registry/primary.py
@@ -126,7 +126,7 @@
         return max(last + 1, self.seq_above + 1, now_us())
 
     def unavailable_reason(self) -> str | None:
-        """Refuse reads of a new list until hosts have had time to register."""
+        """Return why readers can't be answered: a new list is refused until hosts had time to register."""
         if asyncio.get_running_loop().time() < self.readable_at:
             return "new list: waiting for hosts to register"
         return super().unavailable_reason()
@@ -138,9 +138,9 @@
         return super().health_problem()
 
     async def on_start(self) -> None:
-        """Load the store and begin with a fresh seq.
+        """Load the store and commit a sequence number of this start.
 
-        Otherwise numbers that were assigned after a backup was made could be assigned again after a restore.
+        After a restore, numbers assigned after the backup was made are thus never taken for known ones.
         """
         role = self.store.load(self.ledger)
         if role != PRIMARY and not self.promote:
