--- a/registry/leases.py
+++ b/registry/leases.py
@@ -1,69 +1,76 @@
-"""Leases: by the monotonic clock, only over time in which the service ran, never many at once unseen."""
+"""Host leases, measured on the monotonic clock and only while the service runs.
+
+Expired hosts are removed from the list, unless so many expire at once that a fault of the network or of the
+service is the likelier cause; then all removals are held until the hosts renew or an operator confirms.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Collection
 
-TICK = 0.25  # seconds between two looks
-LATE = 0.75  # of its lease without a word: a host that counts as late once another one's ran out
-SHARE = 0.2  # of all hosts: no more are taken off without a person's word
-WINDOW = 60.0  # seconds over which that share holds
+CHECK_INTERVAL = 0.25  # seconds between two checks for expired leases
+LATE_FRACTION = 0.75  # of a lease without renewal: such hosts count as late once another lease has expired
+DEFAULT_HOLD_SHARE = 0.2  # of all hosts: the most that are removed without an operator's confirmation
+HOLD_WINDOW = 60.0  # seconds: the removals that count against the share
 
 
 class Leases:
-    """When each host was heard last, on a clock that stands while the service does."""
+    """The last renewal of each host, on a clock that stops while the service is stopped."""
+
+    def __init__(self, clock: Callable[[], float], share: float = DEFAULT_HOLD_SHARE) -> None:
+        self.clock, self.hold_share = clock, share
+        self.last_check = clock()
+        self.running_time = 0.0  # seconds that this service has been running
+        self.renewals: dict[str, tuple[float, float]] = {}  # last renewal in running time, lease in seconds
+        self.expiring: set[str] = set()  # removal is queued
+        self.removal_times: deque[float] = deque()  # when leases expired within HOLD_WINDOW
+        self.held: frozenset[str] = frozenset()  # expired but kept, because too many expired at once
 
-    def __init__(self, clock: Callable[[], float], share: float = SHARE) -> None:
-        self.clock, self.share = clock, share
-        self.seen = clock()  # the clock at the last look
-        self.time = 0.0  # of this service: seconds in which it ran
-        self.heard: dict[str, tuple[float, float]] = {}  # when last, and the length of the lease
-        self.leaving: set[str] = set()  # being taken off
-        self.taken: deque[float] = deque()  # when hosts were taken off as their leases ran out
-        self.held: frozenset[str] = frozenset()  # would be taken off, but are too many
+    def renew(self, host: str, lease_ms: int) -> None:
+        """Start the host's lease anew."""
+        self.renewals[host] = (self.running_time, lease_ms / 1_000)
+        self.expiring.discard(host)
 
-    def hear(self, host: str, lease: int) -> None:
-        """A host's word: its lease, in milliseconds, begins anew."""
-        self.heard[host] = (self.time, lease / 1_000)
-        self.leaving.discard(host)
+    def remove(self, host: str) -> None:
+        """Drop the lease of a host that is no longer listed."""
+        self.renewals.pop(host, None)
+        self.expiring.discard(host)
 
-    def forget(self, host: str) -> None:
-        """It is off the list."""
-        self.heard.pop(host, None)
-        self.leaving.discard(host)
+    def is_expired(self, host: str) -> bool:
+        """Return whether the host's lease has expired."""
+        since, length = self.renewals[host]
+        return self.running_time - since >= length
 
-    def ran_out(self, host: str) -> bool:
-        """Its lease is over."""
-        since, length = self.heard[host]
-        return self.time - since >= length
+    def collect_expired(self) -> Collection[str]:
+        """Return the hosts to remove now; called every CHECK_INTERVAL.
 
-    def look(self) -> Collection[str]:
-        """Every TICK: the hosts to take off now. A look that comes late counts as one in time: for as long as
-        the service stood it heard nobody."""
+        A delayed check advances the clock by two intervals at most: while the service was stopped it could
+        not receive renewals.
+        """
         now = self.clock()
-        self.time += min(max(0.0, now - self.seen), 2 * TICK)
-        self.seen = now
-        while self.taken and self.time - self.taken[0] > WINDOW:
-            self.taken.popleft()
-        stay = {host: told for host, told in self.heard.items() if host not in self.leaving}
-        over = [host for host in stay if self.ran_out(host)]
-        late = sum(self.time - since >= LATE * length for since, length in stay.values())
-        most = max(1, int(self.share * (len(self.heard) + len(self.taken))))
-        if over and late + len(self.taken) > most:
-            self.held = frozenset(over)
+        self.running_time += min(max(0.0, now - self.last_check), 2 * CHECK_INTERVAL)
+        self.last_check = now
+        while self.removal_times and self.running_time - self.removal_times[0] > HOLD_WINDOW:
+            self.removal_times.popleft()
+        active = {host: renewal for host, renewal in self.renewals.items() if host not in self.expiring}
+        expired = [host for host in active if self.is_expired(host)]
+        late = sum(self.running_time - since >= LATE_FRACTION * length for since, length in active.values())
+        max_removals = max(1, int(self.hold_share * (len(self.renewals) + len(self.removal_times))))
+        if expired and late + len(self.removal_times) > max_removals:
+            self.held = frozenset(expired)
             return ()
-        if self.held:  # heard again: the others had no better chance, and get theirs
-            for host in over:
-                self.heard[host] = (self.time, self.heard[host][1])
+        if self.held:  # renewals work again: hosts that have not renewed yet get a full lease to do so
+            for host in expired:
+                self.renewals[host] = (self.running_time, self.renewals[host][1])
             self.held = frozenset()
             return ()
-        self.taken.extend(self.time for _ in over)
-        self.leaving.update(over)
-        return over
+        self.removal_times.extend(self.running_time for _ in expired)
+        self.expiring.update(expired)
+        return expired
 
-    def confirm(self) -> Collection[str]:
-        """A person says that the held ones are gone."""
-        gone, self.held = self.held, frozenset()
-        self.leaving |= gone
-        return gone
+    def confirm_held(self) -> Collection[str]:
+        """Release the held hosts for removal, after an operator's confirmation."""
+        confirmed, self.held = self.held, frozenset()
+        self.expiring |= confirmed
+        return confirmed
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -1,4 +1,4 @@
-"""The primary: takes writes, one transaction after another, and keeps leases."""
+"""The primary: serializes writes into transactions and tracks host leases."""
 
 from __future__ import annotations
 
@@ -13,84 +13,87 @@
 from ops.http import Exchange, Refused, Request
 
 from .entries import (
-    BLOCK_MOST,
     DELETED,
     DRAINING,
-    LEASE_LEAST,
-    LEASE_MOST,
+    MAX_BLOCK,
+    MAX_LEASE_MS,
+    MIN_LEASE_MS,
     SERVING,
     Entry,
     Record,
-    address,
-    digits,
-    fields,
-    health,
-    name,
+    check_fields,
+    parse_address,
+    parse_digits,
+    parse_health,
+    parse_integer,
     parse_json,
-    share,
-    whole_number,
+    parse_name,
+    parse_share,
 )
-from .leases import TICK, Leases
+from .leases import CHECK_INTERVAL, Leases
 from .ledger import Ledger
-from .meeting import Meeting
-from .service import END_WITHIN, Stored, dump
-from .store import PRIMARY, Damaged, Store, may_pass
+from .meeting import Rendezvous
+from .service import SHUTDOWN_TIMEOUT, StoredService, to_json
+from .store import PRIMARY, Store, StoreError, is_transient
 
 log = logs.get(__name__)
 
-BATCH_MOST = 256  # writes in one transaction
-QUEUE_MOST = 4_096  # writes that wait for theirs
-AHEAD_MOST = 86_400_000  # milliseconds that a host's clock may be ahead of ours
+MAX_BATCH = 256  # writes per transaction
+MAX_QUEUED_WRITES = 4_096
+MAX_CLOCK_AHEAD_MS = 86_400_000  # by which a host's clock may be ahead of this one
 
 
 def now_us() -> int:
-    """The clock, in microseconds."""
+    """Return the wall clock in microseconds."""
     return time.time_ns() // 1_000
 
 
 class Draft:
-    """The list as the writes of one transaction leave it, before it is on disk."""
+    """The uncommitted changes of one transaction, layered over the ledger."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.changed: dict[str, Record | None] = {}
-        self.steps: list[tuple[int, tuple[Entry, ...]]] = []
-        self.gone: dict[str, tuple[int, Entry]] = {}
-        self.hosts = len(ledger.records)
+        self.records: dict[str, Record | None] = {}
+        self.changes: list[tuple[int, tuple[Entry, ...]]] = []
+        self.removed: dict[str, tuple[int, Entry]] = {}
+        self.host_count = len(ledger.records)
 
     def get(self, host: str) -> Record | None:
-        """A host on the list."""
-        return self.changed[host] if host in self.changed else self.ledger.records.get(host)
+        """Return the host's record, or None if it is not listed."""
+        return self.records[host] if host in self.records else self.ledger.records.get(host)
 
-    def left(self, host: str) -> tuple[int, int]:
-        """Of a host that was taken off: the version of that word and its last start, 0 where forgotten."""
-        seq, entry = self.gone.get(host) or self.ledger.gone.get(host, (0, None))
+    def last_removal(self, host: str) -> tuple[int, int]:
+        """Return the version and ``born_ms`` of a host's last removal, zeros if it is no longer retained."""
+        seq, entry = self.removed.get(host) or self.ledger.removed.get(host, (0, None))
         return seq, entry.born_ms if entry else 0
 
-    def compared(self, host: str, version: int) -> Record:
-        """A host on the list; Refused where it isn't the one that the writer knows."""
+    def check_version(self, host: str, version: int) -> Record:
+        """Return the host's record; raises Refused if its version is not the given one (compare-and-set)."""
         record = self.get(host)
         if record is None:
-            raise Refused(404, "not on the list: register", version=self.left(host)[0])
+            raise Refused(404, "not on the list: register first", version=self.last_removal(host)[0])
         if record.version != version:
-            shown = parse_json(record.entry.text.encode())
-            raise Refused(409, "a newer word holds", version=record.version, entry=shown)
+            current = parse_json(record.entry.json_text.encode())
+            raise Refused(
+                409, "version conflict: a newer write exists", version=record.version, entry=current
+            )
         return record
 
     def put(self, seq: int, entry: Entry, record: Record | None) -> None:
-        """One write."""
-        self.hosts += (record is not None) - (self.get(entry.host) is not None)
-        self.changed[entry.host] = record
-        self.steps.append((seq, (entry,)))
+        """Add one write to the transaction."""
+        self.host_count += (record is not None) - (self.get(entry.host) is not None)
+        self.records[entry.host] = record
+        self.changes.append((seq, (entry,)))
         if record is None:
-            self.gone[entry.host] = (seq, entry)
+            self.removed[entry.host] = (seq, entry)
 
 
-Decide = Callable[[Draft, int], tuple[Entry, Record | None] | None]  # what a write leads to, with its number
+# Maps a draft and the next seq to the published entry and the new record (None: removed); None: no change.
+Operation = Callable[[Draft, int], tuple[Entry, Record | None] | None]
 
 
-class Primary(Stored):
-    """Takes writes, keeps leases."""
+class Primary(StoredService):
+    """Accepts writes and removes hosts with expired leases."""
 
     role = PRIMARY
 
@@ -99,274 +102,292 @@
         store: Store,
         connections: int,
         hold_share: float,
-        hosts_most: int,
+        max_hosts: int,
         settle: float,
-        lease: int,
+        default_lease_ms: int,
         seq_above: int = 0,
         promote: bool = False,
     ) -> None:
         super().__init__(store, connections)
         self.leases = Leases(time.monotonic, hold_share)
-        self.meeting = Meeting(time.monotonic)
-        self.hosts_most, self.settle, self.lease, self.seq_above = hosts_most, settle, lease, seq_above
+        self.rendezvous = Rendezvous(time.monotonic)
+        self.max_hosts = max_hosts
+        self.settle = settle
+        self.default_lease_ms = default_lease_ms
+        self.seq_above = seq_above
         self.promote = promote
-        self.open_at = 0.0  # by the loop's clock: until then a new list may still lack most hosts
-        self.queue: list[tuple[Decide, Exchange | None]] = []
-        self.queued = asyncio.Event()
-        self.busy = False  # with a transaction
+        self.readable_at = 0.0  # loop time; before it a new list may still lack most hosts
+        self.write_queue: list[tuple[Operation, Exchange | None]] = []
+        self.write_queued = asyncio.Event()
+        self.committing = False
 
-    def number(self, last: int) -> int:
-        """The next seq."""
+    def next_seq(self, last: int) -> int:
+        """Return a sequence number above ``last``, taken from the clock if that is ahead."""
         return max(last + 1, self.seq_above + 1, now_us())
 
-    def closed(self) -> str | None:
-        """A new list is not read before hosts had the time to register."""
-        if asyncio.get_running_loop().time() < self.open_at:
-            return "a new list: hosts have yet to register"
-        return super().closed()
+    def unavailable_reason(self) -> str | None:
+        """Return why readers can't be answered: a new list is refused until hosts had time to register."""
+        if asyncio.get_running_loop().time() < self.readable_at:
+            return "new list: waiting for hosts to register"
+        return super().unavailable_reason()
 
-    def trouble(self) -> str | None:
-        """A held list wants a person, too."""
+    def health_problem(self) -> str | None:
+        """Report held removals as well, which need an operator."""
         if self.leases.held:
-            return f"list held: {len(self.leases.held)} leases ran out at once, see /hold"
-        return super().trouble()
+            return f"list held: {len(self.leases.held)} leases expired at once, see /hold"
+        return super().health_problem()
 
-    async def begin(self) -> None:
-        """A seq of this start's own, so that nothing given out after a backup was made counts as known."""
+    async def on_start(self) -> None:
+        """Load the store and commit a sequence number of this start.
+
+        After a restore, numbers assigned after the backup was made are thus never taken for known ones.
+        """
         role = self.store.load(self.ledger)
         if role != PRIMARY and not self.promote:
-            raise Damaged(f"{self.store.path} is a follower's: start with --follow, or with --promote")
-        seq = self.number(self.ledger.seq)
+            raise StoreError(f"{self.store.path} is a follower's: start with --follow, or with --promote")
+        seq = self.next_seq(self.ledger.seq)
         life, records = self.ledger.life, {}
         if not life or role != PRIMARY:
             life = seq
-            records = {h: Record(r.entry, seq, r.lease or self.lease) for h, r in self.ledger.records.items()}
-        past = (now_us() - life) / 1e6 if self.ledger.life else 0.0
-        if role == PRIMARY and 0 <= past < self.settle:
-            self.open_at = asyncio.get_running_loop().time() + self.settle - past
-        await self.commit(life, seq, [(seq, ())], records, self.ledger.kept, PRIMARY)
+            records = {
+                h: Record(r.entry, seq, r.lease_ms or self.default_lease_ms)
+                for h, r in self.ledger.records.items()
+            }
+        age = (now_us() - life) / 1e6 if self.ledger.life else 0.0
+        if role == PRIMARY and 0 <= age < self.settle:
+            self.readable_at = asyncio.get_running_loop().time() + self.settle - age
+        await self.commit(life, seq, [(seq, ())], records, self.ledger.max_changes, PRIMARY)
         self.ledger.life = life
         self.ledger.apply(seq, (), records)
         for host, record in self.ledger.records.items():
-            self.leases.hear(host, record.lease)
-        self.start(self._write())
-        self.start(self._tick())
-
-    async def last(self) -> None:
-        """Writes that wait get their transaction."""
-        ends = time.monotonic() + END_WITHIN
-        while (self.queue or self.busy) and not self.failed and time.monotonic() < ends:
+            self.leases.renew(host, record.lease_ms)
+        self.spawn(self._write_loop())
+        self.spawn(self._lease_loop())
+
+    async def finish_writes(self) -> None:
+        """Wait for the queued writes to be committed."""
+        deadline = time.monotonic() + SHUTDOWN_TIMEOUT
+        while (self.write_queue or self.committing) and not self.failed and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
 
-    def meet(self, exchange: Exchange, request: Request, cluster: str) -> None:
-        """A gateway leaves its address and is told others'."""
-        exchange.answer(dump(self.meeting.come(cluster, parse_json(request.body))))
+    def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
+        """Record a gateway's address and answer with those of the others."""
+        exchange.answer(to_json(self.rendezvous.announce(cluster, parse_json(request.body))))
 
-    # -- calls about one host --------------------------------------------------------------------------
+    # -- requests about one host -----------------------------------------------------------------------
 
-    def write(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
-        """Register, look up, take out; or by name: renew, drain."""
-        name(host, "host")
+    def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
+        """Handle GET, PUT (register) and DELETE of a host, and the verbs renew and drain."""
+        parse_name(host, "host")
         call = (request.method, verb)
         if call == ("GET", ""):
             request.terms()
-            exchange.answer(dump(self._shown(host)))
+            exchange.answer(to_json(self._describe(host)))
         elif call == ("PUT", ""):
             request.terms()
             self._register(exchange, host, parse_json(request.body))
         elif call == ("DELETE", ""):
             request.terms("version")
-            version = digits(request.query.get("version", ""), "version")
-            self._ask(exchange, lambda draft, seq: (draft.compared(host, version).entry.now(DELETED), None))
+            version = parse_digits(request.query.get("version", ""), "version")
+            self._enqueue(
+                exchange,
+                lambda draft, seq: (draft.check_version(host, version).entry.with_health(DELETED), None),
+            )
         elif call == ("POST", "renew"):
-            version = self._version(request)
-            record = Draft(self.ledger).compared(host, version)
-            self.leases.hear(host, record.lease)
+            version = self._requested_version(request)
+            record = Draft(self.ledger).check_version(host, version)
+            self.leases.renew(host, record.lease_ms)
             self.counts["renewed"] += 1
-            exchange.answer(dump({"version": record.version, "lease_ms": record.lease}))
+            exchange.answer(to_json({"version": record.version, "lease_ms": record.lease_ms}))
         elif call == ("POST", "drain"):
-            version = self._version(request)
-            self._ask(exchange, lambda draft, seq: self._drained(draft, seq, host, version))
+            version = self._requested_version(request)
+            self._enqueue(exchange, lambda draft, seq: self._drain(draft, seq, host, version))
         elif verb in ("", "renew", "drain"):
             allow = "POST" if verb else "GET, PUT, DELETE"
-            raise Refused(405, f"known here: {allow}", {"Allow": allow})
+            raise Refused(405, f"allowed here: {allow}", {"Allow": allow})
         else:
-            raise Refused(404, "no such path: renew and drain are known behind a host")
+            raise Refused(404, "no such path: a host has the verbs renew and drain")
 
     @staticmethod
-    def _version(request: Request) -> int:
+    def _requested_version(request: Request) -> int:
         request.terms()
         raw = parse_json(request.body)
-        fields(raw, ("version",))
-        return whole_number(raw["version"], "version")
+        check_fields(raw, ("version",))
+        return parse_integer(raw["version"], "version")
 
-    def _shown(self, host: str) -> dict[str, Any]:
+    def _describe(self, host: str) -> dict[str, Any]:
         record = self.ledger.records.get(host)
         if record is None:
-            raise Refused(404, "not on the list", version=Draft(self.ledger).left(host)[0])
-        entry = parse_json(record.entry.text.encode())
-        return {"version": record.version, "lease_ms": record.lease, "entry": entry}
+            raise Refused(404, "not on the list", version=Draft(self.ledger).last_removal(host)[0])
+        entry = parse_json(record.entry.json_text.encode())
+        return {"version": record.version, "lease_ms": record.lease_ms, "entry": entry}
 
     def _register(self, exchange: Exchange, host: str, raw: dict[str, Any]) -> None:
-        fields(raw, ("dial", "site", "class", "block", "share", "lease_ms", "version"), ("health", "born_ms"))
-        address(raw["dial"])
+        check_fields(
+            raw, ("dial", "site", "class", "block", "share", "lease_ms", "version"), ("health", "born_ms")
+        )
+        parse_address(raw["dial"])
         entry = Entry(
             host,
             raw["dial"],
-            name(raw["site"], "site"),
-            name(raw["class"], "class"),
-            whole_number(raw["block"], "block", most=BLOCK_MOST),
-            health(raw.get("health", SERVING), (SERVING, DRAINING)),
-            share(raw["share"]),
+            parse_name(raw["site"], "site"),
+            parse_name(raw["class"], "class"),
+            parse_integer(raw["block"], "block", maximum=MAX_BLOCK),
+            parse_health(raw.get("health", SERVING), (SERVING, DRAINING)),
+            parse_share(raw["share"]),
             0,
         )
-        lease = whole_number(raw["lease_ms"], "lease_ms", LEASE_LEAST, LEASE_MOST)
-        version = whole_number(raw["version"], "version")
-        born = None
+        lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_LEASE_MS)
+        version = parse_integer(raw["version"], "version")
+        requested_born_ms = None
         if "born_ms" in raw:
-            born = whole_number(raw["born_ms"], "born_ms", most=now_us() // 1_000 + AHEAD_MOST)
+            requested_born_ms = parse_integer(
+                raw["born_ms"], "born_ms", maximum=now_us() // 1_000 + MAX_CLOCK_AHEAD_MS
+            )
 
-        def decide(draft: Draft, seq: int) -> tuple[Entry, Record]:
+        def register(draft: Draft, seq: int) -> tuple[Entry, Record]:
             if draft.get(host):
-                started = draft.compared(host, version).entry.born_ms
+                started = draft.check_version(host, version).entry.born_ms
             else:
-                left, started = draft.left(host)
-                if left != version:
-                    raise Refused(409, "a newer word holds: it was taken off", version=left)
-                if draft.hosts >= self.hosts_most:
-                    raise Refused(403, f"the list is full: {self.hosts_most} hosts")
-            if born is not None and born < started:
+                removed_version, started = draft.last_removal(host)
+                if removed_version != version:
+                    raise Refused(409, "version conflict: the host was removed", version=removed_version)
+                if draft.host_count >= self.max_hosts:
+                    raise Refused(403, f"the list is full: {self.max_hosts} hosts")
+            if requested_born_ms is not None and requested_born_ms < started:
                 raise Refused(409, "a later start of this host is known", version=version, born_ms=started)
-            at = max(now_us() // 1_000, started + 1) if born is None else born
-            new = replace(entry, born_ms=at)
-            return new, Record(new, seq, lease)
+            born_ms = max(now_us() // 1_000, started + 1) if requested_born_ms is None else requested_born_ms
+            registered = replace(entry, born_ms=born_ms)
+            return registered, Record(registered, seq, lease_ms)
 
-        self._ask(exchange, decide)
+        self._enqueue(exchange, register)
 
     @staticmethod
-    def _drained(draft: Draft, seq: int, host: str, version: int) -> tuple[Entry, Record]:
-        record = draft.compared(host, version)
-        entry = record.entry.now(DRAINING)
-        return entry, Record(entry, seq, record.lease)
+    def _drain(draft: Draft, seq: int, host: str, version: int) -> tuple[Entry, Record]:
+        record = draft.check_version(host, version)
+        entry = record.entry.with_health(DRAINING)
+        return entry, Record(entry, seq, record.lease_ms)
 
-    def _lapsed(self, draft: Draft, host: str) -> tuple[Entry, None] | None:
-        """A lease ran out; it may have been renewed since."""
+    def _expire(self, draft: Draft, host: str) -> tuple[Entry, None] | None:
+        """Remove a host whose lease expired, unless it has renewed since."""
         record = draft.get(host)
-        if record is None or not self.leases.ran_out(host):
+        if record is None or not self.leases.is_expired(host):
             return None
         self.counts["lapsed"] += 1
         log.warning("lease_expired", host=host)
-        return record.entry.now(DELETED), None
+        return record.entry.with_health(DELETED), None
 
-    def _ask(self, exchange: Exchange, decide: Decide) -> None:
-        if self.readers.ending:
-            raise Refused(503, "ending", {"Retry-After": "1"})
-        if len(self.queue) >= QUEUE_MOST:
-            raise Refused(503, "too many writes wait", {"Retry-After": "1"})
-        self.queue.append((decide, exchange))
-        self.queued.set()
+    def _enqueue(self, exchange: Exchange, operation: Operation) -> None:
+        if self.reader_server.ending:
+            raise Refused(503, "shutting down", {"Retry-After": "1"})
+        if len(self.write_queue) >= MAX_QUEUED_WRITES:
+            raise Refused(503, "write queue is full", {"Retry-After": "1"})
+        self.write_queue.append((operation, exchange))
+        self.write_queued.set()
 
-    # -- one transaction after another -----------------------------------------------------------------
+    # -- transactions ----------------------------------------------------------------------------------
 
-    async def _write(self) -> None:
+    async def _write_loop(self) -> None:
         while True:
-            await self.queued.wait()
-            batch, self.queue = self.queue[:BATCH_MOST], self.queue[BATCH_MOST:]
-            if not self.queue:
-                self.queued.clear()
-            self.busy = True
+            await self.write_queued.wait()
+            batch, self.write_queue = self.write_queue[:MAX_BATCH], self.write_queue[MAX_BATCH:]
+            if not self.write_queue:
+                self.write_queued.clear()
+            self.committing = True
             try:
-                await self._transact(batch)
-                self.busy = False
-            except sqlite3.Error as wrong:
-                self.busy, self.full = False, True
-                self.leases.leaving.clear()
-                log.error("writes_refused", writes=len(batch), error=wrong)
+                await self._commit_batch(batch)
+                self.committing = False
+            except sqlite3.Error as error:
+                self.committing, self.write_failed = False, True
+                self.leases.expiring.clear()
+                log.error("writes_refused", writes=len(batch), error=error)
                 for _, exchange in batch:
                     if exchange:
-                        exchange.refuse(Refused(503, "not stored, nothing has changed", {"Retry-After": "1"}))
-                if not may_pass(wrong):
-                    raise  # what is on disk is in doubt: a new start verifies it
-
-    async def _transact(self, batch: list[tuple[Decide, Exchange | None]]) -> None:
-        """Decide writes in order, each on what those before it leave; then the disk, readers, writers."""
+                        exchange.refuse(
+                            Refused(503, "write failed, nothing has changed", {"Retry-After": "1"})
+                        )
+                if not is_transient(error):
+                    raise  # the state on disk is uncertain: the service stops, and a restart verifies it
+
+    async def _commit_batch(self, batch: list[tuple[Operation, Exchange | None]]) -> None:
+        """Apply the writes in order to a draft, commit it, then publish to readers and answer the writers."""
         draft, seq = Draft(self.ledger), self.ledger.seq
         answers: list[tuple[Exchange, Refused | bytes]] = []
-        for decide, exchange in batch:
-            number = self.number(seq)
+        for operation, exchange in batch:
+            next_seq = self.next_seq(seq)
             try:
-                done = decide(draft, number)
+                outcome = operation(draft, next_seq)
             except Refused as refused:
                 answers.append((exchange, refused))
                 continue
-            if done is None:
+            if outcome is None:
                 continue
-            seq, (entry, record) = number, done
+            seq, (entry, record) = next_seq, outcome
             draft.put(seq, entry, record)
             if exchange:
-                told = {"version": seq, "born_ms": entry.born_ms}
+                body = {"version": seq, "born_ms": entry.born_ms}
                 if record:
-                    told["lease_ms"] = record.lease
-                answers.append((exchange, dump(told)))
-        if draft.steps:
-            await self.commit(self.ledger.life, seq, draft.steps, draft.changed, self.ledger.kept)
-            self.full = False
+                    body["lease_ms"] = record.lease_ms
+                answers.append((exchange, to_json(body)))
+        if draft.changes:
+            await self.commit(self.ledger.life, seq, draft.changes, draft.records, self.ledger.max_changes)
+            self.write_failed = False
             self._publish(draft)
-        for exchange, said in answers:
-            if isinstance(said, Refused):
-                exchange.refuse(said)
+        for exchange, answer in answers:
+            if isinstance(answer, Refused):
+                exchange.refuse(answer)
             else:
-                exchange.answer(said)
+                exchange.answer(answer)
 
     def _publish(self, draft: Draft) -> None:
-        index, changed = self.ledger.seq, draft.changed
-        for seq, entries in draft.steps:
-            self.ledger.apply(seq, entries, {entry.host: changed[entry.host] for entry in entries})
-        for host, record in changed.items():
+        index, records = self.ledger.seq, draft.records
+        for seq, entries in draft.changes:
+            self.ledger.apply(seq, entries, {entry.host: records[entry.host] for entry in entries})
+        for host, record in records.items():
             if record:
-                self.leases.hear(host, record.lease)
+                self.leases.renew(host, record.lease_ms)
             else:
-                self.leases.forget(host)
-        self.counts["changes"] += len(draft.steps)
-        self.reading.wake(index)
+                self.leases.remove(host)
+        self.counts["changes"] += len(draft.changes)
+        self.watch_endpoint.notify(index)
 
     # -- leases ----------------------------------------------------------------------------------------
 
-    async def _tick(self) -> None:
+    async def _lease_loop(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(CHECK_INTERVAL)
             before = self.leases.held
-            self._take_off(self.leases.look())
+            self._enqueue_removals(self.leases.collect_expired())
             if self.leases.held and not before:
-                # Nobody is taken off until hosts are heard again or POST /hold confirms that they are gone.
-                log.error("list_held", leases_out=len(self.leases.held), leases=len(self.leases.heard))
+                # No host is removed until hosts renew again or an operator confirms with POST /hold.
+                log.error("list_held", leases_out=len(self.leases.held), leases=len(self.leases.renewals))
             elif before and not self.leases.held:
                 log.warning("list_released")
 
-    def _take_off(self, hosts: Collection[str]) -> None:
+    def _enqueue_removals(self, hosts: Collection[str]) -> None:
         for host in hosts:
-            self.queue.append((lambda draft, seq, host=host: self._lapsed(draft, host), None))
-            self.queued.set()
+            self.write_queue.append((lambda draft, seq, host=host: self._expire(draft, host), None))
+            self.write_queued.set()
 
-    def operate(self, exchange: Exchange, request: Request) -> None:
-        """With the held list: who is on it, and a person's word that they are gone."""
+    def handle_operator(self, exchange: Exchange, request: Request) -> None:
+        """Add GET and POST /hold, which list the held hosts and confirm their removal."""
         held = self.leases.held
         if request.path != ["hold"]:
-            super().operate(exchange, request)
+            super().handle_operator(exchange, request)
         elif request.method == "GET":
-            exchange.answer(dump({"held": len(held), "hosts": sorted(held)}))
+            exchange.answer(to_json({"held": len(held), "hosts": sorted(held)}))
         elif request.method == "POST":
             raw = parse_json(request.body)
-            fields(raw, ("held",))
-            if whole_number(raw["held"], "held") != len(held) or not held:
-                raise Refused(409, f"held now: {len(held)}; look again", held=len(held))
+            check_fields(raw, ("held",))
+            if parse_integer(raw["held"], "held") != len(held) or not held:
+                raise Refused(409, f"the number of held hosts is {len(held)}: check again", held=len(held))
             log.warning("hold_confirmed", hosts=len(held))
-            self._take_off(self.leases.confirm())
-            exchange.answer(dump({"taken_off": len(held)}))
+            self._enqueue_removals(self.leases.confirm_held())
+            exchange.answer(to_json({"taken_off": len(held)}))
         else:
-            raise Refused(405, "known here: GET, POST", {"Allow": "GET, POST"})
+            raise Refused(405, "allowed here: GET, POST", {"Allow": "GET, POST"})
 
     def figures(self) -> dict[str, Any]:
-        """With leases and writes."""
-        leases = {"kept": len(self.leases.heard), "held": len(self.leases.held)}
-        return super().figures() | {"leases": leases, "writes_waiting": len(self.queue)}
+        """Add the lease and write queue gauges."""
+        leases = {"kept": len(self.leases.renewals), "held": len(self.leases.held)}
+        return super().figures() | {"leases": leases, "writes_waiting": len(self.write_queue)}
--- a/registry/service.py
+++ b/registry/service.py
@@ -1,4 +1,4 @@
-"""What a primary, a follower and an agent have in common: one ledger, its readers, operators, an end."""
+"""The common base of primary, follower and agent: ledger, HTTP endpoints, background tasks, shutdown."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from ops import logs
 from ops.http import Exchange, Refused, Request, Server
 
-from .follow import Address, Follow
+from .follow import Address, UpstreamWatch
 from .ledger import Ledger
-from .reading import INSTANCES, Reading
+from .reading import INSTANCES_PATH, WatchEndpoint
 from .store import Store
 
 if TYPE_CHECKING:
@@ -22,98 +22,98 @@
 
 log = logs.get(__name__)
 
-GATEWAYS = ["registry", "gateways"]
-OPERATORS = 16  # connections at the address for operators
-END_WITHIN = 2.0  # seconds
+GATEWAYS_PATH = ["registry", "gateways"]
+MAX_OPERATOR_CONNECTIONS = 16
+SHUTDOWN_TIMEOUT = 2.0  # seconds
 
 
-def dump(raw: Any) -> bytes:
-    """JSON in one line."""
+def to_json(raw: Any) -> bytes:
+    """Encode as compact JSON."""
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
 class Service:
-    """What all three have: the ledger, readers, operators, an orderly end."""
+    """Base class of the three roles."""
 
     role = ""
 
     def __init__(self, connections: int) -> None:
         self.ledger = Ledger()
-        self.follow: Follow | None = None
+        self.upstream: UpstreamWatch | None = None
         self.counts: Counter[str] = Counter()
-        self.reading = Reading(self.ledger, self.age, self.closed)
-        self.readers = Server(self.handle, connections)
-        self.operators = Server(self.operate, OPERATORS)
+        self.watch_endpoint = WatchEndpoint(self.ledger, self.age, self.unavailable_reason)
+        self.reader_server = Server(self.handle, connections)
+        self.operator_server = Server(self.handle_operator, MAX_OPERATOR_CONNECTIONS)
         self.tasks: list[asyncio.Task] = []
-        self.page: Page | None = None  # where metrics are on
+        self.metrics_page: Page | None = None  # set if metrics are enabled
         self.stop = asyncio.Event()
-        self.failed = False  # it ends for a reason of its own
+        self.failed = False  # a background task has failed
 
-    def publish(self) -> None:
-        """Answer GET /metrics at the operators' address from now on."""
-        from .metrics import page  # heavy: only where it is wanted
+    def enable_metrics(self) -> None:
+        """Serve GET /metrics at the operators' address."""
+        from .metrics import page  # imported on demand, since prometheus-client is large
 
-        self.page = page(self)
+        self.metrics_page = page(self)
 
     def age(self) -> float | None:
-        """Seconds since what is held was known to hold; None where nobody was heard yet."""
-        return self.follow.age() if self.follow else 0.0
+        """Return the seconds since the list was last confirmed current, or None if it never was."""
+        return self.upstream.age() if self.upstream else 0.0
 
-    def closed(self) -> str | None:
-        """Why readers can't be answered now."""
+    def unavailable_reason(self) -> str | None:
+        """Return why readers can't be answered now, or None if they can."""
         return None if self.ledger.seq else "no list yet"
 
     def handle(self, exchange: Exchange, request: Request) -> None:
-        """A reader's call, or a writer's."""
-        if request.path == INSTANCES:
+        """Route a request of a reader, a host or a gateway."""
+        if request.path == INSTANCES_PATH:
             if request.method != "GET":
-                raise Refused(405, "only GET is known here", {"Allow": "GET"})
-            self.reading.handle(exchange, request)
-        elif request.path[:2] == INSTANCES and 3 <= len(request.path) <= 4:
-            self.write(exchange, request, *request.path[2:])
-        elif request.path[:2] == GATEWAYS and len(request.path) == 3:
+                raise Refused(405, "only GET is allowed here", {"Allow": "GET"})
+            self.watch_endpoint.handle(exchange, request)
+        elif request.path[:2] == INSTANCES_PATH and 3 <= len(request.path) <= 4:
+            self.handle_host(exchange, request, *request.path[2:])
+        elif request.path[:2] == GATEWAYS_PATH and len(request.path) == 3:
             if request.method != "POST":
-                raise Refused(405, "only POST is known here", {"Allow": "POST"})
+                raise Refused(405, "only POST is allowed here", {"Allow": "POST"})
             request.terms()
-            self.meet(exchange, request, request.path[2])
+            self.handle_gateway(exchange, request, request.path[2])
         else:
             raise Refused(404, "no such path: see /registry/instances, /registry/gateways")
 
-    def write(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
-        """A call about one host; only a primary takes them."""
-        first = ":".join(map(str, self.follow.services[0]))
-        raise Refused(421, f"writes go to the primary, {first}", primary=first)
+    def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
+        """Handle a request about one host; only a primary accepts these."""
+        primary = ":".join(map(str, self.upstream.services[0]))
+        raise Refused(421, f"writes go to the primary, {primary}", primary=primary)
 
-    def meet(self, exchange: Exchange, request: Request, cluster: str) -> None:
-        """A gateway leaves its address; only a primary takes them, so that all meet at one."""
-        first = ":".join(map(str, self.follow.services[0]))
-        raise Refused(421, f"gateways meet at the primary, {first}", primary=first)
+    def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
+        """Handle a gateway's announcement; only a primary accepts these, so that all share one table."""
+        primary = ":".join(map(str, self.upstream.services[0]))
+        raise Refused(421, f"gateways meet at the primary, {primary}", primary=primary)
 
-    def operate(self, exchange: Exchange, request: Request) -> None:
-        """An operator's call."""
+    def handle_operator(self, exchange: Exchange, request: Request) -> None:
+        """Handle an operator's request."""
         request.terms()
         call = (request.method, *request.path)
         if call == ("GET", "health"):
-            if why := self.trouble():
-                raise Refused(503, why)
+            if reason := self.health_problem():
+                raise Refused(503, reason)
             exchange.answer(b'{"ok":true}')
         elif call == ("GET", "figures"):
-            exchange.answer(dump(self.figures()))
-        elif call == ("GET", "metrics") and self.page:
-            self.page.tell(exchange)
+            exchange.answer(to_json(self.figures()))
+        elif call == ("GET", "metrics") and self.metrics_page:
+            self.metrics_page.tell(exchange)
         else:
             raise Refused(
                 404,
-                "no such call: GET /health, GET /figures, with --metrics GET /metrics, "
-                "at a primary GET or POST /hold",
+                "no such call: available are GET /health, GET /figures, GET /metrics (with --metrics), "
+                "GET and POST /hold (at a primary)",
             )
 
-    def trouble(self) -> str | None:
-        """What an operator should know at once."""
-        return self.closed()
+    def health_problem(self) -> str | None:
+        """Return why GET /health fails, or None if the service is healthy."""
+        return self.unavailable_reason()
 
     def figures(self) -> dict[str, Any]:
-        """Gauges, and counts since the start."""
+        """Return gauges, and counters since the start."""
         ledger, age = self.ledger, self.age()
         used = resource.getrusage(resource.RUSAGE_SELF)
         return {
@@ -121,23 +121,23 @@
             "life": ledger.life,
             "seq": ledger.seq,
             "age_s": None if age is None else round(age, 3),
-            "hosts": dict(ledger.states()),
+            "hosts": dict(ledger.count_by_health()),
             "changes_kept": len(ledger.seqs),
-            "answers_made": ledger.made,
-            "watches": len(self.reading.waiting),
-            "connections": len(self.readers.exchanges),
-            "bytes_out": self.readers.bytes_out,
+            "answers_made": ledger.bodies_built,
+            "watches": len(self.watch_endpoint.watches),
+            "connections": len(self.reader_server.exchanges),
+            "bytes_out": self.reader_server.bytes_out,
             "cpu_s": round(used.ru_utime + used.ru_stime, 3),
             "rss_kb_most": used.ru_maxrss,
-            "calls": dict(self.readers.counts),
-            "counts": dict(self.counts + (self.follow.counts if self.follow else Counter())),
+            "calls": dict(self.reader_server.counts),
+            "counts": dict(self.counts + (self.upstream.counts if self.upstream else Counter())),
         }
 
     async def run(self, listen: Address, operators: Address) -> int:
-        """Serve until told to stop; the exit status."""
-        await self.operators.listen(operators)
-        await self.begin()
-        await self.readers.listen(listen)
+        """Serve until ``stop`` is set; returns the exit status."""
+        await self.operator_server.listen(operators)
+        await self.on_start()
+        await self.reader_server.listen(listen)
         log.info(
             "serving",
             role=self.role,
@@ -146,63 +146,63 @@
             seq=self.ledger.seq,
         )
         await self.stop.wait()
-        self.readers.ending = True
-        await self.last()
+        self.reader_server.ending = True
+        await self.finish_writes()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        self.reading.wake(self.ledger.seq)
-        await self.readers.end(END_WITHIN)
-        await self.operators.end(0.0)
-        await self.ended()
+        self.watch_endpoint.notify(self.ledger.seq)
+        await self.reader_server.end(SHUTDOWN_TIMEOUT)
+        await self.operator_server.end(0.0)
+        await self.on_stop()
         log.info("ended", role=self.role, life=self.ledger.life, seq=self.ledger.seq)
         return 1 if self.failed else 0
 
-    def place(self) -> tuple[int, int]:
-        """Where the list stands."""
+    def position(self) -> tuple[int, int]:
+        """Return the life and sequence number of the list."""
         return self.ledger.life, self.ledger.seq
 
-    def start(self, work: Any) -> None:
-        """Something that goes on until the end; if it breaks, all ends."""
+    def spawn(self, work: Any) -> None:
+        """Run a background task until shutdown; if it fails, the service stops."""
         task = asyncio.get_running_loop().create_task(work)
-        task.add_done_callback(self._broken)
+        task.add_done_callback(self._on_task_done)
         self.tasks.append(task)
 
-    def _broken(self, task: asyncio.Task) -> None:
-        if not task.cancelled() and (wrong := task.exception()):
-            log.error("broken", error=wrong)
+    def _on_task_done(self, task: asyncio.Task) -> None:
+        if not task.cancelled() and (error := task.exception()):
+            log.error("broken", error=error)
             self.failed = True
             self.stop.set()
 
-    async def begin(self) -> None:
-        """Before the first reader."""
+    async def on_start(self) -> None:
+        """Called before the first reader is accepted."""
 
-    async def last(self) -> None:
-        """What was asked for before the end is done."""
+    async def finish_writes(self) -> None:
+        """Called on shutdown to finish queued writes."""
 
-    async def ended(self) -> None:
-        """After the last reader."""
+    async def on_stop(self) -> None:
+        """Called after the last connection is closed."""
 
 
-class Stored(Service):
-    """A service with a store, which blocks and so has a thread of its own."""
+class StoredService(Service):
+    """A service with a store, whose blocking calls run in a worker thread."""
 
     def __init__(self, store: Store, connections: int) -> None:
         super().__init__(connections)
         self.store = store
         self.disk = ThreadPoolExecutor(1)
-        self.full = False  # the last write found no room on disk
+        self.write_failed = False  # the last write failed, for lack of disk space or a lock
 
-    def trouble(self) -> str | None:
-        """A full disk wants a person."""
-        return "writes fail: no room on disk" if self.full else super().trouble()
+    def health_problem(self) -> str | None:
+        """Report failing writes, which need an operator."""
+        return "writes fail: no room on disk" if self.write_failed else super().health_problem()
 
     async def commit(self, *args: Any, **more: Any) -> None:
-        """Store.write, to its end whatever happens to the caller."""
+        """Run Store.write to completion, even if the caller is cancelled."""
         loop = asyncio.get_running_loop()
         await asyncio.shield(loop.run_in_executor(self.disk, lambda: self.store.write(*args, **more)))
 
-    async def ended(self) -> None:
-        """Nothing is half written."""
+    async def on_stop(self) -> None:
+        """Wait for the last write and close the store."""
         self.disk.shutdown()
         self.store.close()
