--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -83,7 +83,7 @@
 
     from ops import logs
     from saffrongw import config as platform
-    from saffrongw.listening import NoStart
+    from saffrongw.listening import StartupError
     from saffrongw.process import serve
 
     from . import configuration
@@ -98,7 +98,7 @@
     logs.start(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, lambda: parsed(configuration.load(file, flags))))
-    except NoStart as wrong:
+    except StartupError as wrong:
         raise Ended(NOT_DONE, str(wrong)) from None
 
 
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -12,7 +12,7 @@
 from ops import logs
 
 from .config import Config, parse
-from .listening import NoStart
+from .listening import StartupError
 from .process import UNUSABLE, serve
 
 
@@ -31,7 +31,7 @@
     logs.start(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, read))
-    except NoStart as wrong:
+    except StartupError as wrong:
         print(f"saffrongw: {wrong}", file=sys.stderr)
         return 1
     return 0
--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -214,7 +214,7 @@
         self._free_upload()
         self._reply(reply)
 
-    def end_within(self) -> None:
+    def end_unfinished_command(self) -> None:
         """It takes too long over a command: that has not run."""
         if self.stage is Stage.OPEN and not self.slots:
             if self.reader.between and not self.upload:
@@ -304,7 +304,9 @@
 
     def _arrived(self, terms: Terms, parts: tuple[bytes | Body, ...], room: int = 0) -> None:
         """A request has come whole; its body takes so much of the room for large ones."""
-        if self.surplus and len(self.clients.open) > self.clients.most:  # guards descriptors: it has not run
+        if (
+            self.surplus and len(self.clients.open) > self.clients.max_connections
+        ):  # guards descriptors: it has not run
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
             return self._reply(b"-BUSY 1000\r\n", room)
@@ -315,7 +317,7 @@
         slot = Slot(self)
         slot.room = room
         self.slots.append(slot)
-        slot.call = self.clients.driver.arrived(terms, parts, slot.answer, slot)
+        slot.call = self.clients.driver.accept_request(terms, parts, slot.answer, slot)
         return None
 
     def _reply(self, reply: bytes, room: int = 0) -> None:
@@ -376,7 +378,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """The client has gone away, and with it all that it waited for."""
         self.clients.open.pop(self, None)
-        self.clients.shut.pop(self, None)
+        self.clients.half_closed.pop(self, None)
         self._let_go()
 
     def _let_go(self) -> None:
--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -22,9 +22,9 @@
     """All client connections."""
 
     def __init__(self, driver: Driver, config: Config, most: int) -> None:
-        self.driver, self.config, self.most = driver, config, most
+        self.driver, self.config, self.max_connections = driver, config, most
         self.open: dict[Client, None] = {}  # the one whose last request is longest ago comes first
-        self.shut: dict[Client, None] = {}  # half-closed, the one longest so first
+        self.half_closed: dict[Client, None] = {}  # half-closed, the one longest so first
         self.room = Room(int(UPLOAD_MEMORY_SHARE * config.memory))
         self.drain = Drain(self)
         self.server: asyncio.Server | None = None
@@ -45,36 +45,37 @@
     def _look(self) -> None:
         """Who connects and sends nothing, or part of a command, is owed a close: its place is wanted."""
         before = self.driver.loop.time() - COMMAND_TIMEOUT
-        for client in [*self.open, *self.shut]:
+        for client in [*self.open, *self.half_closed]:
             client.look(before)
             client.close_if_idle()
         self.driver.loop.call_later(SWEEP_INTERVAL, self._look)
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether every request has its answer and every connection is closed at both ends: what a transport
         has still to send would end with the process."""
-        return not (self.driver.calls or self.open or self.shut or self.accepting)
+        return not (self.driver.calls or self.open or self.half_closed or self.accepting)
 
     def opened(self, client: Client) -> int:
         """One more, if need be in the place of the one idle longest; how many there are beyond the limit."""
         self.driver.stats["client_accepted"] += 1
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             idle = next((client for client in self.open if client.is_idle()), None)
             if idle:
                 self.driver.stats["client_evicted"] += 1
                 idle.half_close()
         self.open[client] = None
         if (
-            self.shut and len(self.open) + len(self.shut) > self.most + SURPLUS_CONNECTIONS_MAX
+            self.half_closed
+            and len(self.open) + len(self.half_closed) > self.max_connections + SURPLUS_CONNECTIONS_MAX
         ):  # guards descriptors
-            next(iter(self.shut)).transport.abort()
-        return len(self.open) - self.most
+            next(iter(self.half_closed)).transport.abort()
+        return len(self.open) - self.max_connections
 
     def shut_off(self, client: Client) -> None:
         """It is half-closed: it makes room, but its descriptor is held for a while."""
         self.open.pop(client, None)
-        self.shut[client] = None
+        self.half_closed[client] = None
 
     def used(self, client: Client) -> None:
         """It has sent a request: the last to make room."""
@@ -89,10 +90,10 @@
         """Connections by what they are doing."""
         return {
             "client_conns": len(self.open),
-            "client_conns_most": self.most,
+            "client_conns_most": self.max_connections,
             "client_idle": sum(not c.slots and c.reader.between for c in self.open),
             "client_slots": sum(len(c.slots) for c in self.open),
-            "client_half_closed": len(self.shut),
+            "client_half_closed": len(self.half_closed),
             "client_unfinished": sum(not c.reader.between for c in self.open),
             "client_unfinished_bytes": self.unfinished(),
             "client_uploads": sum(c.upload is not None for c in self.open),
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -72,7 +72,7 @@
     def _close_without_request(self) -> None:
         """Whoever is within a command still, a large body for one."""
         for client in list(self.clients.open):
-            client.end_within()
+            client.end_unfinished_command()
 
     async def shut_down(self, accept_for: float) -> None:
         """Close connections as they fall idle, go on accepting for a while, then finish what is held. Each
@@ -90,12 +90,12 @@
         unfinished_until = start + accept_for + SHUTDOWN_COMMAND_TIMEOUT
         left = max((call.deadline for call in driver.calls.values()), default=0) - driver.clock()
         ends = loop.time() + max(0.0, left / 1e6) + WRITE_STALL_TIMEOUT
-        while not clients.is_over and loop.time() < ends:
+        while not clients.is_finished and loop.time() < ends:
             for client in list(clients.open):
                 client.close_if_idle()
                 if loop.time() >= unfinished_until:
-                    client.end_within()
+                    client.end_unfinished_command()
             await asyncio.sleep(0.01)
-        if not clients.is_over:
-            connections = len(clients.open) + len(clients.shut)
+        if not clients.is_finished:
+            connections = len(clients.open) + len(clients.half_closed)
             log.warning("drain_cut", calls=len(driver.calls), connections=connections)
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -48,24 +48,24 @@
 class Successor(Protocol):
     """What the driver needs of ``upgrade.py`` once another process owns the counts."""
 
-    def arrived(self, call: Call) -> None:
+    def forward_request(self, call: Call) -> None:
         """It decides on a request, and its answer comes back."""
 
     def client_gone(self, call: Call) -> None:
         """Nobody waits for that answer any more."""
 
-    def told(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
+    def forward_event(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
         """What concerns it of what happens here."""
 
 
 class Observer(Protocol):
     """What the driver tells ``metrics.py``, where that is on; spans in microseconds."""
 
-    def answered(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
+    def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
         """A request of this class got its final answer, or its client went; server is empty where no host
         served it."""
 
-    def attempted(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
+    def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
         """An attempt has ended."""
 
 
@@ -76,7 +76,7 @@
         self.loop, self.clock = loop, Clock()
         self.gateway = Gateway(settings, seed, self.clock())
         self.hosts: Hosts | None = None
-        self.tell_peer: Callable[[int, bytes], None] = lambda rank, body: None
+        self.send_to_peer: Callable[[int, bytes], None] = lambda rank, body: None
         self.calls: dict[int, Call] = {}
         self.stats = Stats()
         self.readiness = Readiness()
@@ -87,16 +87,16 @@
         self.successor: Successor | None = None  # the process that owns the counts now
         self.observer: Observer | None = None
         # Looks whether we stood still, before each decision: what the decision must know of it.
-        self.before: Callable[[], api.MembersChanged | None] | None = None
+        self.pre_event_hook: Callable[[], api.MembersChanged | None] | None = None
 
     def start(self, known: HostList) -> None:
         """The first actions, and the list as it was last known, before any client is served."""
         self._carry_out(self.gateway.start())
-        self.listed(known, cached=True)
+        self.apply_host_list(known, cached=True)
 
     # -- events ---------------------------------------------------------------------------------------------
 
-    def arrived(
+    def accept_request(
         self,
         terms: Terms,
         parts: tuple[bytes | Body, ...],
@@ -177,7 +177,7 @@
             self._finish(call, value)
         took = self.clock() - attempt.sent
         if self.observer:
-            self.observer.attempted(outcome, attempt.server, took)
+            self.observer.attempt_finished(outcome, attempt.server, took)
         self.feed(
             api.AttemptEnded(
                 call.event.request,
@@ -206,7 +206,7 @@
         self.attempt_ended(attempt, api.Outcome.SERVED)
         return call.sink
 
-    def listed(self, listed: HostList, cached: bool = False) -> None:
+    def apply_host_list(self, listed: HostList, cached: bool = False) -> None:
         """Discovery told something."""
         kind = api.ListKind.WHOLE if listed.whole else api.ListKind.CHANGES
         if cached:
@@ -227,7 +227,7 @@
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
         return True
 
-    def peer_said(self, sender: int, body: bytes) -> None:
+    def peer_message_received(self, sender: int, body: bytes) -> None:
         """A datagram of another gateway."""
         self.stats["peer_in"] += 1
         self.feed(api.PeerMessage(sender, body))
@@ -236,7 +236,7 @@
         """One event to the module; what an action leads to at once waits until all of them are done."""
         self.pending.append(event)
         if self.successor and isinstance(event, api.AttemptEnded | api.AttemptElsewhere | api.PeerMessage):
-            self.successor.told(event)
+            self.successor.forward_event(event)
         if self.feeding or self.frozen:
             return
         self.feeding = True
@@ -247,7 +247,7 @@
             self.feeding = False
 
     def _handle(self, event: api.Event) -> None:
-        if self.before and (first := self.before()):
+        if self.pre_event_hook and (first := self.pre_event_hook()):
             self.gateway.handle(self.clock(), first)
         try:
             actions = self.gateway.handle(self.clock(), event)
@@ -279,7 +279,7 @@
             if not (isinstance(event, api.RequestArrived | api.ClientGone) and event.request in over):
                 self.feed(event)
 
-    def hand_on(self, successor: Successor) -> None:
+    def hand_over(self, successor: Successor) -> None:
         """Another process owns the counts: it decides on all that has not been sent to a host yet."""
         self.successor = successor
         unsent = [call for call in self.calls.values() if not call.attempts and not call.finished]
@@ -298,9 +298,9 @@
             return self._finish(call, b"-BUSY\r\n")
         self.stats["relayed"] += 1
         call.elsewhere = True
-        return self.successor.arrived(call)
+        return self.successor.forward_request(call)
 
-    def answered_elsewhere(self, number: int, reply: bytes) -> None:
+    def answer_relayed(self, number: int, reply: bytes) -> None:
         """The process that decides on a request has answered it; or it is gone, and nobody will."""
         call = self.calls.get(number)
         if call is not None and call.elsewhere:
@@ -325,7 +325,9 @@
         if give_up_at < call.deadline:  # else the call's own timer ends it: one less for every attempt
             attempt.timer = self._at(give_up_at, self._timed_out, attempt)
         if self.successor:
-            self.successor.told(api.AttemptElsewhere(call.event, attempt.number, attempt.server, now))
+            self.successor.forward_event(
+                api.AttemptElsewhere(call.event, attempt.number, attempt.server, now)
+            )
         if self.is_wanted(attempt):
             self.hosts.send(attempt)
 
@@ -356,7 +358,7 @@
 
     def _tell(self, action: api.TellPeer) -> None:
         self.stats["peer_out"] += 1
-        self.tell_peer(action.peer, action.body)
+        self.send_to_peer(action.peer, action.body)
 
     def _nothing(self, action: api.Action) -> None:
         """The watch on discovery runs in any case, and these decisions send no probes."""
@@ -384,7 +386,7 @@
     def _observe(self, call: Call, outcome: str, server: api.Server = b"") -> None:
         if self.observer:
             took = self.clock() - call.deadline + call.event.time_left
-            self.observer.answered(call.event.kind, outcome, server, took)
+            self.observer.request_finished(call.event.kind, outcome, server, took)
 
     def _close(self, call: Call) -> None:
         call.finished = True
--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -356,7 +356,7 @@
         connect_timeout: float,
     ) -> None:
         self.driver, self.loop, self.report_names = driver, driver.loop, report_names
-        self.most, self.connect_timeout = sockets, connect_timeout
+        self.max_connections, self.connect_timeout = sockets, connect_timeout
         self.keep_idle = IDLE_TIMEOUT_SHARE * idle_close
         self.sockets = 0  # open or opening
         self.pools: dict[api.Server, Pool] = {}
@@ -430,7 +430,7 @@
         """Connections to hosts, open or opening."""
         return {
             "host_conns": self.sockets,
-            "host_conns_most": self.most,
+            "host_conns_most": self.max_connections,
             "host_streams": len(self.streams),
             "host_idle": sum(len(pool.idle) for pool in self.pools.values()),
             "host_waiting": sum(len(pool.waiting) for pool in self.pools.values()),
@@ -438,13 +438,13 @@
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; if need be the one longest idle makes room."""
-        if self.sockets >= self.most:
+        if self.sockets >= self.max_connections:
             oldest = min(
                 (p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0].idle_since, default=None
             )
             if oldest:
                 oldest.idle[0].close()
-        return self.sockets < self.most
+        return self.sockets < self.max_connections
 
     def _sweep(self) -> None:
         """Guards against a request meeting a connection that its host is closing as idle."""
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -15,36 +15,36 @@
 RETRY_INTERVAL = 0.5  # seconds until an address that is taken is tried again
 
 
-class NoStart(Exception):
+class StartupError(Exception):
     """The gateway can't start; the text says why and what to change, in one line."""
 
 
-def refused(what: str, address: Address, wrong: OSError) -> NoStart:
+def refused(what: str, address: Address, wrong: OSError) -> StartupError:
     """What to tell of an address that can't be opened."""
     advice = {
         errno.EADDRINUSE: "another process listens there: end it or choose another port",
         errno.EADDRNOTAVAIL: "this machine has no such address",
         errno.EACCES: "no permission: ports below 1024 need it",
     }.get(wrong.errno, str(wrong))
-    return NoStart(f"cannot listen for {what} at {address[0]}:{address[1]}: {advice}")
+    return StartupError(f"cannot listen for {what} at {address[0]}:{address[1]}: {advice}")
 
 
-async def now(what: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
-    """Open it; raises NoStart."""
+async def listen_now(what: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
+    """Open it; raises StartupError."""
     try:
         await listen()
     except OSError as wrong:
         raise refused(what, address, wrong) from None
 
 
-async def when_free(
-    what: str, address: Address, listen: Callable[[], Awaitable[None]], patient: bool
+async def listen_when_free(
+    what: str, address: Address, listen: Callable[[], Awaitable[None]], retry: bool
 ) -> asyncio.Task[None] | None:
-    """Open it; where another process may hold it for a while yet (``patient``), go on trying in a task."""
+    """Open it; where another process may hold it for a while yet (``retry``), go on trying in a task."""
     try:
         await listen()
     except OSError as wrong:
-        if not patient or wrong.errno != errno.EADDRINUSE:
+        if not retry or wrong.errno != errno.EADDRINUSE:
             raise refused(what, address, wrong) from None
         return asyncio.get_running_loop().create_task(_try_on(what, address, listen))
     return None
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -55,7 +55,7 @@
         self.told = None if self.places else self._says()
         self.timer: asyncio.TimerHandle | None = None
         self.due = 0  # when it fires
-        peers.members, driver.before = self, self.look
+        peers.members, driver.pre_event_hook = self, self.look
 
     def go_on(self) -> None:
         """The socket is ours: speak from now on."""
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -139,11 +139,11 @@
         known = host is not None and host.entry.zone < len(self.zones)
         return self.zones[host.entry.zone] if known else NO_ZONE
 
-    def answered(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
+    def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
         """A request is over."""
         self.answers.labels(self.kinds[kind], outcome, self._zone(server)).observe(took / SECOND)
 
-    def attempted(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
+    def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
         """An attempt is over."""
         name = outcome.value.replace(" ", "_")
         self.attempts.labels(name, self._zone(server)).observe(took / SECOND)
--- a/saffrongw/peers.py
+++ b/saffrongw/peers.py
@@ -54,7 +54,7 @@
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         """The socket is bound."""
         self.transport = transport
-        self.driver.tell_peer = self.tell
+        self.driver.send_to_peer = self.tell
         if self.members:
             self.members.go_on()
 
@@ -67,7 +67,7 @@
             self.members.greeted(source, body)
         elif rank is not None:
             if body[0] != MEMBERS_FORMAT:
-                self.driver.peer_said(rank, body)
+                self.driver.peer_message_received(rank, body)
             elif self.members:
                 self.members.heard(rank, body)
 
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -79,7 +79,7 @@
         self.trying: list[asyncio.Task[None]] = []  # addresses that the process before this one still holds
 
     async def run(self) -> None:
-        """All of its life; raises NoStart where it can't begin."""
+        """All of its life; raises StartupError where it can't begin."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
         where = upgrade.path(self.config)
@@ -122,7 +122,7 @@
             self.watch.begin()
 
     def _listed(self, hosts: HostList) -> None:
-        self.driver.listed(hosts)
+        self.driver.apply_host_list(hosts)
         self.told.set()
 
     async def _face_operators(self, patient: bool) -> None:
@@ -134,13 +134,15 @@
             try:
                 from .metrics import Metrics  # heavy: only where it is wanted
             except ModuleNotFoundError as missing:
-                raise listening.NoStart(
+                raise listening.StartupError(
                     f"metrics need {missing.name}: install requirements-tools.txt, or leave metrics out"
                 ) from None
             self.metrics = self.driver.observer = Metrics(self.driver, self.config)
             wanted.append(("metrics", self.config.metrics, self.metrics.listen))
         for what, address, listen in wanted:
-            task = await listening.when_free(what, address, functools.partial(listen, address), patient)
+            task = await listening.listen_when_free(
+                what, address, functools.partial(listen, address), patient
+            )
             if task:
                 self.trying.append(task)
 
@@ -156,10 +158,10 @@
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.leave)
                 self.control.members = self.members
-            await listening.now("peers", config.peer_listen, functools.partial(self.peers.listen, at))
+            await listening.listen_now("peers", config.peer_listen, functools.partial(self.peers.listen, at))
         driver.stats.start(self.loop, self._gauges)
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
-        await listening.now("clients", config.listen, listener)
+        await listening.listen_now("clients", config.listen, listener)
         if taken:
             predecessor.share = functools.partial(self._share, predecessor)
             predecessor.hear(self.control.here)
@@ -175,9 +177,9 @@
 
     def _share(self, predecessor: upgrade.Predecessor, its_clients: int, its_hosts: int) -> None:
         """The process before this one still holds so many descriptors of the limit of both."""
-        self.clients.most = max(1, self.client_sockets - its_clients)
+        self.clients.max_connections = max(1, self.client_sockets - its_clients)
         both = UPGRADE_DESCRIPTORS if predecessor.channel else 0
-        self.driver.hosts.most = max(1, self.host_sockets - its_hosts - both)
+        self.driver.hosts.max_connections = max(1, self.host_sockets - its_hosts - both)
 
     def reload(self) -> None:
         """SIGHUP: read the configuration again, put in force what can be, and tell what can't."""
@@ -199,5 +201,5 @@
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
-    """Run one gateway in the running loop; raises NoStart."""
+    """Run one gateway in the running loop; raises StartupError."""
     await Process(config, read).run()
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -178,7 +178,7 @@
                 if held:
                     held.close()
                 self.channel = channel
-                self.driver.hand_on(self)
+                self.driver.hand_over(self)
             else:
                 if held:
                     await self.peers.listen(held)
@@ -206,10 +206,10 @@
         self.tasks += [self.loop.create_task(self._hear()), self.loop.create_task(self._finish_all())]
 
     async def _finish_all(self) -> None:
-        while not self.clients.is_over:
+        while not self.clients.is_finished:
             for client in list(self.clients.open):
                 client.close_if_idle()
-            held = len(self.clients.open) + len(self.clients.shut)
+            held = len(self.clients.open) + len(self.clients.half_closed)
             self.channel.send(sockets=[held, self.driver.hosts.sockets])
             await asyncio.sleep(POLL_INTERVAL)
         log.info("handover_finished")
@@ -223,7 +223,7 @@
             while True:
                 match await self.channel.receive():
                     case {"answer": int(number), "reply": str(reply)}:
-                        self.driver.answered_elsewhere(number, reply.encode("latin-1"))
+                        self.driver.answer_relayed(number, reply.encode("latin-1"))
                     case {"said": int(number), "text": str(text)} if number in self.asked:
                         self.asked.pop(number).set_result(text)
                     case {"call": int(number), "line": str(line)}:
@@ -231,15 +231,15 @@
         except BROKEN:
             self.is_alone = True
             for call in list(self.driver.calls.values()):
-                self.driver.answered_elsewhere(call.event.request, FAILED_REPLY)
+                self.driver.answer_relayed(call.event.request, FAILED_REPLY)
 
     async def _say(self, number: int, line: str) -> None:
         self.channel.send(said=number, text=await self.carry_out(line.encode("latin-1")))
 
-    def arrived(self, call: Call) -> None:
+    def forward_request(self, call: Call) -> None:
         """A request that was read here: the next process decides on it."""
         if self.is_alone:  # nobody does any more, and nothing of it was sent
-            self.driver.answered_elsewhere(call.event.request, b"-BUSY\r\n")
+            self.driver.answer_relayed(call.event.request, b"-BUSY\r\n")
             return
         event, left = call.event, call.deadline - self.driver.clock()
         terms = [event.customer, event.kind, event.plan, left, event.units, event.set_size, event.set_first]
@@ -250,7 +250,7 @@
         """Nobody waits for its answer any more."""
         self.channel.send(gone=call.event.request)
 
-    def told(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
+    def forward_event(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
         """What the next process counts, learns or merges."""
         if isinstance(event, api.AttemptElsewhere):
             self.channel.send(began=_began(event))
@@ -359,7 +359,7 @@
             remembered, base = handover.read(driver.gateway, state["state"], rows), int(state["clock"])
             driver.clock.base = base
             if not told.is_set():
-                driver.listed(HostList(0, True, hosts))
+                driver.apply_host_list(HostList(0, True, hosts))
             remembered.load(driver.gateway)
             for message in out:
                 self._began(message)
@@ -407,7 +407,7 @@
                 wait = int(left) + REPLY_MARGIN
                 of = Terms(customer, kind, plan, wait, units, spread, first, is_repeat)
                 whole = tuple(part.encode("latin-1") for part in parts)
-                call = self.driver.arrived(of, whole, lambda reply: self._answer(number, reply))
+                call = self.driver.accept_request(of, whole, lambda reply: self._answer(number, reply))
                 if not call.finished:
                     self.relayed[number] = call
             case {"gone": int(number)} if number in self.relayed:
@@ -417,7 +417,7 @@
             case {"ended": [number, attempt, server, outcome, took]}:
                 self._ended(_elder(number), attempt, server.encode("latin-1"), api.Outcome[outcome], took)
             case {"peer": int(rank), "body": str(body)}:
-                self.driver.peer_said(rank, body.encode("latin-1"))
+                self.driver.peer_message_received(rank, body.encode("latin-1"))
             case {"sockets": [int(clients), int(hosts)]}:
                 self.share(clients, hosts)
             case {"call": int(number), "line": str(line)}:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -356,7 +356,7 @@
     def told(self, *lines: dict, whole=False) -> None:
         """News of discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
-        self.driver.listed(config.parse_hosts(raw, self.config.zones))
+        self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
 def free_address() -> str:
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -97,7 +97,7 @@
 
 
 async def by_eviction(rig: Rig, plain: Plain, client: Client) -> bytes:
-    rig.clients.most = len(rig.clients.open)
+    rig.clients.max_connections = len(rig.clients.open)
     await connected(rig)
     return b""
 
@@ -119,7 +119,7 @@
 
 
 async def by_crowd(rig: Rig, plain: Plain, client: Client) -> bytes:
-    rig.clients.most, client.surplus = 0, True
+    rig.clients.max_connections, client.surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
@@ -147,13 +147,17 @@
     crossed(client, plain, CROSSING[crossing])
     last = await end(rig, plain, client)
     assert await plain.rest() == last
-    assert client.stage is Stage.HALF_CLOSED and client in rig.clients.shut and client not in rig.clients.open
+    assert (
+        client.stage is Stage.HALF_CLOSED
+        and client in rig.clients.half_closed
+        and client not in rig.clients.open
+    )
     for _ in range(3):  # whoever goes on is not reset either, while we linger
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
     plain.sock.shutdown(socket.SHUT_WR)
-    await until(lambda: client not in rig.clients.shut)
+    await until(lambda: client not in rig.clients.half_closed)
     assert [command[2] for command in host.commands] == [b"id1"]
     assert rig.driver.calls == {}
 
@@ -176,12 +180,15 @@
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
     rig = Rig(await FakeHost("a").listen())
     held = [await connected(rig) for _ in range(4)]
-    rig.clients.most = 4
+    rig.clients.max_connections = 4
     for _ in range(3 * SURPLUS_CONNECTIONS_MAX):
         held.append(await connected(rig))
-        assert len(rig.clients.open) + len(rig.clients.shut) <= rig.clients.most + SURPLUS_CONNECTIONS_MAX + 1
+        assert (
+            len(rig.clients.open) + len(rig.clients.half_closed)
+            <= rig.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
+        )
     assert rig.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
-    await until(lambda: not rig.clients.shut)
+    await until(lambda: not rig.clients.half_closed)
     assert len(rig.clients.open) == 4
 
 
@@ -222,7 +229,7 @@
     assert await plain.rest() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
     plain.sock.close()
     await asyncio.wait_for(drain, 10)
-    assert rig.clients.is_over
+    assert rig.clients.is_finished
 
 
 @asyncio_test
@@ -266,7 +273,7 @@
     await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
     client.look = lambda before: None  # it takes a byte now and then: never stuck for long
     await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
-    assert not rig.clients.is_over
+    assert not rig.clients.is_finished
 
 
 # -- a client that leaves while nothing is read from it
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -126,9 +126,9 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         where = taken.getsockname()
         listen = functools.partial(control.listen, where)
-        with pytest.raises(listening.NoStart, match="another process listens there"):
-            await listening.when_free("operators", where, listen, patient=False)
-        trying = await listening.when_free("operators", where, listen, patient=True)
+        with pytest.raises(listening.StartupError, match="another process listens there"):
+            await listening.listen_when_free("operators", where, listen, retry=False)
+        trying = await listening.listen_when_free("operators", where, listen, retry=True)
         caller.call()
         assert await caller.replied() == [b"ok"]
         assert control.server is None
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -387,7 +387,7 @@
     """Each request of all clients was refused while one connection was too many (ticket9204)."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.most = 3
+    rig.clients.max_connections = 3
     first, second, third = [await rig.caller() for _ in range(3)]
     await until(lambda: len(rig.clients.open) == 3)
     for caller in (second, third, first):  # the first was the last to ask
@@ -452,7 +452,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
-    rig.clients.most = 1
+    rig.clients.max_connections = 1
     holder = await rig.caller()
     holder.call("bill", wait=10_000)
     await until(lambda: host.commands)
@@ -517,7 +517,7 @@
 async def test_a_client_within_a_command_does_not_make_room():
     """Of a command cut right after a head nothing is left in the parser."""
     rig = Rig(await FakeHost("a").listen())
-    rig.clients.most = 1
+    rig.clients.max_connections = 1
     caller = await rig.caller()
     words = hiredis.pack_command((b"PING",))
     caller.transport.write(words + words[:4])
@@ -658,7 +658,7 @@
         await until(lambda: len(rig.clients.open) == 4)
         asked.call()  # so that the others are idle longer
         await asked.replied()
-        rig.clients.most = 4
+        rig.clients.max_connections = 4
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -135,7 +135,7 @@
         self.answers: dict[Call, list[float]] = {}
         self.gone: set[Call] = set()
         self.behind = 0.0
-        arrived, client_gone = self.driver.arrived, self.driver.client_gone
+        arrived, client_gone = self.driver.accept_request, self.driver.client_gone
 
         def taken(terms, parts, answer, sink=None) -> Call:
             times: list[float] = []
@@ -147,7 +147,7 @@
             self.gone.add(call)
             client_gone(call, unseen)
 
-        self.driver.arrived, self.driver.client_gone = taken, left
+        self.driver.accept_request, self.driver.client_gone = taken, left
         self.wires: list[Wire] = []  # of clients
         self.to_send: dict[Wire, bytes] = {}
         self.links: list[Wire] = []  # to hosts
@@ -232,7 +232,7 @@
         health = self.random.choice(("SERVING", "SERVING", "DRAINING", "DELETED"))
         line = self.random.choice(self.lines) | {"health": health}
         raw = {"seq": next(self.numbers), "whole": False, "hosts": [line]}
-        self.driver.listed(config.parse_hosts(raw, self.zones))
+        self.driver.apply_host_list(config.parse_hosts(raw, self.zones))
 
     def time_passes(self) -> None:
         self.loop.run(self.loop.now + self.random.choice((0.0, 0.001, 0.02, 0.2)))
