--- a/saffrongw/answers.py
+++ b/saffrongw/answers.py
@@ -15,26 +15,26 @@
 class Slot:
     """The place of one command's answer on its connection."""
 
-    __slots__ = ("begun", "call", "client", "reply", "room", "source")
+    __slots__ = ("begun", "body_bytes", "call", "client", "reply", "source")
 
     def __init__(self, client: Client) -> None:
         self.client = client
         self.reply: bytes | None = None  # what can be written of the answer, and has not been
         self.call: Call | None = None
-        self.room = 0  # bytes of its body that are kept
+        self.body_bytes = 0  # bytes of its body that are kept
         self.source: Source | None = None  # where the rest of a large answer comes from
         self.begun = False  # its turn has come, and its first bytes are written
 
     def answer(self, reply: bytes) -> None:
         """The answer is known; it is written once those before it are."""
         self.reply = reply
-        self.give_back()
+        self.release_body()
         self.client.flush()
 
-    def give_back(self) -> None:
+    def release_body(self) -> None:
         """Its body is not needed any more."""
-        room, self.room = self.room, 0
-        self.client.clients.room.give_back(room)
+        body_bytes, self.body_bytes = self.body_bytes, 0
+        self.client.clients.upload_memory.release(body_bytes)
 
     # -- a large answer
 
@@ -43,7 +43,7 @@
         self.source = source
         self.answer(b"$%d\r\n" % length)
 
-    def piece(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Some of them."""
         if self.begun:
             self.client.write(data)
@@ -53,18 +53,18 @@
 
     def end(self) -> None:
         """They were all."""
-        self.piece(CRLF)
+        self.write(CRLF)
         self.source = None
         self.client.flush()
 
-    def has_left(self) -> bool:
+    def is_client_gone(self) -> bool:
         """Whether the client has closed: its end may wait in the socket."""
-        return self.client.transport.is_closing() or self.client.has_ended()
+        return self.client.transport.is_closing() or self.client.client_has_closed()
 
     def fail(self) -> None:
         """The rest will never come: the client must not take what there is for an answer."""
         self.source = None
-        if self.client.is_shut():
+        if self.client.is_write_closed():
             return
         self.client.clients.driver.stats["stream_broken"] += 1
         if self.begun:
--- a/saffrongw/calls.py
+++ b/saffrongw/calls.py
@@ -43,7 +43,7 @@
     def begin(self, length: int, source: Source) -> None:
         """So many bytes will come."""
 
-    def piece(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Some of them."""
 
     def end(self) -> None:
@@ -52,7 +52,7 @@
     def fail(self) -> None:
         """The rest will never come."""
 
-    def has_left(self) -> bool:
+    def is_client_gone(self) -> bool:
         """Whether the client has closed its connection, seen by the loop or not."""
 
 
@@ -72,7 +72,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     finished: bool = False
-    elsewhere: bool = False  # the process that took over decides on it
+    is_relayed: bool = False  # the process that took over decides on it
 
 
 @dataclass(slots=True, eq=False)
@@ -82,10 +82,10 @@
     call: Call
     number: int
     server: api.Server
-    sent: int
-    give_up_at: int
+    sent_at: int
+    expires_at: int
     send_by: int = 0  # clock time after which it may not be sent any more; 0: there is none
     timer: asyncio.TimerHandle | None = None
-    link: object = None  # where hosts.py keeps what carries it
-    whole: bool = False  # its last byte has left: from then on it may run
+    carrier: object = None  # where hosts.py keeps what carries it
+    fully_sent: bool = False  # its last byte has left: from then on it may run
     ended: bool = False
--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -11,7 +11,7 @@
 from .config import Config
 from .drain import Drain
 from .driver import Driver
-from .uploads import UPLOAD_MEMORY_SHARE, Room
+from .uploads import UPLOAD_MEMORY_SHARE, UploadMemory
 
 # The accept queue. A client that finds no room there may take itself for connected and hear nothing for ever.
 LISTEN_BACKLOG = 1024
@@ -21,11 +21,11 @@
 class Clients:
     """All client connections."""
 
-    def __init__(self, driver: Driver, config: Config, most: int) -> None:
-        self.driver, self.config, self.max_connections = driver, config, most
+    def __init__(self, driver: Driver, config: Config, max_connections: int) -> None:
+        self.driver, self.config, self.max_connections = driver, config, max_connections
         self.open: dict[Client, None] = {}  # the one whose last request is longest ago comes first
         self.half_closed: dict[Client, None] = {}  # half-closed, the one longest so first
-        self.room = Room(int(UPLOAD_MEMORY_SHARE * config.memory))
+        self.upload_memory = UploadMemory(int(UPLOAD_MEMORY_SHARE * config.memory))
         self.drain = Drain(self)
         self.server: asyncio.Server | None = None
         self.accepting: set[asyncio.Task[object]] = set()  # the last connections, on their way into ``open``
@@ -40,15 +40,15 @@
             lambda: Client(self), backlog=LISTEN_BACKLOG, **where
         )
         self.driver.readiness.serving = True
-        self._look()
+        self._sweep()
 
-    def _look(self) -> None:
+    def _sweep(self) -> None:
         """Who connects and sends nothing, or part of a command, is owed a close: its place is wanted."""
         before = self.driver.loop.time() - COMMAND_TIMEOUT
         for client in [*self.open, *self.half_closed]:
-            client.look(before)
+            client.check_timeouts(before)
             client.close_if_idle()
-        self.driver.loop.call_later(SWEEP_INTERVAL, self._look)
+        self.driver.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @property
     def is_finished(self) -> bool:
@@ -56,7 +56,7 @@
         has still to send would end with the process."""
         return not (self.driver.calls or self.open or self.half_closed or self.accepting)
 
-    def opened(self, client: Client) -> int:
+    def connection_opened(self, client: Client) -> int:
         """One more, if need be in the place of the one idle longest; how many there are beyond the limit."""
         self.driver.stats["client_accepted"] += 1
         if len(self.open) >= self.max_connections:
@@ -72,32 +72,32 @@
             next(iter(self.half_closed)).transport.abort()
         return len(self.open) - self.max_connections
 
-    def shut_off(self, client: Client) -> None:
+    def mark_half_closed(self, client: Client) -> None:
         """It is half-closed: it makes room, but its descriptor is held for a while."""
         self.open.pop(client, None)
         self.half_closed[client] = None
 
-    def used(self, client: Client) -> None:
+    def mark_used(self, client: Client) -> None:
         """It has sent a request: the last to make room."""
         self.open.pop(client, None)
         self.open[client] = None
 
-    def unfinished(self) -> int:
+    def unfinished_bytes(self) -> int:
         """Bytes of commands that have not come whole."""
-        return sum(client.unfinished for client in self.open)
+        return sum(client.unfinished_bytes for client in self.open)
 
     def gauges(self) -> dict[str, int]:
         """Connections by what they are doing."""
         return {
             "client_conns": len(self.open),
             "client_conns_most": self.max_connections,
-            "client_idle": sum(not c.slots and c.reader.between for c in self.open),
+            "client_idle": sum(not c.slots and c.reader.at_boundary for c in self.open),
             "client_slots": sum(len(c.slots) for c in self.open),
             "client_half_closed": len(self.half_closed),
-            "client_unfinished": sum(not c.reader.between for c in self.open),
-            "client_unfinished_bytes": self.unfinished(),
+            "client_unfinished": sum(not c.reader.at_boundary for c in self.open),
+            "client_unfinished_bytes": self.unfinished_bytes(),
             "client_uploads": sum(c.upload is not None for c in self.open),
-            "upload_room_kb": self.room.free // 1024,
+            "upload_room_kb": self.upload_memory.free // 1024,
         }
 
     def stop_accepting(self) -> None:
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -35,13 +35,13 @@
     def send(self, attempt: Attempt) -> None:
         """Begin an attempt."""
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abandon(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt."""
 
-    def told(self, listed: HostList) -> list[Attempt]:
+    def apply_host_list(self, listed: HostList) -> list[Attempt]:
         """Discovery's list has changed; the attempts that must not be sent any more."""
 
-    def take_out(self, server: api.Server) -> list[Attempt]:
+    def ban_host(self, server: api.Server) -> list[Attempt]:
         """Operators took a host out; the attempts that must not be sent any more."""
 
 
@@ -80,9 +80,9 @@
         self.calls: dict[int, Call] = {}
         self.stats = Stats()
         self.readiness = Readiness()
-        self.last_number = 0
-        self.pending: deque[api.Event] = deque()
-        self.feeding = False
+        self.last_request = 0
+        self.pending_events: deque[api.Event] = deque()
+        self.is_handling = False
         self.frozen = False  # the state is being handed over: events wait
         self.successor: Successor | None = None  # the process that owns the counts now
         self.observer: Observer | None = None
@@ -91,7 +91,7 @@
 
     def start(self, known: HostList) -> None:
         """The first actions, and the list as it was last known, before any client is served."""
-        self._carry_out(self.gateway.start())
+        self._execute(self.gateway.start())
         self.apply_host_list(known, cached=True)
 
     # -- events ---------------------------------------------------------------------------------------------
@@ -104,11 +104,11 @@
         sink: Sink | None = None,
     ) -> Call:
         """A client's request, its last byte just read; the client's own ids stay outside the module."""
-        self.last_number += 1
+        self.last_request += 1
         self.stats["requests"] += 1
         left = max(MS, terms.wait - REPLY_MARGIN)
         event = api.RequestArrived(
-            self.last_number,
+            self.last_request,
             terms.customer,
             terms.plan,
             terms.kind,
@@ -119,27 +119,27 @@
             terms.is_repeat,
         )
         call = Call(event, parts, self.clock() + left, answer, sink)
-        self.calls[self.last_number] = call
-        call.deadline_timer = self._at(call.deadline, self._time_up, call)
+        self.calls[self.last_request] = call
+        call.deadline_timer = self._call_at(call.deadline, self._deadline_passed, call)
         if self.successor:
-            self._pass_on(call)
+            self._relay(call)
         else:
             self.feed(event)
         return call
 
-    def client_gone(self, call: Call, unseen: float = 0.0) -> None:
+    def client_gone(self, call: Call, seconds_unobserved: float = 0.0) -> None:
         """The client has closed its connection: nothing is owed any more; unseen: for how many seconds it may
         have been gone before it was seen."""
         if not call.finished:
             self.stats["client_gone"] += 1
-            first = next((attempt for attempt in call.attempts if attempt.whole), None)
+            first = next((attempt for attempt in call.attempts if attempt.fully_sent), None)
             if first is None:
                 self.stats["client_gone_waiting"] += 1
-            elif first.sent > self.clock() - int(unseen * 1e6) + CLIENT_GONE_TOLERANCE:
+            elif first.sent_at > self.clock() - int(seconds_unobserved * 1e6) + CLIENT_GONE_TOLERANCE:
                 self.stats["client_gone_sent_late"] += 1
             self._observe(call, "client_gone")
-            self._close(call)
-            if call.elsewhere:
+            self._mark_finished(call)
+            if call.is_relayed:
                 self.successor.client_gone(call)
             else:
                 self.feed(api.ClientGone(call.event.request))
@@ -152,7 +152,7 @@
         call = attempt.call
         if call.finished:
             self._withdraw(attempt)  # another attempt was served while this one waited for its connection
-        elif call.sink and call.sink.has_left():
+        elif call.sink and call.sink.is_client_gone():
             self.client_gone(call)  # which ends the attempt
         return not attempt.ended
 
@@ -175,7 +175,7 @@
             self.stats["served"] += 1
             self._observe(call, "served", attempt.server)
             self._finish(call, value)
-        took = self.clock() - attempt.sent
+        took = self.clock() - attempt.sent_at
         if self.observer:
             self.observer.attempt_finished(outcome, attempt.server, took)
         self.feed(
@@ -201,7 +201,7 @@
         self.stats["served"] += 1
         self.stats["streamed"] += 1
         self._observe(call, "served", attempt.server)
-        self._close(call)
+        self._mark_finished(call)
         call.sink.begin(length, source)
         self.attempt_ended(attempt, api.Outcome.SERVED)
         return call.sink
@@ -211,7 +211,7 @@
         kind = api.ListKind.WHOLE if listed.whole else api.ListKind.CHANGES
         if cached:
             kind = api.ListKind.CACHED
-        unsent = self.hosts.told(listed)
+        unsent = self.hosts.apply_host_list(listed)
         self.readiness.listed |= any(host.entry.phase is not api.Phase.GONE for host in listed.hosts)
         self.feed(api.ServerListed(kind, listed.version, tuple(host.entry for host in listed.hosts)))
         for attempt in unsent:  # after the list, which tells where else they may go
@@ -221,7 +221,7 @@
         """Operators take a host out, or put it back; False where discovery has never listed it."""
         if server not in self.gateway.names:
             return False
-        unsent = self.hosts.take_out(server) if out else []
+        unsent = self.hosts.ban_host(server) if out else []
         self.feed(api.ServerBanned(server, out))
         for attempt in unsent:  # after the ban, which tells where else they may go
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
@@ -234,17 +234,17 @@
 
     def feed(self, event: api.Event) -> None:
         """One event to the module; what an action leads to at once waits until all of them are done."""
-        self.pending.append(event)
+        self.pending_events.append(event)
         if self.successor and isinstance(event, api.AttemptEnded | api.AttemptElsewhere | api.PeerMessage):
             self.successor.forward_event(event)
-        if self.feeding or self.frozen:
+        if self.is_handling or self.frozen:
             return
-        self.feeding = True
+        self.is_handling = True
         try:
-            while self.pending:
-                self._handle(self.pending.popleft())
+            while self.pending_events:
+                self._handle(self.pending_events.popleft())
         finally:
-            self.feeding = False
+            self.is_handling = False
 
     def _handle(self, event: api.Event) -> None:
         if self.pre_event_hook and (first := self.pre_event_hook()):
@@ -257,10 +257,10 @@
             call = self.calls.get(number)
             if call is not None and not call.finished:
                 self._finish(call, FAILED_REPLY)
-                self.pending.append(api.ClientGone(number))
+                self.pending_events.append(api.ClientGone(number))
             # Guards the gossip's own timer, which it sets anew before all else.
             actions = [action for action in self.gateway.actions if isinstance(action, api.SetTimer)]
-        self._carry_out(actions)
+        self._execute(actions)
 
     # -- handing over ---------------------------------------------------------------------------------------
 
@@ -271,7 +271,7 @@
     def thaw(self) -> None:
         """Nobody took over: decide on what has come meanwhile, but for requests that are over by now."""
         self.frozen = False
-        waiting, self.pending = self.pending, deque()
+        waiting, self.pending_events = self.pending_events, deque()
         over = {
             e.request for e in waiting if isinstance(e, api.RequestArrived) and e.request not in self.calls
         }
@@ -283,34 +283,34 @@
         """Another process owns the counts: it decides on all that has not been sent to a host yet."""
         self.successor = successor
         unsent = [call for call in self.calls.values() if not call.attempts and not call.finished]
-        waiting, self.pending = self.pending, deque()
+        waiting, self.pending_events = self.pending_events, deque()
         self.frozen = False
         for call in unsent:
             self.feed(api.ClientGone(call.event.request))  # one that it holds, it forgets
-            self._pass_on(call)
+            self._relay(call)
         for event in waiting:
             if not isinstance(event, api.RequestArrived):
                 self.feed(event)
 
-    def _pass_on(self, call: Call) -> None:
+    def _relay(self, call: Call) -> None:
         if isinstance(call.parts[-1], tuple):  # not worth the memory in both: it has not run
             self.stats["refused_handed_over"] += 1
             return self._finish(call, b"-BUSY\r\n")
         self.stats["relayed"] += 1
-        call.elsewhere = True
+        call.is_relayed = True
         return self.successor.forward_request(call)
 
     def answer_relayed(self, number: int, reply: bytes) -> None:
         """The process that decides on a request has answered it; or it is gone, and nobody will."""
         call = self.calls.get(number)
-        if call is not None and call.elsewhere:
+        if call is not None and call.is_relayed:
             self._finish(call, reply)
 
     # -- actions --------------------------------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
+    def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
-            self._DO[type(action)](self, action)
+            self._HANDLERS[type(action)](self, action)
 
     def _send(self, action: api.Send) -> None:
         call = self.calls.get(action.request)
@@ -321,9 +321,9 @@
         attempt = Attempt(call, len(call.attempts), action.server, now, give_up_at, action.send_by)
         call.attempts.append(attempt)
         if action.send_by:
-            self._at(action.send_by, self._withdraw, attempt)
+            self._call_at(action.send_by, self._withdraw, attempt)
         if give_up_at < call.deadline:  # else the call's own timer ends it: one less for every attempt
-            attempt.timer = self._at(give_up_at, self._timed_out, attempt)
+            attempt.timer = self._call_at(give_up_at, self._timed_out, attempt)
         if self.successor:
             self.successor.forward_event(
                 api.AttemptElsewhere(call.event, attempt.number, attempt.server, now)
@@ -337,7 +337,7 @@
             return
         attempt = call.attempts[action.attempt]
         if not attempt.ended:
-            self.hosts.give_up(attempt)
+            self.hosts.abandon(attempt)
             self.attempt_ended(attempt, api.Outcome.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
@@ -354,25 +354,25 @@
             self._finish(call, FAILED_REPLY)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self._after(action.span, self.feed, api.TimerFired(action.token))
+        self._call_after(action.span, self.feed, api.TimerFired(action.token))
 
-    def _tell(self, action: api.TellPeer) -> None:
+    def _send_to_peer(self, action: api.TellPeer) -> None:
         self.stats["peer_out"] += 1
         self.send_to_peer(action.peer, action.body)
 
-    def _nothing(self, action: api.Action) -> None:
+    def _ignore(self, action: api.Action) -> None:
         """The watch on discovery runs in any case, and these decisions send no probes."""
 
-    _DO: ClassVar = {
+    _HANDLERS: ClassVar = {
         api.Send: _send,
         api.Cancel: _cancel,
         api.Refuse: _refuse,
         api.Fail: _fail,
         api.SetTimer: _set_timer,
-        api.TellPeer: _tell,
-        api.AskList: _nothing,
-        api.FetchList: _nothing,
-        api.Probe: _nothing,
+        api.TellPeer: _send_to_peer,
+        api.AskList: _ignore,
+        api.FetchList: _ignore,
+        api.Probe: _ignore,
     }
 
     # -- answers and deadlines ------------------------------------------------------------------------------
@@ -380,7 +380,7 @@
     def _finish(self, call: Call, reply: bytes) -> None:
         """Every final answer passes here, once for each call."""
         if not call.finished:
-            self._close(call)
+            self._mark_finished(call)
             call.answer(reply)
 
     def _observe(self, call: Call, outcome: str, server: api.Server = b"") -> None:
@@ -388,7 +388,7 @@
             took = self.clock() - call.deadline + call.event.time_left
             self.observer.request_finished(call.event.kind, outcome, server, took)
 
-    def _close(self, call: Call) -> None:
+    def _mark_finished(self, call: Call) -> None:
         call.finished = True
         if all(attempt.ended for attempt in call.attempts):
             call.deadline_timer.cancel()
@@ -398,18 +398,18 @@
 
     def _withdraw(self, attempt: Attempt) -> None:
         """Not to be sent, where its last byte has not left: so it never runs."""
-        if not (attempt.ended or attempt.whole):
-            self.hosts.give_up(attempt)
+        if not (attempt.ended or attempt.fully_sent):
+            self.hosts.abandon(attempt)
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
 
     def _timed_out(self, attempt: Attempt) -> None:
         """Nothing came in time. What never left whole has certainly not run."""
         if not attempt.ended:
-            self.hosts.give_up(attempt)
-            outcome = api.Outcome.TIMED_OUT if attempt.whole else api.Outcome.NOT_CONNECTED
+            self.hosts.abandon(attempt)
+            outcome = api.Outcome.TIMED_OUT if attempt.fully_sent else api.Outcome.NOT_CONNECTED
             self.attempt_ended(attempt, outcome)
 
-    def _time_up(self, call: Call) -> None:
+    def _deadline_passed(self, call: Call) -> None:
         """Ends what is out. Guards the deadline: what the module leaves unanswered then is failed."""
         for attempt in call.attempts:
             self._timed_out(attempt)
@@ -417,12 +417,12 @@
             log.warning("request_unanswered", request=call.parts[2], customer=f"{call.event.customer:016x}")
             self._observe(call, "failed")
             self._finish(call, FAILED_REPLY)
-            if not call.elsewhere:
+            if not call.is_relayed:
                 self.feed(api.ClientGone(call.event.request))
 
-    def _after(self, span: int, callback: Callable, *args) -> asyncio.TimerHandle:
+    def _call_after(self, span: int, callback: Callable, *args) -> asyncio.TimerHandle:
         """Call back no earlier than a span from now: the loop counts whole milliseconds."""
         return self.loop.call_later((span // MS + 1) / 1_000, callback, *args)
 
-    def _at(self, when: int, callback: Callable, *args) -> asyncio.TimerHandle:
-        return self._after(max(0, when - self.clock()), callback, *args)
+    def _call_at(self, when: int, callback: Callable, *args) -> asyncio.TimerHandle:
+        return self._call_after(max(0, when - self.clock()), callback, *args)
--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -19,7 +19,7 @@
 from .calls import Attempt, Sink
 from .config import Address, HostList
 from .driver import Driver
-from .resp import CRLF, VALUE_BYTES_MAX, Large, Reader
+from .resp import CRLF, VALUE_BYTES_MAX, LargeValue, Reader
 
 REPLY_BYTES_MAX = 2 * VALUE_BYTES_MAX  # bytes of a whole answer but for a large value: figures and a report
 RECEIVE_BUFFER_BYTES = 256 * 1024  # bytes that wait in a socket: bounds a piece, where the client is slow
@@ -46,7 +46,7 @@
 def pack_request(attempt: Attempt, now: int) -> tuple[bytes, ...]:
     """The client's command as it came, but for how long the gateway will wait."""
     command, customer, number, before, after, *body = attempt.call.parts
-    left = max(1, (attempt.give_up_at - now) // MS)
+    left = max(1, (attempt.expires_at - now) // MS)
     terms = before + b"%d" % left + after
     words = command, customer, number, terms
     if body and isinstance(body[0], tuple):  # in its pieces, which are kept: it may go out again
@@ -71,17 +71,17 @@
     def __init__(self, pool: Pool) -> None:
         self.pool, self.stage = pool, Stage.OPENING
         self.transport: asyncio.Transport | None = None
-        self.reader = Reader(VALUE_BYTES_MAX, large_at=0)
+        self.reader = Reader(VALUE_BYTES_MAX, large_index=0)
         self.attempt: Attempt | None = None
-        self.large: Large | None = None  # the value of this answer, where it is a large one
+        self.large: LargeValue | None = None  # the value of this answer, where it is a large one
         self.sink: Sink | None = None  # where its pieces go
         self.reply: object = False  # what came of it besides: it is used again once that is whole
         self.paused = False
-        self.heard = 0.0  # when it last sent a piece
+        self.last_received_at = 0.0  # when it last sent a piece
         self.received = 0  # bytes of the answer
         self.idle_since = 0.0
         # Not the loop's own time-out: where the loop is behind, that closes a connection which has come up.
-        self.timer = pool.hosts.loop.call_later(pool.hosts.connect_timeout, pool.failed, self)
+        self.timer = pool.hosts.loop.call_later(pool.hosts.connect_timeout, pool.connect_failed, self)
         self.task = pool.hosts.loop.create_task(self._open())
         pool.opening += 1
         pool.hosts.sockets += 1  # here, not in the task: a burst comes before any of them has run
@@ -90,7 +90,7 @@
         try:
             await self.pool.hosts.loop.create_connection(lambda: self, *self.pool.address)
         except OSError:  # refused, or unreachable
-            self.pool.failed(self)
+            self.pool.connect_failed(self)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """It is up; with a high-water mark of 0 the loop says when the last byte has left."""
@@ -103,23 +103,23 @@
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
         )
-        self.pool.up(self)
+        self.pool.connected(self)
 
     def is_clean(self) -> bool:
         """Whether its socket holds nothing to read: an end, a reset or half a line may have come while nobody
         looked, and what is in it belongs to no request of ours."""
         if self.transport.is_closing():
             return False
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
-        return not look.poll(0)
+        poller = select.poll()
+        poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
+        return not poller.poll(0)
 
-    def begin(self, attempt: Attempt, now: int) -> None:
+    def start_attempt(self, attempt: Attempt, now: int) -> None:
         """Write an attempt's request."""
-        self.attempt, attempt.link, self.received, self.large = attempt, self, 0, None
-        for piece in pack_request(attempt, now):
-            self.transport.write(piece)
-        attempt.whole = not self.transport.get_write_buffer_size() and not self.transport.is_closing()
+        self.attempt, attempt.carrier, self.received, self.large = attempt, self, 0, None
+        for chunk in pack_request(attempt, now):
+            self.transport.write(chunk)
+        attempt.fully_sent = not self.transport.get_write_buffer_size() and not self.transport.is_closing()
 
     def pause_writing(self) -> None:
         """The socket takes no more for now."""
@@ -127,7 +127,7 @@
     def resume_writing(self) -> None:
         """The socket has taken all that was written."""
         if self.attempt:
-            self.attempt.whole = True
+            self.attempt.fully_sent = True
 
     def data_received(self, data: bytes) -> None:
         """The answer, or a part of it."""
@@ -142,19 +142,23 @@
         self.received += len(data)
         try:
             self.reader.feed(data)
-            if self.reader.large:
+            if self.reader.large_values:
                 self._stream()
             if self.reply is False:
                 self.reply = self.reader.gets()
-            passing = self.reader.passing is not None and self.reader.passing is self.large
+            passing = self.reader.streaming is not None and self.reader.streaming is self.large
             reply = False if passing else self.reply
-            odd = reply is not False and (self.reader.has_data() or not self.reader.between)
-            if reply is False and not passing and (self.reader.large or self.received > REPLY_BYTES_MAX):
+            malformed = reply is not False and (self.reader.has_data() or not self.reader.at_boundary)
+            if (
+                reply is False
+                and not passing
+                and (self.reader.large_values or self.received > REPLY_BYTES_MAX)
+            ):
                 raise hiredis.ProtocolError("answer too long, or a second large value")
         except hiredis.ProtocolError:
-            reply, odd = None, True
+            reply, malformed = None, True
         attempt = self.attempt
-        early = attempt is not None and not attempt.whole
+        early = attempt is not None and not attempt.fully_sent
         if reply is False and not early:
             return
         self.reply = False
@@ -164,31 +168,31 @@
         ):  # not before all has come: a value may be whole, and its answer cut off
             self.sink = None
             sink.end()
-        if odd or early:  # what belongs to what is lost
+        if malformed or early:  # what belongs to what is lost
             self.close()
         else:
             self.attempt = None
             hosts.streams.pop(self, None)
-            self.pool.free(self)
+            self.pool.release(self)
         if attempt:
-            hosts.replied(attempt, reply, odd)
+            hosts.handle_reply(attempt, reply, malformed)
 
     def _stream(self) -> None:
         """Pass on what has come of a large value; one that comes behind it belongs to no request."""
-        hosts, large, attempt = self.pool.hosts, self.reader.large[0], self.attempt
+        hosts, large, attempt = self.pool.hosts, self.reader.large_values[0], self.attempt
         if self.large is None:
-            if attempt and attempt.whole:
+            if attempt and attempt.fully_sent:
                 self.sink = hosts.driver.stream_started(attempt, large.length, self)
             if self.sink is None:
                 raise hiredis.ProtocolError("a large value that nobody waits for")
             self.attempt, hosts.streams[self], self.large = None, None, large
         if large is not self.large:
             return
-        self.heard = hosts.loop.time()
-        for piece in large.take():
-            self.sink.piece(piece)
-        if not large.left:
-            self.reader.large.popleft()
+        self.last_received_at = hosts.loop.time()
+        for chunk in large.take_chunks():
+            self.sink.write(chunk)
+        if not large.bytes_left:
+            self.reader.large_values.popleft()
             self.received = 0
 
     def pause(self) -> None:
@@ -200,7 +204,7 @@
     def resume(self) -> None:
         """The client reads again."""
         if self.paused and not self.transport.is_closing():
-            self.paused, self.heard = False, self.pool.hosts.loop.time()
+            self.paused, self.last_received_at = False, self.pool.hosts.loop.time()
             self.transport.resume_reading()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -209,7 +213,7 @@
         self.close()
         if attempt:
             # Guards rule 2: a reset may come after the host ran it, unless the last byte never left.
-            outcome = api.Outcome.BROKEN if attempt.whole else api.Outcome.NOT_CONNECTED
+            outcome = api.Outcome.BROKEN if attempt.fully_sent else api.Outcome.NOT_CONNECTED
             self.pool.hosts.driver.attempt_ended(attempt, outcome)
 
     def abort(self) -> None:
@@ -251,34 +255,34 @@
     def send(self, attempt: Attempt) -> None:
         """It waits its turn for a connection: at once, where one is idle and has cooled down."""
         self.waiting.append(attempt)
-        attempt.link = self
-        self._serve()
+        attempt.carrier = self
+        self._dispatch()
 
-    def _serve(self) -> None:
+    def _dispatch(self) -> None:
         """Attempts that wait take connections that have cooled down. For what is left, one that cools down is
         sooner than a new one and costs no handshake; as many as are missing then are opened."""
-        while self.waiting and (connection := self._rested()):
-            if attempt := self._next():
-                connection.begin(attempt, self.hosts.driver.clock())
+        while self.waiting and (connection := self._take_idle()):
+            if attempt := self._next_attempt():
+                connection.start_attempt(attempt, self.hosts.driver.clock())
             else:
-                self.free(connection)
+                self.release(connection)
         while len(self.waiting) > len(self.idle) + self.opening:
             if self.hosts.make_room():
                 Connection(self)
             else:
                 self.hosts.driver.attempt_ended(self.waiting.pop(), api.Outcome.NOT_CONNECTED)
-        self._serve_in_time()
+        self._schedule_dispatch()
 
-    def _serve_in_time(self) -> None:
+    def _schedule_dispatch(self) -> None:
         """One timer, as long as an attempt waits beside a connection that cools down."""
         if self.timer:
             self.timer.cancel()
         self.timer = None
         if self.waiting and self.idle:
             span = self.idle[0].idle_since + CONNECTION_COOLDOWN - self.hosts.loop.time()
-            self.timer = self.hosts.loop.call_later(max(0.001, span), self._serve)
+            self.timer = self.hosts.loop.call_later(max(0.001, span), self._dispatch)
 
-    def _rested(self) -> Connection | None:
+    def _take_idle(self) -> Connection | None:
         """The connection used last of those that have rested."""
         before = self.hosts.loop.time() - CONNECTION_COOLDOWN
         for connection in self.idle[::-1]:
@@ -292,32 +296,32 @@
             connection.close()
         return None
 
-    def failed(self, connection: Connection) -> None:
+    def connect_failed(self, connection: Connection) -> None:
         """It never came up: the attempt that waits longest never ran."""
         if connection.stage is Stage.OPENING:
             connection.close()
             if self.waiting:
                 self.hosts.driver.attempt_ended(self.waiting.popleft(), api.Outcome.NOT_CONNECTED)
 
-    def up(self, connection: Connection) -> None:
+    def connected(self, connection: Connection) -> None:
         """It is up: the attempt that waits longest takes it."""
         self.opening -= 1
         connection.stage = Stage.BUSY
-        if attempt := self._next():
-            connection.begin(attempt, self.hosts.driver.clock())
+        if attempt := self._next_attempt():
+            connection.start_attempt(attempt, self.hosts.driver.clock())
         else:
-            self.free(connection)
+            self.release(connection)
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Nothing is on it now."""
         connection.stage, connection.idle_since = Stage.IDLE, self.hosts.loop.time()
         self.idle.append(connection)
         if self.retired:
             connection.close()
         else:
-            self._serve_in_time()
+            self._schedule_dispatch()
 
-    def _next(self) -> Attempt | None:
+    def _next_attempt(self) -> Attempt | None:
         """The attempt that waits longest. Guards rule 2: one that may not be sent any more never was."""
         while self.waiting:
             attempt = self.waiting.popleft()
@@ -332,7 +336,7 @@
         while self.idle and self.idle[0].idle_since <= before:
             self.idle[0].close()
 
-    def stop_waiting(self) -> list[Attempt]:
+    def take_waiting(self) -> list[Attempt]:
         """Nothing new is sent there: what waits for a connection has never left."""
         waiting, self.waiting = list(self.waiting), deque()
         return waiting
@@ -341,7 +345,7 @@
         """Nothing more is sent there: what is out may end, what still waits is given back."""
         self.retired = True
         self.close_idle(float("inf"))
-        return self.stop_waiting()
+        return self.take_waiting()
 
 
 class Hosts:
@@ -357,14 +361,14 @@
     ) -> None:
         self.driver, self.loop, self.report_names = driver, driver.loop, report_names
         self.max_connections, self.connect_timeout = sockets, connect_timeout
-        self.keep_idle = IDLE_TIMEOUT_SHARE * idle_close
+        self.idle_timeout = IDLE_TIMEOUT_SHARE * idle_close
         self.sockets = 0  # open or opening
         self.pools: dict[api.Server, Pool] = {}
         self.streams: dict[Connection, None] = {}  # those with a large answer on them
-        self._sweep()
-        self._look()
+        self._close_idle_connections()
+        self._close_stalled_streams()
 
-    def told(self, listed: HostList) -> list[Attempt]:
+    def apply_host_list(self, listed: HostList) -> list[Attempt]:
         """Follow discovery: idle connections to hosts that are gone or moved are closed. Guards rule 3: gives
         back the attempts that would else be sent once their connection to a draining host is up."""
         unsent = []
@@ -378,18 +382,18 @@
             if pool and (gone or pool.address != host.address):
                 unsent += self.pools.pop(host.entry.server).retire()
             elif pool and host.entry.phase is api.Phase.DRAINING:
-                unsent += pool.stop_waiting()
+                unsent += pool.take_waiting()
             if not gone and host.entry.server not in self.pools:
                 self.pools[host.entry.server] = Pool(self, host.address)
         return unsent
 
-    def take_out(self, server: api.Server) -> list[Attempt]:
+    def ban_host(self, server: api.Server) -> list[Attempt]:
         """Nothing more goes there: what waits for a connection is given back, idle ones are closed."""
         pool = self.pools.get(server)
         if pool is None:
             return []
         pool.close_idle(float("inf"))
-        return pool.stop_waiting()
+        return pool.take_waiting()
 
     def send(self, attempt: Attempt) -> None:
         """Begin an attempt."""
@@ -398,25 +402,27 @@
         else:
             self.driver.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abandon(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; closing its connection tells the host."""
-        if isinstance(attempt.link, Connection):
-            attempt.link.close()
-        elif isinstance(attempt.link, Pool) and attempt in attempt.link.waiting:
-            attempt.link.waiting.remove(attempt)
+        if isinstance(attempt.carrier, Connection):
+            attempt.carrier.close()
+        elif isinstance(attempt.carrier, Pool) and attempt in attempt.carrier.waiting:
+            attempt.carrier.waiting.remove(attempt)
 
-    def replied(self, attempt: Attempt, reply: object, odd: bool) -> None:
+    def handle_reply(self, attempt: Attempt, reply: object, malformed: bool) -> None:
         """Translate a host's answer; odd: more came with it than one answer."""
         ended = self.driver.attempt_ended
         line = str(reply).split(" ") if isinstance(reply, hiredis.ReplyError) else [""]
-        if not attempt.whole:  # it can't be the answer to what the host has not got: but it may turn it away
+        if (
+            not attempt.fully_sent
+        ):  # it can't be the answer to what the host has not got: but it may turn it away
             ended(attempt, api.Outcome.FULL if line[0] == "BUSY" else api.Outcome.NOT_CONNECTED)
             return
         if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
             report = parse_report(reply[2] if len(reply) > 2 else None, self.report_names)
             ended(attempt, api.Outcome.SERVED, b"$%d\r\n%b\r\n" % (len(reply[0]), reply[0]), report)
             return
-        if line[0] == "BUSY" and not odd:  # else whether it has run can't be told
+        if line[0] == "BUSY" and not malformed:  # else whether it has run can't be told
             ended(attempt, api.Outcome.FULL)
             return
         ended(attempt, api.Outcome.ERROR, None, parse_report(line[-1].encode(), self.report_names))
@@ -446,15 +452,15 @@
                 oldest.idle[0].close()
         return self.sockets < self.max_connections
 
-    def _sweep(self) -> None:
+    def _close_idle_connections(self) -> None:
         """Guards against a request meeting a connection that its host is closing as idle."""
         for pool in self.pools.values():
-            pool.close_idle(self.loop.time() - self.keep_idle)
-        self.loop.call_later(self.keep_idle / SWEEPS_PER_IDLE_TIMEOUT, self._sweep)
+            pool.close_idle(self.loop.time() - self.idle_timeout)
+        self.loop.call_later(self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT, self._close_idle_connections)
 
-    def _look(self) -> None:
+    def _close_stalled_streams(self) -> None:
         """Guards against a host that stops within a large answer: no deadline runs any more."""
         before = self.loop.time() - STREAM_IDLE_TIMEOUT
-        for connection in [c for c in self.streams if not c.paused and c.heard < before]:
+        for connection in [c for c in self.streams if not c.paused and c.last_received_at < before]:
             connection.close()
-        self.loop.call_later(STREAM_IDLE_TIMEOUT / SWEEPS_PER_IDLE_TIMEOUT, self._look)
+        self.loop.call_later(STREAM_IDLE_TIMEOUT / SWEEPS_PER_IDLE_TIMEOUT, self._close_stalled_streams)
--- a/saffrongw/resp.py
+++ b/saffrongw/resp.py
@@ -15,18 +15,18 @@
 PLACEHOLDER = os.urandom(16)  # stands for a large value in what the parser gives: nobody else can send it
 
 
-class Large:
+class LargeValue:
     """A large value on its way: its pieces, as long as nobody takes them."""
 
-    __slots__ = ("left", "length", "pieces")
+    __slots__ = ("bytes_left", "chunks", "length")
 
     def __init__(self, length: int) -> None:
-        self.length = self.left = length
-        self.pieces: list[bytes] = []
+        self.length = self.bytes_left = length
+        self.chunks: list[bytes] = []
 
-    def take(self) -> list[bytes]:
+    def take_chunks(self) -> list[bytes]:
         """What has come since the last call."""
-        taken, self.pieces = self.pieces, []
+        taken, self.chunks = self.chunks, []
         return taken
 
 
@@ -41,105 +41,113 @@
     gives the array once the value has begun.
     """
 
-    def __init__(self, text_most: int, large_at: int = -1, large_last: bool = False) -> None:
+    def __init__(self, value_bytes_max: int, large_index: int = -1, large_must_be_last: bool = False) -> None:
         super().__init__()
-        self.text_most, self.large_at, self.large_last = text_most, large_at, large_last
-        self.line = b""  # of the head that has not ended yet; it goes to the parser whole
-        self.skip = 0  # bytes of a text still to come
-        self.owed = 0  # values still to come before the one that has begun is whole
-        self.place = -1  # in its array, of the value that has begun last
-        self.large: deque[Large] = deque()  # those that nobody has taken over
-        self.passing: Large | None = None  # the one whose bytes are coming
-        self.passed = 0  # bytes that went past the parser
-        self.wrong = ""
+        self.value_bytes_max, self.large_index, self.large_must_be_last = (
+            value_bytes_max,
+            large_index,
+            large_must_be_last,
+        )
+        self.header = b""  # of the head that has not ended yet; it goes to the parser whole
+        self.body_bytes_left = 0  # bytes of a text still to come
+        self.values_pending = 0  # values still to come before the one that has begun is whole
+        self.value_index = -1  # in its array, of the value that has begun last
+        self.large_values: deque[LargeValue] = deque()  # those that nobody has taken over
+        self.streaming: LargeValue | None = None  # the one whose bytes are coming
+        self.bytes_streamed = 0  # bytes that went past the parser
+        self.error = ""
 
     @property
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """Whether all that came are whole values; of a part the parser may have nothing left to show."""
-        return not (self.owed or self.skip or self.line)
+        return not (self.values_pending or self.body_bytes_left or self.header)
 
     def feed(self, data: bytes) -> None:
         """Take bytes in, up to the first head that is out of bounds."""
         at = fed = 0  # looked at, and gone to the parser or past it
-        while at < len(data) and not self.wrong:
-            if self.skip:
-                step = min(self.skip, len(data) - at)
-                self.skip -= step
-                if not self._ends_well(data[at : at + step]):
-                    self.wrong = "malformed end of a value"
+        while at < len(data) and not self.error:
+            if self.body_bytes_left:
+                step = min(self.body_bytes_left, len(data) - at)
+                self.body_bytes_left -= step
+                if not self._has_valid_terminator(data[at : at + step]):
+                    self.error = "malformed end of a value"
                     break
                 at += step
-                if self.passing:
-                    self._pass(data[fed:at])
+                if self.streaming:
+                    self._stream(data[fed:at])
                     fed = at
                 continue
-            begun, end = len(self.line), data.find(b"\n", at) + 1
-            self.line += data[at : end or None]
-            self.wrong = self._check(self.line) if end else self._too_long(self.line)
-            if self.wrong or not end:
+            begun, end = len(self.header), data.find(b"\n", at) + 1
+            self.header += data[at : end or None]
+            self.error = self._check_header(self.header) if end else self._check_header_length(self.header)
+            if self.error or not end:
                 break
-            if begun or self.passing:  # else it goes with what stands round it
+            if begun or self.streaming:  # else it goes with what stands round it
                 super().feed(data[fed:at])
                 super().feed(
-                    b"$%d\r\n%b\r\n" % (len(PLACEHOLDER), PLACEHOLDER) if self.passing else self.line
+                    b"$%d\r\n%b\r\n" % (len(PLACEHOLDER), PLACEHOLDER) if self.streaming else self.header
                 )
                 fed = end
-            self.line, at = b"", end
+            self.header, at = b"", end
         super().feed(data[fed:at])
 
     def gets(self) -> object:
         """The next whole value, or False; raises once all before a wrong head have been read."""
         value = super().gets()
-        if value is False and self.wrong:
-            raise hiredis.ProtocolError(self.wrong)
+        if value is False and self.error:
+            raise hiredis.ProtocolError(self.error)
         return value
 
-    def _ends_well(self, data: bytes) -> bool:
+    def _has_valid_terminator(self, data: bytes) -> bool:
         """Whether what these bytes hold of a value's end belongs there. The parser drops those two bytes
         unseen: a value longer or shorter than its head declares would pass for one that somebody made."""
-        come = len(CRLF) - self.skip  # bytes of the end that have come with these; none: it is still to come
+        come = (
+            len(CRLF) - self.body_bytes_left
+        )  # bytes of the end that have come with these; none: it is still to come
         end = data[-min(come, len(data)) :] if come > 0 else b""
         return end == CRLF[come - len(end) : come]
 
-    def _pass(self, data: bytes) -> None:
-        large = self.passing
-        piece = data[: large.left]
-        self.passed += len(data)
-        if piece:
-            large.left -= len(piece)
-            large.pieces.append(piece)
-        if not self.skip:
-            self.passing = None
-
-    def _too_long(self, line: bytes) -> str:
+    def _stream(self, data: bytes) -> None:
+        large = self.streaming
+        chunk = data[: large.bytes_left]
+        self.bytes_streamed += len(data)
+        if chunk:
+            large.bytes_left -= len(chunk)
+            large.chunks.append(chunk)
+        if not self.body_bytes_left:
+            self.streaming = None
+
+    def _check_header_length(self, line: bytes) -> str:
         return "line too long" if len(line) > LINE_BYTES_MAX else ""
 
-    def _check(self, line: bytes) -> str:
+    def _check_header(self, line: bytes) -> str:
         kind, number = line[:1], line[1 : -len(CRLF)]
         if not line.endswith(CRLF):
             return "malformed line"
-        self.place = self.place + 1 if self.owed else -1
-        self.owed = max(self.owed, 1) - 1  # the value that this line begins
+        self.value_index = self.value_index + 1 if self.values_pending else -1
+        self.values_pending = max(self.values_pending, 1) - 1  # the value that this line begins
         if kind in (b"*", b"$"):
             if not number.isdigit() and number != b"-1":
                 return "malformed length"
-            may_be_large = self.place == self.large_at >= 0 and not (self.large_last and self.owed)
+            may_be_large = self.value_index == self.large_index >= 0 and not (
+                self.large_must_be_last and self.values_pending
+            )
             most = (
                 ARRAY_LENGTH_MAX
                 if kind == b"*"
                 else LARGE_VALUE_BYTES_MAX
                 if may_be_large
-                else self.text_most
+                else self.value_bytes_max
             )
             if len(number) > len(str(most)) or int(number) > most:
                 return "array or value too long"
             if kind == b"$" and number != b"-1":
-                self.skip = int(number) + len(CRLF)
+                self.body_bytes_left = int(number) + len(CRLF)
                 if may_be_large and int(number) > VALUE_BYTES_MAX:
-                    self.passing = Large(int(number))
-                    self.large.append(self.passing)
+                    self.streaming = LargeValue(int(number))
+                    self.large_values.append(self.streaming)
             elif number != b"-1":
-                self.owed += int(number)
+                self.values_pending += int(number)
         elif kind not in (b"+", b"-", b":"):
             return "not a RESP2 value"
-        return self._too_long(line)
+        return self._check_header_length(line)
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -20,7 +20,7 @@
 from orchidlane import interface as api
 from saffrongw import client as client_module
 from saffrongw import drain as drain_module
-from saffrongw.client import COMMAND_TIMEOUT, COMMANDS_PER_TURN, SURPLUS_CONNECTIONS_MAX, Client, Stage
+from saffrongw.client import COMMAND_TIMEOUT, COMMANDS_PER_TICK, SURPLUS_CONNECTIONS_MAX, Client, Stage
 from saffrongw.hosts import CONNECTION_COOLDOWN
 
 PING = hiredis.pack_command((b"PING",))
@@ -37,11 +37,11 @@
 class Plain:
     """A client's socket."""
 
-    def __init__(self, rig: Rig, address: tuple[str, int], room: int = 0) -> None:
+    def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
         self.loop = rig.loop
         self.sock = socket.socket()
-        if room:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.sock.connect(address)
         self.send = self.sock.sendall  # at once, to the kernel
         self.sock.setblocking(False)
@@ -62,12 +62,12 @@
         return data
 
 
-async def connected(rig: Rig, room: int = 0) -> tuple[Plain, Client]:
+async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[Plain, Client]:
     """A client's socket and what the gateway makes of it."""
     if rig.clients.server is None:
         await rig.clients.listen()
     before = set(rig.clients.open)
-    plain = Plain(rig, rig.clients.server.sockets[0].getsockname(), room)
+    plain = Plain(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
     await until(lambda: set(rig.clients.open) - before)
     return plain, (set(rig.clients.open) - before).pop()
 
@@ -91,7 +91,7 @@
 
 
 async def by_drain(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = 0.0
+    client.waiting_since = 0.0
     rig.clients.drain._close_between()
     return b""
 
@@ -103,7 +103,7 @@
 
 
 async def by_overdue(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = rig.loop.time() - COMMAND_TIMEOUT - 1
+    client.waiting_since = rig.loop.time() - COMMAND_TIMEOUT - 1
     return b""
 
 
@@ -113,13 +113,13 @@
 
 
 async def by_leaving(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = 0.0
+    client.waiting_since = 0.0
     rig.clients.drain._close_without_request()
     return b""
 
 
 async def by_crowd(rig: Rig, plain: Plain, client: Client) -> bytes:
-    rig.clients.max_connections, client.surplus = 0, True
+    rig.clients.max_connections, client.is_surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
@@ -169,7 +169,7 @@
     rig = Rig(host)
     plain, client = await connected(rig)
     rig.clients.drain.closes = True
-    client.waits_since = 0.0
+    client.waiting_since = 0.0
     plain.send(PING + request(1) + PING)
     assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
     assert len(host.commands) == 1
@@ -217,7 +217,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     rig = Rig(host)
-    plain, client = await connected(rig, room=4096)
+    plain, client = await connected(rig, receive_buffer=4096)
     sock = client.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     count = 5
@@ -267,11 +267,11 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     rig = Rig(host)
-    plain, client = await connected(rig, room=4096)
+    plain, client = await connected(rig, receive_buffer=4096)
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
     await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
-    client.look = lambda before: None  # it takes a byte now and then: never stuck for long
+    client.check_timeouts = lambda before: None  # it takes a byte now and then: never stuck for long
     await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
     assert not rig.clients.is_finished
 
@@ -282,15 +282,15 @@
 async def pipeline_full(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
     gate = Gate(rig, host.port)
     plain.send(b"".join(request(number, b"bill") for number in range(1, 25)))
-    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).held)
+    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).reading_paused)
     return gate
 
 
 async def no_room(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
     gate = Gate(rig, host.port)
-    rig.clients.room.free = 0
+    rig.clients.upload_memory.free = 0
     plain.send(request(1, b"bill") + post(b"x" * 200_000)[:150_000])
-    await until(lambda: rig.clients.room.waiting and rig.driver.calls)
+    await until(lambda: rig.clients.upload_memory.waiting and rig.driver.calls)
     return gate
 
 
@@ -303,7 +303,7 @@
     gate = Gate(rig, host.port)
     host.script = lambda command: answer(b"v" * 4_000_000) if command[2] == b"id0" else answer(b"ok")
     plain.send(request(0) + request(1, b"bill"))
-    await until(lambda: next(iter(rig.clients.open)).held and rig.hosts.pools[b"a"].waiting)
+    await until(lambda: next(iter(rig.clients.open)).reading_paused and rig.hosts.pools[b"a"].waiting)
     return gate
 
 
@@ -355,7 +355,7 @@
     host = await FakeHost("a").listen()
     permissions = SITE["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
     rig = Rig(host, permissions=permissions, sockets=256)
-    plain, _ = await connected(rig, room=4096)
+    plain, _ = await connected(rig, receive_buffer=4096)
     opens = await wait(rig, host, plain)
     asked = rig.loop.time()
     leave(plain.sock)
@@ -396,7 +396,7 @@
     plain.send(request(1, b"bill"))
     await until(lambda: pool.waiting)
     pool.idle[0].idle_since -= CONNECTION_COOLDOWN
-    return pool._serve
+    return pool._dispatch
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
@@ -425,7 +425,7 @@
     assert [known.out for known in gateway.hosts.values()] == [0]
 
 
-@pytest.mark.parametrize("pings", [COMMANDS_PER_TURN, 2 * COMMANDS_PER_TURN])
+@pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 @asyncio_test
 async def test_what_a_client_sent_in_one_piece_before_it_left_is_not_carried_out_after(leave, pings):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -162,14 +162,14 @@
     rig.driver.feed = lambda event: (ended.append(event), feed(event))
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    original = pool.up
+    original = pool.connected
 
     def narrow(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(connection)
 
-    pool.up = narrow
+    pool.connected = narrow
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     assert error((await caller.replied())[0]).startswith("BUSY")
@@ -188,14 +188,14 @@
     host.port = listener.getsockname()[1]
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
-    up = rig.hosts.pools[b"a"].up
+    up = rig.hosts.pools[b"a"].connected
 
     def narrow(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    rig.hosts.pools[b"a"].up = narrow
+    rig.hosts.pools[b"a"].connected = narrow
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await rig.loop.sock_accept(listener)
@@ -438,11 +438,11 @@
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     (client,) = rig.clients.open
-    client.waits_since -= 10 * COMMAND_TIMEOUT
+    client.waiting_since -= 10 * COMMAND_TIMEOUT
     caller.ask(b"PING")
-    client.look(rig.loop.time() - COMMAND_TIMEOUT)
+    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
     assert await caller.replied() == [b"PONG"]
-    client.look(rig.loop.time() - COMMAND_TIMEOUT)
+    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
     assert client.stage is Stage.OPEN
 
 
@@ -456,12 +456,14 @@
     holder = await rig.caller()
     holder.call("bill", wait=10_000)
     await until(lambda: host.commands)
-    rig.clients._look = lambda: None  # none is closed for its silence
+    rig.clients._sweep = lambda: None  # none is closed for its silence
     more = []
     for number in range(SURPLUS_CONNECTIONS_MAX + 5):
         more.append(await rig.caller())
         more[-1].transport.write(b"*1\r\n")
-        await until(lambda number=number: more[-1].closed or rig.clients.unfinished() == 4 * (number + 1))
+        await until(
+            lambda number=number: more[-1].closed or rig.clients.unfinished_bytes() == 4 * (number + 1)
+        )
     assert [caller.closed for caller in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
     assert len(rig.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
     assert not holder.closed
@@ -477,7 +479,7 @@
     caller.call(number=b"first", wait=30_000)
     pings = 200_000
     caller.transport.write(hiredis.pack_command((b"PING",)) * pings)
-    await until(lambda: any(client.held for client in rig.clients.open))
+    await until(lambda: any(client.reading_paused for client in rig.clients.open))
     (client,) = rig.clients.open
     for _ in range(20):
         await asyncio.sleep(0.01)
@@ -494,22 +496,22 @@
     caller.transport.pause_reading()
     await until(lambda: rig.clients.open)
     (client,) = rig.clients.open
-    while not client.unread_since:
+    while not client.stalled_since:
         caller.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
         await asyncio.sleep(0)
-    client.unread_since -= WRITE_STALL_TIMEOUT
+    client.stalled_since -= WRITE_STALL_TIMEOUT
     await until(lambda: not rig.clients.open)
 
 
 @asyncio_test
 async def test_what_all_clients_leave_unfinished_is_bounded():
     rig = Rig(await FakeHost("a").listen(), sockets=256)
-    rig.clients._look = lambda: None  # none is closed for taking too long
+    rig.clients._sweep = lambda: None  # none is closed for taking too long
     callers = [await rig.caller() for _ in range(80)]
     for caller in callers:
         caller.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
     await until(lambda: sum(caller.closed for caller in callers) >= 80 - COMMAND_BYTES_MAX_ALL // 60_000)
-    assert rig.clients.unfinished() <= COMMAND_BYTES_MAX_ALL
+    assert rig.clients.unfinished_bytes() <= COMMAND_BYTES_MAX_ALL
     assert not all(caller.closed for caller in callers)
 
 
@@ -662,7 +664,9 @@
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
-        rig.clients.opened(list(rig.clients.open)[-1])  # in the same moment: nothing is read in between
+        rig.clients.connection_opened(
+            list(rig.clients.open)[-1]
+        )  # in the same moment: nothing is read in between
         for idle in (first, second):
             assert await asyncio.wait_for(rig.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
         await until(lambda: spare.closed)
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -129,7 +129,7 @@
     caller.call()
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     (number,) = rig.driver.calls
-    rig.driver._carry_out([api.Send(number, b"b", 0, 0)])
+    rig.driver._execute([api.Send(number, b"b", 0, 0)])
     assert await caller.replied() == [b"ok"]
     gate.open()
     await until(lambda: slow.connections and not rig.hosts.pools[b"a"].opening)
@@ -200,13 +200,13 @@
     rig = Rig(host, permissions=SITE["permissions"] | {"connectTimeout": 50_000})
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    up = pool.up
+    up = pool.connected
 
     def held(connection):
         up(connection)
         time.sleep(0.1)
 
-    pool.up = held
+    pool.connected = held
     caller.call(kind)
     assert await caller.replied() == [b"ok"]
     await until(lambda: pool.idle)
@@ -264,13 +264,13 @@
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    up = pool.up
+    up = pool.connected
 
     def narrow(connection):
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    pool.up = narrow
+    pool.connected = narrow
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -33,21 +33,21 @@
     draw = random.Random(seed)
     bodies = [draw.randbytes(size) for size in (VALUE_BYTES_MAX, VALUE_BYTES_MAX + 1, 200_000, 3)]
     data = b"".join(post(body, b"%d" % n) for n, body in enumerate(bodies))
-    reader = Reader(2 * VALUE_BYTES_MAX, large_at=4, large_last=True)
-    commands, passed = [], []
+    reader = Reader(2 * VALUE_BYTES_MAX, large_index=4, large_must_be_last=True)
+    commands, chunks = [], []
     while data:
         size = draw.choice((1, 2, 3, 7, 50, 4096, 70_000))
         reader.feed(data[:size])
         data = data[size:]
-        for large in reader.large:
-            passed += large.take()
+        for large in reader.large_values:
+            chunks += large.take_chunks()
         while (command := reader.gets()) is not False:
             commands.append(command)
-    assert reader.between and reader.passing is None
+    assert reader.at_boundary and reader.streaming is None
     assert [command[2] for command in commands] == [b"0", b"1", b"2", b"3"]
     assert [command[4] for command in commands] == [bodies[0], PLACEHOLDER, PLACEHOLDER, bodies[3]]
-    assert b"".join(passed) == bodies[1] + bodies[2]
-    assert [large.length for large in reader.large] == [VALUE_BYTES_MAX + 1, 200_000]
+    assert b"".join(chunks) == bodies[1] + bodies[2]
+    assert [large.length for large in reader.large_values] == [VALUE_BYTES_MAX + 1, 200_000]
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
     ],
 )
 def test_what_is_too_long_or_out_of_place_is_wrong(data):
-    reader = Reader(2 * VALUE_BYTES_MAX, large_at=4, large_last=True)
+    reader = Reader(2 * VALUE_BYTES_MAX, large_index=4, large_must_be_last=True)
     reader.feed(data)
     with pytest.raises(hiredis.ProtocolError):
         while reader.gets() is not False:
@@ -263,7 +263,7 @@
         host.script = lambda command: replies.pop(0)
     rig = Rig(*hosts)
     caller = await rig.caller()
-    free = rig.clients.room.free
+    free = rig.clients.upload_memory.free
     data = post(BIG)
     for at in range(0, len(data), 400_000):
         assert not hosts[0].commands + hosts[1].commands
@@ -273,48 +273,48 @@
     assert await caller.replied(2) == [b"done", b"small"]
     commands = [command for host in hosts for command in host.commands]
     assert [command[4] for command in commands if command[2] == b"id1"] == [BIG, BIG]
-    assert rig.clients.room.free == free
+    assert rig.clients.upload_memory.free == free
 
 
 @asyncio_test
 async def test_bodies_wait_for_room_and_all_of_them_arrive():
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.room.free = 2 * len(BIG) + 1
+    rig.clients.upload_memory.free = 2 * len(BIG) + 1
     host.script = lambda command: answer(command[2])
     callers = [await rig.caller() for _ in range(6)]
     for number, caller in enumerate(callers):
         caller.transport.write(post(BIG, b"id%d" % number)[:-10])
-    await until(lambda: len(rig.clients.room.waiting) == 4)
-    assert rig.clients.room.free == 1
+    await until(lambda: len(rig.clients.upload_memory.waiting) == 4)
+    assert rig.clients.upload_memory.free == 1
     callers[5].transport.close()  # one that waits leaves, and one that has room
     callers[0].transport.close()
     for number, caller in enumerate(callers[1:5], 1):
         caller.transport.write(post(BIG, b"id%d" % number)[-10:])
     for number, caller in enumerate(callers[1:5], 1):
         assert await caller.replied() == [b"id%d" % number]
-    await until(lambda: rig.clients.room.free == 2 * len(BIG) + 1)
-    assert rig.clients.room.waiting == {} and len(host.commands) == 4
+    await until(lambda: rig.clients.upload_memory.free == 2 * len(BIG) + 1)
+    assert rig.clients.upload_memory.waiting == {} and len(host.commands) == 4
 
 
 @asyncio_test
 async def test_who_finds_no_room_for_long_is_told_that_trying_again_is_harmless(monkeypatch):
-    monkeypatch.setattr(uploads_module, "UPLOAD_ROOM_TIMEOUT", 0.3)
+    monkeypatch.setattr(uploads_module, "UPLOAD_MEMORY_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.room.free = 10
+    rig.clients.upload_memory.free = 10
     caller = await rig.caller()
     caller.transport.write(post(BIG))
     assert str((await caller.replied())[0]) == "BUSY"
     await until(lambda: caller.closed)
-    assert rig.clients.room.free == 10 and host.commands == []
+    assert rig.clients.upload_memory.free == 10 and host.commands == []
 
 
 @asyncio_test
 async def test_a_body_that_stops_or_dawdles_ends_in_time():
     rig = Rig(await FakeHost("a").listen())
     stops, dawdles = [await rig.caller() for _ in range(2)]
-    began, free = rig.loop.time(), rig.clients.room.free
+    began, free = rig.loop.time(), rig.clients.upload_memory.free
     for caller in (stops, dawdles):
         caller.transport.write(post(BIG)[:1000])
     while not (stops.closed and dawdles.closed):
@@ -322,7 +322,7 @@
         await asyncio.sleep(0.05)
     assert str(stops.replies[0]).startswith("ERR") and str(dawdles.replies[0]).startswith("ERR")
     assert rig.loop.time() - began < 4
-    await until(lambda: rig.clients.room.free == free)
+    await until(lambda: rig.clients.upload_memory.free == free)
 
 
 @pytest.mark.parametrize("more", [0, 1_000_000])
@@ -341,11 +341,11 @@
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
-    free = rig.clients.room.free
+    free = rig.clients.upload_memory.free
     caller.transport.write(post(BIG, terms=b"c=put") + hiredis.pack_command((b"PING",)))
     replies = await caller.replied(2)
     assert str(replies[0]).startswith("ERR") and replies[1] == b"PONG"
-    assert rig.clients.room.free == free and host.commands == []
+    assert rig.clients.upload_memory.free == free and host.commands == []
 
 
 @asyncio_test
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -130,7 +130,7 @@
         self.hosts = self.driver.hosts = Hosts(self.driver, (), 24, 2.0, 0.25)
         self.driver.start(made.known)
         self.clients = Clients(self.driver, made, 12)
-        self.clients._look()
+        self.clients._sweep()
         self.zones = made.zones
         self.answers: dict[Call, list[float]] = {}
         self.gone: set[Call] = set()
@@ -209,7 +209,7 @@
     def connection_is_refused(self) -> None:
         if self.loop.opening:
             link = self.loop.opening.pop(self.random.randrange(len(self.loop.opening)))
-            link.pool.failed(link)
+            link.pool.connect_failed(link)
 
     def host_answers(self) -> None:
         if wire := self._one([wire for wire in self.links if not wire.closing]):
@@ -264,9 +264,9 @@
 
     def _has_owner(self, attempt: Attempt) -> bool:
         """Whether an attempt without its end is on a connection, or waits for one."""
-        if isinstance(attempt.link, Connection):
-            return attempt.link.stage is Stage.BUSY and attempt.link.attempt is attempt
-        return attempt in attempt.link.waiting
+        if isinstance(attempt.carrier, Connection):
+            return attempt.carrier.stage is Stage.BUSY and attempt.carrier.attempt is attempt
+        return attempt in attempt.carrier.waiting
 
 
 WHAT = {
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -33,7 +33,7 @@
 
 def test_it_knows_where_a_value_ends():
     reader = Reader(100)
-    ends = [i for i in range(len(GOOD)) if (reader.feed(GOOD[i : i + 1]), reader.between)[1]]
+    ends = [i for i in range(len(GOOD)) if (reader.feed(GOOD[i : i + 1]), reader.at_boundary)[1]]
     command = len(hiredis.pack_command((b"A", b"*999999999\r\n$1\r\n", b"")))
     assert ends == [command - 1, len(GOOD) - len(b"+ok\r\n") - 1, len(GOOD) - 1]
 
