--- a/saffrongw/answers.py
+++ b/saffrongw/answers.py
@@ -1,4 +1,4 @@
-"""The place of one command's answer on its connection: answers go out in the order of the commands."""
+"""Response slots of a client connection: responses are written in the order of the commands."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 
 class Slot:
-    """The place of one command's answer on its connection."""
+    """Position of one command's response in a connection's pipeline."""
 
     __slots__ = ("begun", "body_bytes", "call", "client", "reply", "source")
 
     def __init__(self, client: Client) -> None:
         self.client = client
-        self.reply: bytes | None = None  # what can be written of the answer, and has not been
+        self.reply: bytes | None = None  # bytes of the response that are ready but not yet written
         self.call: Call | None = None
-        self.body_bytes = 0  # bytes of its body that are kept
-        self.source: Source | None = None  # where the rest of a large answer comes from
-        self.begun = False  # its turn has come, and its first bytes are written
+        self.body_bytes = 0  # upload memory that the request's body occupies
+        self.source: Source | None = None  # host connection that still delivers a streamed response
+        self.begun = False  # the first bytes of the response have been written
 
     def answer(self, reply: bytes) -> None:
-        """The answer is known; it is written once those before it are."""
+        """Set the response; it is written once all responses before it have been written."""
         self.reply = reply
         self.release_body()
         self.client.flush()
 
     def release_body(self) -> None:
-        """Its body is not needed any more."""
+        """Return the upload memory of the request's body."""
         body_bytes, self.body_bytes = self.body_bytes, 0
         self.client.clients.upload_memory.release(body_bytes)
 
-    # -- a large answer
+    # -- streamed responses
 
     def begin(self, length: int, source: Source) -> None:
-        """So many bytes will come; where its turn has not, they wait at the host."""
+        """Start a streamed response; the source is paused until this slot is first in the pipeline."""
         self.source = source
         self.answer(b"$%d\r\n" % length)
 
     def write(self, data: bytes) -> None:
-        """Some of them."""
+        """Write a chunk, or buffer it and pause the source while earlier responses are pending."""
         if self.begun:
             self.client.write(data)
         else:
@@ -52,22 +52,22 @@
             self.source.pause()
 
     def end(self) -> None:
-        """They were all."""
+        """Complete a streamed response."""
         self.write(CRLF)
         self.source = None
         self.client.flush()
 
     def is_client_gone(self) -> bool:
-        """Whether the client has closed: its end may wait in the socket."""
+        """Whether the client has closed, even if its FIN is still unread in the socket."""
         return self.client.transport.is_closing() or self.client.client_has_closed()
 
     def fail(self) -> None:
-        """The rest will never come: the client must not take what there is for an answer."""
+        """Abort a streamed response so that the client cannot mistake the part it has for the whole."""
         self.source = None
         if self.client.is_write_closed():
             return
         self.client.clients.driver.stats["stream_broken"] += 1
         if self.begun:
             self.client.half_close()
-        else:  # nothing of it was written: those that are answered before it keep their connection
+        else:  # nothing was written yet: an error response keeps the connection open for the other slots
             self.answer(FAILED_REPLY)
--- a/saffrongw/calls.py
+++ b/saffrongw/calls.py
@@ -1,4 +1,4 @@
-"""A request in flight, its attempts, and what a streamed answer passes through."""
+"""Requests in flight, their attempts, and the interfaces that a streamed response passes through."""
 
 from __future__ import annotations
 
@@ -12,80 +12,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What a client's command says of its request; wait in microseconds."""
+    """Parsed terms of a client's command; ``timeout`` is in microseconds."""
 
     customer: int
     kind: int
     plan: int
-    wait: int
+    timeout: int
     units: float
-    spread: int
-    first: int
+    set_size: int
+    set_first: int
     is_repeat: bool
 
 
 class Source(Protocol):
-    """Where the pieces of a large answer come from."""
+    """Producer of a streamed response: a host connection."""
 
     def pause(self) -> None:
-        """Send no more pieces for now."""
+        """Stop delivering chunks for now."""
 
     def resume(self) -> None:
-        """Go on."""
+        """Continue delivering chunks."""
 
     def abort(self) -> None:
-        """Nobody wants the rest."""
+        """Discard the rest: nobody will read it."""
 
 
 class Sink(Protocol):
-    """Where the pieces of a large answer go."""
+    """Consumer of a streamed response: a client connection."""
 
     def begin(self, length: int, source: Source) -> None:
-        """So many bytes will come."""
+        """Start a response of ``length`` bytes."""
 
     def write(self, data: bytes) -> None:
-        """Some of them."""
+        """Take the next chunk."""
 
     def end(self) -> None:
-        """They were all."""
+        """The response is complete."""
 
     def fail(self) -> None:
-        """The rest will never come."""
+        """The rest of the response will not come."""
 
     def is_client_gone(self) -> bool:
-        """Whether the client has closed its connection, seen by the loop or not."""
+        """Whether the client has closed its connection, even if the event loop has not noticed yet."""
 
 
-Body = tuple[bytes, ...]  # a large one, in the pieces that it came in
+Body = tuple[bytes, ...]  # a large body, in the chunks in which it was received
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A client's request: what goes to hosts, and how it stands."""
+    """A client's request: the command to send to hosts, its attempts and its state."""
 
     event: api.RequestArrived
-    # Command, customer, id, terms before and after the value of ``d``, perhaps body.
+    # Command, customer, id, the terms before and after the value of ``d``, and optionally the body.
     parts: tuple[bytes | Body, ...]
     deadline: int  # clock time by which it must be answered
     answer: Callable[[bytes], None]
-    sink: Sink | None = None  # takes a large answer, and knows whether the client is there; None: a relay's
+    sink: Sink | None = None  # for streamed responses; None for a request relayed by another process
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
     finished: bool = False
-    is_relayed: bool = False  # the process that took over decides on it
+    is_relayed: bool = False  # the successor process decides on it
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a call to a host; it ends exactly once."""
+    """One attempt to have a host serve a request; it ends exactly once."""
 
     call: Call
     number: int
     server: api.Server
     sent_at: int
     expires_at: int
-    send_by: int = 0  # clock time after which it may not be sent any more; 0: there is none
+    send_by: int = 0  # clock time after which it must not be sent any more; 0: no limit
     timer: asyncio.TimerHandle | None = None
-    carrier: object = None  # where hosts.py keeps what carries it
-    fully_sent: bool = False  # its last byte has left: from then on it may run
+    carrier: object = None  # the Connection it was sent on, or the Pool in which it waits for one
+    fully_sent: bool = False  # the last byte has left the process: from then on the host may execute it
     ended: bool = False
--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -15,7 +15,7 @@
 
 from .answers import Slot
 from .calls import Body, Terms
-from .requests import BODY_INDEX, Malformed, parse
+from .requests import BODY_INDEX, MalformedRequest, parse
 from .resp import PLACEHOLDER, VALUE_BYTES_MAX, LargeValue, Reader
 from .uploads import UPLOAD_RESUME_TIMEOUT, Upload
 
@@ -250,9 +250,9 @@
         upload = self.upload = Upload(large, self.clients.driver.loop.time())
         try:
             if not all(isinstance(value, bytes) for value in command) or command[0] != b"CALL.POST":
-                raise Malformed("unknown command")
+                raise MalformedRequest("unknown command")
             upload.terms, parts = parse(command, self.clients.config)
-        except Malformed as wrong:
+        except MalformedRequest as wrong:
             self.clients.driver.stats["client_malformed"] += 1
             return self._reply(b"-ERR %b\r\n" % str(wrong).encode())
         upload.parts = parts[:-1]
@@ -297,7 +297,7 @@
     def _handle_request(self, command: list[bytes]) -> None:
         try:
             terms, parts = parse(command, self.clients.config)
-        except Malformed as wrong:
+        except MalformedRequest as wrong:
             self.clients.driver.stats["client_malformed"] += 1
             return self._reply(b"-ERR %b\r\n" % str(wrong).encode())
         return self._accept_request(terms, parts)
--- a/saffrongw/clock.py
+++ b/saffrongw/clock.py
@@ -1,4 +1,4 @@
-"""The gateway's one clock."""
+"""The gateway's clock: wall-clock time that never jumps."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Unix time in microseconds, read once and then advanced by the monotonic clock: it never jumps."""
+    """Unix time in microseconds, read once at start and then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
         self.base = time.time_ns() - time.monotonic_ns()
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -106,7 +106,7 @@
         """A client's request, its last byte just read; the client's own ids stay outside the module."""
         self.last_request += 1
         self.stats["requests"] += 1
-        left = max(MS, terms.wait - REPLY_MARGIN)
+        left = max(MS, terms.timeout - REPLY_MARGIN)
         event = api.RequestArrived(
             self.last_request,
             terms.customer,
@@ -114,8 +114,8 @@
             terms.kind,
             terms.units,
             left,
-            terms.first,
-            terms.spread,
+            terms.set_first,
+            terms.set_size,
             terms.is_repeat,
         )
         call = Call(event, parts, self.clock() + left, answer, sink)
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -1,4 +1,4 @@
-"""Opening an address: at once, or once the process before this one has let it go."""
+"""Opens listening addresses: at once, or as soon as another process releases them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 log = logs.get(__name__)
 
-RETRY_INTERVAL = 0.5  # seconds until an address that is taken is tried again
+RETRY_INTERVAL = 0.5  # seconds between attempts to open an address that is in use
 
 
 class StartupError(Exception):
-    """The gateway can't start; the text says why and what to change, in one line."""
+    """The gateway cannot start; the text is one line that says why and what to change."""
 
 
 def listen_error(purpose: str, address: Address, error: OSError) -> StartupError:
-    """What to tell of an address that can't be opened."""
+    """Describe why an address cannot be opened, and what to do about it."""
     advice = {
         errno.EADDRINUSE: "another process listens there: end it or choose another port",
         errno.EADDRNOTAVAIL: "this machine has no such address",
@@ -30,7 +30,7 @@
 
 
 async def listen_now(purpose: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
-    """Open it; raises StartupError."""
+    """Open an address; raises StartupError."""
     try:
         await listen()
     except OSError as error:
@@ -40,7 +40,7 @@
 async def listen_when_free(
     purpose: str, address: Address, listen: Callable[[], Awaitable[None]], retry: bool
 ) -> asyncio.Task[None] | None:
-    """Open it; where another process may hold it for a while yet (``retry``), go on trying in a task."""
+    """Open an address; with ``retry``, keep trying in a task while another process holds it."""
     try:
         await listen()
     except OSError as error:
--- a/saffrongw/requests.py
+++ b/saffrongw/requests.py
@@ -1,4 +1,4 @@
-"""A client's request as a command: checked, and taken apart for hosts."""
+"""Parses a client's command into the terms of a request and the parts to send to a host."""
 
 from __future__ import annotations
 
@@ -17,45 +17,45 @@
 MS = 1_000  # microseconds
 
 
-class Malformed(Exception):
-    """A command that is answered ``-ERR`` and goes no further."""
+class MalformedRequest(Exception):
+    """A command that is answered with ``-ERR`` and not executed."""
 
 
 def parse(command: list[object], config: Config) -> tuple[Terms, tuple[bytes, ...]]:
-    """A request's terms, and its parts as hosts get them: the terms are cut round the value of ``d``."""
+    """Return a request's terms, and its parts for hosts with the terms split around the value of ``d``."""
     if not 4 <= len(command) <= 5 or (command[0] == b"CALL.GET" and len(command) != 4):
-        raise Malformed("wrong number of values")
-    name, customer, number, text = command[:4]
+        raise MalformedRequest("wrong number of values")
+    name, customer, request_id, text = command[:4]
     try:
         if not re.fullmatch(rb"[0-9A-Fa-f]{16}", customer) or (key := int(customer, 16)) >> CUSTOMER_BITS:
-            raise Malformed("customer is not 16 hex digits below 2^33")
+            raise MalformedRequest("customer is not 16 hex digits below 2^33")
         pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
         terms = dict(pairs)
         if len(terms) != len(pairs):
-            raise Malformed("a term stands twice")
+            raise MalformedRequest("a term stands twice")
         kind, plan = config.classes.get(terms[b"c"]), config.plans.get(terms[b"t"])
         if kind is None or plan is None:
-            raise Malformed("unknown class or plan")
-        wait, units = terms[b"d"], float(terms[b"units"])
-        if not wait.isdigit() or not 0 < int(wait) <= REQUEST_TIMEOUT_MAX:
-            raise Malformed("term d is out of range")
-        spread, first = int(terms[b"spread"]), int(terms[b"first"])
+            raise MalformedRequest("unknown class or plan")
+        timeout, units = terms[b"d"], float(terms[b"units"])
+        if not timeout.isdigit() or not 0 < int(timeout) <= REQUEST_TIMEOUT_MAX:
+            raise MalformedRequest("term d is out of range")
+        set_size, set_first = int(terms[b"spread"]), int(terms[b"first"])
     except KeyError as missing:
-        raise Malformed(f"term {missing.args[0].decode()} is missing") from None
+        raise MalformedRequest(f"term {missing.args[0].decode()} is missing") from None
     except ValueError:
-        raise Malformed("terms are malformed") from None
+        raise MalformedRequest("terms are malformed") from None
     effect, gateways = config.settings.classes[kind].effect, config.settings.gateways
     if (name == b"CALL.GET") != (effect is Effect.SAFE):
-        raise Malformed("this class is served by the other command")
+        raise MalformedRequest("this class is served by the other command")
     if effect is Effect.KEYED and not terms.get(b"k"):
-        raise Malformed("term k is missing")
+        raise MalformedRequest("term k is missing")
     if not math.isfinite(units) or not 0 < units <= config.units_most:
-        raise Malformed("term units is out of range")
-    if not 1 <= spread <= gateways or not 0 <= first < gateways:
-        raise Malformed("terms spread and first are out of range")
-    if not 0 < len(number) <= REQUEST_ID_BYTES_MAX:
-        raise Malformed("the request's id is empty or too long")
+        raise MalformedRequest("term units is out of range")
+    if not 1 <= set_size <= gateways or not 0 <= set_first < gateways:
+        raise MalformedRequest("terms spread and first are out of range")
+    if not 0 < len(request_id) <= REQUEST_ID_BYTES_MAX:
+        raise MalformedRequest("the request's id is empty or too long")
     at = (b"," + text).index(b",d=") + 2
-    parts = (name, customer, number, text[:at], text[at + len(wait) :], *command[4:])
-    repeat = terms.get(b"r") == b"1"
-    return Terms(key, kind, plan, int(wait) * MS, units, spread, first, repeat), parts
+    parts = (name, customer, request_id, text[:at], text[at + len(timeout) :], *command[4:])
+    is_repeat = terms.get(b"r") == b"1"
+    return Terms(key, kind, plan, int(timeout) * MS, units, set_size, set_first, is_repeat), parts
--- a/saffrongw/resp.py
+++ b/saffrongw/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 as hiredis reads it, but for what a peer only declares, and for large values, which pass it by."""
+"""RESP2 reader on top of hiredis that bounds declared lengths and streams large values past the parser."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 import hiredis
 
-VALUE_BYTES_MAX = 64 * 1024  # bytes in one value that the parser holds
-LARGE_VALUE_BYTES_MAX = 4 * 1024 * 1024  # bytes in one value
+VALUE_BYTES_MAX = 64 * 1024  # bytes of a value that the parser buffers
+LARGE_VALUE_BYTES_MAX = 4 * 1024 * 1024  # bytes of a streamed value
 ARRAY_LENGTH_MAX = 1024  # values in one array
 LINE_BYTES_MAX = 1024  # bytes of a line: a type, and a number or a short text
 CRLF = b"\r\n"
-PLACEHOLDER = os.urandom(16)  # stands for a large value in what the parser gives: nobody else can send it
+PLACEHOLDER = os.urandom(16)  # replaces a large value in parsed arrays; random so that no peer can forge it
 
 
 class LargeValue:
-    """A large value on its way: its pieces, as long as nobody takes them."""
+    """A large value that is being received, with the chunks that have not been taken yet."""
 
     __slots__ = ("bytes_left", "chunks", "length")
 
@@ -25,20 +25,21 @@
         self.chunks: list[bytes] = []
 
     def take_chunks(self) -> list[bytes]:
-        """What has come since the last call."""
+        """Remove and return the chunks received since the last call."""
         taken, self.chunks = self.chunks, []
         return taken
 
 
 class Reader(hiredis.Reader):
-    """Guards the parser, which makes room for as many values as an array's head declares.
+    """A hiredis reader that checks headers before the parser sees them, and streams large values.
 
-    Two thousand million of them take a peer 13 bytes. The room is never touched by the parser, but each
-    turn of the garbage collector looks through all of it, for seconds in which nobody else is served.
+    The parser allocates room for as many values as an array header declares, so 13 bytes from a peer can make
+    it allocate two thousand million slots. It never touches them, but every run of the garbage collector
+    scans all of them, which blocks the process for seconds.
 
-    A value over 64 KiB at the one place of an array where it may stand does not go through the parser, which
-    gets a mark for it: its bytes are in ``large``, as they come. Where it must be the last value, the parser
-    gives the array once the value has begun.
+    At one index of an array (``large_index``) a value may exceed 64 KiB. The parser then gets a placeholder,
+    and the bytes go to ``large_values`` as they arrive. With ``large_must_be_last`` the array is returned as
+    soon as the large value has begun.
     """
 
     def __init__(self, value_bytes_max: int, large_index: int = -1, large_must_be_last: bool = False) -> None:
@@ -48,23 +49,26 @@
             large_index,
             large_must_be_last,
         )
-        self.header = b""  # of the head that has not ended yet; it goes to the parser whole
-        self.body_bytes_left = 0  # bytes of a text still to come
-        self.values_pending = 0  # values still to come before the one that has begun is whole
-        self.value_index = -1  # in its array, of the value that has begun last
-        self.large_values: deque[LargeValue] = deque()  # those that nobody has taken over
-        self.streaming: LargeValue | None = None  # the one whose bytes are coming
-        self.bytes_streamed = 0  # bytes that went past the parser
+        self.header = b""  # received part of an incomplete header; the parser gets only whole ones
+        self.body_bytes_left = 0  # bytes of the current value still to come, with its CRLF
+        self.values_pending = 0  # values still to come before the outermost one is complete
+        self.value_index = -1  # index in its array of the value that began last
+        self.large_values: deque[LargeValue] = deque()  # not yet taken over by the connection
+        self.streaming: LargeValue | None = None  # the large value that is being received
+        self.bytes_streamed = 0  # total bytes that bypassed the parser
         self.error = ""
 
     @property
     def at_boundary(self) -> bool:
-        """Whether all that came are whole values; of a part the parser may have nothing left to show."""
+        """Whether everything received so far forms complete values.
+
+        ``has_data`` cannot tell: the parser may have consumed all bytes of an incomplete value.
+        """
         return not (self.values_pending or self.body_bytes_left or self.header)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes in, up to the first head that is out of bounds."""
-        at = fed = 0  # looked at, and gone to the parser or past it
+        """Pass bytes to the parser up to the first invalid header."""
+        at = fed = 0  # bytes checked, and bytes passed to the parser or streamed
         while at < len(data) and not self.error:
             if self.body_bytes_left:
                 step = min(self.body_bytes_left, len(data) - at)
@@ -82,7 +86,7 @@
             self.error = self._check_header(self.header) if end else self._check_header_length(self.header)
             if self.error or not end:
                 break
-            if begun or self.streaming:  # else it goes with what stands round it
+            if begun or self.streaming:  # otherwise the header is passed on with the bytes around it
                 super().feed(data[fed:at])
                 super().feed(
                     b"$%d\r\n%b\r\n" % (len(PLACEHOLDER), PLACEHOLDER) if self.streaming else self.header
@@ -92,20 +96,21 @@
         super().feed(data[fed:at])
 
     def gets(self) -> object:
-        """The next whole value, or False; raises once all before a wrong head have been read."""
+        """Return the next complete value, or False; raises once all values before an error have been read."""
         value = super().gets()
         if value is False and self.error:
             raise hiredis.ProtocolError(self.error)
         return value
 
     def _has_valid_terminator(self, data: bytes) -> bool:
-        """Whether what these bytes hold of a value's end belongs there. The parser drops those two bytes
-        unseen: a value longer or shorter than its head declares would pass for one that somebody made."""
-        come = (
-            len(CRLF) - self.body_bytes_left
-        )  # bytes of the end that have come with these; none: it is still to come
-        end = data[-min(come, len(data)) :] if come > 0 else b""
-        return end == CRLF[come - len(end) : come]
+        """Whether the part of the value's CRLF that these bytes hold is valid.
+
+        The parser skips those two bytes unchecked: a value longer or shorter than its header declares would
+        be accepted as a different, valid one.
+        """
+        received = len(CRLF) - self.body_bytes_left  # bytes of the CRLF received so far; not positive: none
+        end = data[-min(received, len(data)) :] if received > 0 else b""
+        return end == CRLF[received - len(end) : received]
 
     def _stream(self, data: bytes) -> None:
         large = self.streaming
@@ -121,25 +126,26 @@
         return "line too long" if len(line) > LINE_BYTES_MAX else ""
 
     def _check_header(self, line: bytes) -> str:
+        """Update the framing state by a complete header line; returns an error, or an empty string."""
         kind, number = line[:1], line[1 : -len(CRLF)]
         if not line.endswith(CRLF):
             return "malformed line"
         self.value_index = self.value_index + 1 if self.values_pending else -1
-        self.values_pending = max(self.values_pending, 1) - 1  # the value that this line begins
+        self.values_pending = max(self.values_pending, 1) - 1  # this line begins one of them
         if kind in (b"*", b"$"):
             if not number.isdigit() and number != b"-1":
                 return "malformed length"
             may_be_large = self.value_index == self.large_index >= 0 and not (
                 self.large_must_be_last and self.values_pending
             )
-            most = (
+            limit = (
                 ARRAY_LENGTH_MAX
                 if kind == b"*"
                 else LARGE_VALUE_BYTES_MAX
                 if may_be_large
                 else self.value_bytes_max
             )
-            if len(number) > len(str(most)) or int(number) > most:
+            if len(number) > len(str(limit)) or int(number) > limit:
                 return "array or value too long"
             if kind == b"$" and number != b"-1":
                 self.body_bytes_left = int(number) + len(CRLF)
--- a/saffrongw/uploads.py
+++ b/saffrongw/uploads.py
@@ -1,4 +1,4 @@
-"""Large bodies that clients upload: their pieces, their pace, and the memory for all of them."""
+"""Large request bodies: chunks received so far, minimum rate, and the memory limit shared by all clients."""
 
 from __future__ import annotations
 
@@ -11,17 +11,15 @@
 if TYPE_CHECKING:
     from .client import Client
 
-UPLOAD_MEMORY_SHARE = 1 / 5  # of the memory limit: what all that are kept may take
-UPLOAD_RATE_MIN = 16 * 1024  # bytes a second, once a command has had its time
-UPLOAD_MEMORY_TIMEOUT = (
-    1.6  # seconds that one waits for memory: in 3 s its client is owed an answer or an end
-)
-UPLOAD_RESUME_TIMEOUT = 0.6  # seconds for more of one that waited: who still sends has it at hand
+UPLOAD_MEMORY_SHARE = 1 / 5  # share of the memory limit for all buffered bodies
+UPLOAD_RATE_MIN = 16 * 1024  # bytes a second, after the command timeout
+UPLOAD_MEMORY_TIMEOUT = 1.6  # seconds to wait for memory: a client is owed an answer or a close within 3 s
+UPLOAD_RESUME_TIMEOUT = 0.6  # seconds for the next chunk once memory is granted: the client has it ready
 
 
 @dataclass(slots=True)
 class Upload:
-    """A command whose large body is still coming; without terms it is malformed, and read away."""
+    """A command whose large body is still being received; without terms it is malformed and discarded."""
 
     large: LargeValue
     began: float
@@ -30,22 +28,25 @@
     chunks: list[bytes] = field(default_factory=list)
     has_memory: bool = True
 
-    def is_late(self, before: float, within: float) -> bool:
-        """Whether it comes too slowly, or found no room for too long; but for its first time."""
+    def is_late(self, cutoff: float, grace: float) -> bool:
+        """Whether it has waited too long for memory, or is slower than the minimum rate.
+
+        ``cutoff`` is now less the command timeout ``grace``, in which the rate is not enforced.
+        """
         if not self.has_memory:
-            return self.began < before + within - UPLOAD_MEMORY_TIMEOUT
-        return self.large.length - self.large.bytes_left < UPLOAD_RATE_MIN * (before - self.began)
+            return self.began < cutoff + grace - UPLOAD_MEMORY_TIMEOUT
+        return self.large.length - self.large.bytes_left < UPLOAD_RATE_MIN * (cutoff - self.began)
 
 
 class UploadMemory:
-    """The memory for large bodies of all clients: who finds none is not read from until there is some."""
+    """Memory for the large bodies of all clients; clients without a grant are not read from."""
 
-    def __init__(self, most: int) -> None:
-        self.free = max(most, LARGE_VALUE_BYTES_MAX)
-        self.waiting: dict[Client, int] = {}  # in the order of their coming
+    def __init__(self, limit: int) -> None:
+        self.free = max(limit, LARGE_VALUE_BYTES_MAX)
+        self.waiting: dict[Client, int] = {}  # first come, first served
 
     def acquire(self, client: Client, size: int) -> bool:
-        """Whether there is room now; else the client is told when there is."""
+        """Reserve memory; if there is none now, the client is called back once there is."""
         if self.waiting or self.free < size:
             self.waiting[client] = size
             return False
@@ -53,7 +54,7 @@
         return True
 
     def release(self, size: int) -> None:
-        """So much is free again: it goes to who waits longest."""
+        """Return memory and grant it to the clients that have waited longest."""
         self.free += size
         while self.waiting and (client := next(iter(self.waiting))) and self.waiting[client] <= self.free:
             self.free -= self.waiting.pop(client)
