--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -1,6 +1,7 @@
-"""Feeds events to one ``Gateway`` and carries out its actions: clock, timers, numbers, deadlines, answers.
+"""Feeds events to the decision module ``Gateway`` and executes its actions: timers, attempts and answers.
 
-A ``Call`` is a client's request from its last byte to its one final answer. Only ``_finish`` answers it.
+A ``Call`` is a client's request, from the arrival of its last byte to its final answer. ``_finish`` alone
+answers it.
 """
 
 from __future__ import annotations
@@ -23,54 +24,56 @@
 log = logs.get(__name__)
 
 MS = 1_000  # microseconds
-# The client's clock started when it sent: so much before its time is up the last answer must be on its way.
+# The client's deadline runs from when it sent the request, so the answer must leave this much earlier.
 REPLY_MARGIN = 10 * MS
 FAILED_REPLY = b"-ERR failed\r\n"
-CLIENT_GONE_TOLERANCE = 300 * MS  # so long a request may be sent on after its client has gone, unseen
+CLIENT_GONE_TOLERANCE = (
+    300 * MS
+)  # for which a request may still be sent while its client's close is unnoticed
 
 
 class Hosts(Protocol):
-    """What the driver needs of ``hosts.py``."""
+    """The driver's view of ``hosts.Hosts``."""
 
     def send(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Start an attempt."""
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Give up an attempt; its outcome is reported by the caller."""
 
-    def apply_host_list(self, listed: HostList) -> list[Attempt]:
-        """Discovery's list has changed; the attempts that must not be sent any more."""
+    def apply_host_list(self, host_list: HostList) -> list[Attempt]:
+        """Apply an update of discovery's list; returns queued attempts that must not be sent any more."""
 
     def ban_host(self, server: api.Server) -> list[Attempt]:
-        """Operators took a host out; the attempts that must not be sent any more."""
+        """Close a banned host's idle connections; returns queued attempts that must not be sent any more."""
 
 
 class Successor(Protocol):
-    """What the driver needs of ``upgrade.py`` once another process owns the counts."""
+    """The process that has taken over the state, as implemented in ``upgrade.py``."""
 
     def forward_request(self, call: Call) -> None:
-        """It decides on a request, and its answer comes back."""
+        """Have the successor decide on a request; its answer comes back through ``answer_relayed``."""
 
     def client_gone(self, call: Call) -> None:
-        """Nobody waits for that answer any more."""
+        """Report that the client of a relayed request has gone."""
 
     def forward_event(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
-        """What concerns it of what happens here."""
+        """Forward an event that affects the successor's state."""
 
 
 class Observer(Protocol):
-    """What the driver tells ``metrics.py``, where that is on; spans in microseconds."""
+    """Receives measurements for ``metrics.py``, if that is enabled; durations are in microseconds."""
 
     def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
-        """A request of this class got its final answer, or its client went; server is empty where no host
-        served it."""
+        """A request of this class got its final answer, or its client went away; ``server`` is empty unless
+        a host served it."""
 
     def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
         """An attempt has ended."""
 
 
 class Driver:
-    """The one Gateway with its clock and timers, and the bookkeeping of answers owed."""
+    """The gateway's decision module with its clock and timers, and all requests in flight."""
 
     def __init__(self, settings: api.Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.clock = loop, Clock()
@@ -83,14 +86,14 @@
         self.last_request = 0
         self.pending_events: deque[api.Event] = deque()
         self.is_handling = False
-        self.frozen = False  # the state is being handed over: events wait
-        self.successor: Successor | None = None  # the process that owns the counts now
+        self.frozen = False  # the state is being handed over: events are queued
+        self.successor: Successor | None = None  # the process that has taken over the state
         self.observer: Observer | None = None
-        # Looks whether we stood still, before each decision: what the decision must know of it.
+        # Runs before each event to detect event loop lag; may return an event to be handled first.
         self.pre_event_hook: Callable[[], api.MembersChanged | None] | None = None
 
     def start(self, known: HostList) -> None:
-        """The first actions, and the list as it was last known, before any client is served."""
+        """Execute the initial actions and apply the configured host list, before any client is served."""
         self._execute(self.gateway.start())
         self.apply_host_list(known, cached=True)
 
@@ -103,22 +106,22 @@
         answer: Callable[[bytes], None],
         sink: Sink | None = None,
     ) -> Call:
-        """A client's request, its last byte just read; the client's own ids stay outside the module."""
+        """Take on a completely received request; clients' own ids are not passed to the decision module."""
         self.last_request += 1
         self.stats["requests"] += 1
-        left = max(MS, terms.timeout - REPLY_MARGIN)
+        time_left = max(MS, terms.timeout - REPLY_MARGIN)
         event = api.RequestArrived(
             self.last_request,
             terms.customer,
             terms.plan,
             terms.kind,
             terms.units,
-            left,
+            time_left,
             terms.set_first,
             terms.set_size,
             terms.is_repeat,
         )
-        call = Call(event, parts, self.clock() + left, answer, sink)
+        call = Call(event, parts, self.clock() + time_left, answer, sink)
         self.calls[self.last_request] = call
         call.deadline_timer = self._call_at(call.deadline, self._deadline_passed, call)
         if self.successor:
@@ -128,14 +131,16 @@
         return call
 
     def client_gone(self, call: Call, seconds_unobserved: float = 0.0) -> None:
-        """The client has closed its connection: nothing is owed any more; unseen: for how many seconds it may
-        have been gone before it was seen."""
+        """End a request whose client has closed its connection.
+
+        ``seconds_unobserved`` is how long the close may have gone unnoticed.
+        """
         if not call.finished:
             self.stats["client_gone"] += 1
-            first = next((attempt for attempt in call.attempts if attempt.fully_sent), None)
-            if first is None:
+            first_sent = next((attempt for attempt in call.attempts if attempt.fully_sent), None)
+            if first_sent is None:
                 self.stats["client_gone_waiting"] += 1
-            elif first.sent_at > self.clock() - int(seconds_unobserved * 1e6) + CLIENT_GONE_TOLERANCE:
+            elif first_sent.sent_at > self.clock() - int(seconds_unobserved * 1e6) + CLIENT_GONE_TOLERANCE:
                 self.stats["client_gone_sent_late"] += 1
             self._observe(call, "client_gone")
             self._mark_finished(call)
@@ -143,17 +148,20 @@
                 self.successor.client_gone(call)
             else:
                 self.feed(api.ClientGone(call.event.request))
-            for attempt in call.attempts:  # what has not left whole must not leave any more
+            for attempt in call.attempts:  # attempts not fully sent must not be sent any more
                 self._withdraw(attempt)
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Asked right before an attempt is written: after the final answer nothing begins any more, nor for a
-        client that has closed, though the loop, where it is behind, has still to come to see it."""
+        """Whether an attempt may still be sent; asked right before it is written.
+
+        It may not once the request is answered, nor once the client has closed, even if the event loop is
+        lagging and has not reported the close yet.
+        """
         call = attempt.call
         if call.finished:
-            self._withdraw(attempt)  # another attempt was served while this one waited for its connection
+            self._withdraw(attempt)  # another attempt was served while this one waited for a connection
         elif call.sink and call.sink.is_client_gone():
-            self.client_gone(call)  # which ends the attempt
+            self.client_gone(call)  # ends the attempt
         return not attempt.ended
 
     def attempt_ended(
@@ -163,7 +171,7 @@
         value: bytes | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
-        """What came of an attempt; the first one served answers the client before the module is told."""
+        """Record an attempt's outcome; the first one served is answered before the module is notified."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -193,8 +201,10 @@
         )
 
     def stream_started(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
-        """The first bytes of a large answer: it is served now, whoever is slow with the rest. Gives where its
-        pieces go; None: nobody waits for it, or can take it."""
+        """Mark a request as served at the first bytes of a large response.
+
+        Returns the sink for its chunks, or None if nobody waits for it or its client cannot take a stream.
+        """
         call = attempt.call
         if attempt.ended or call.finished or call.sink is None:
             return None
@@ -206,34 +216,34 @@
         self.attempt_ended(attempt, api.Outcome.SERVED)
         return call.sink
 
-    def apply_host_list(self, listed: HostList, cached: bool = False) -> None:
-        """Discovery told something."""
-        kind = api.ListKind.WHOLE if listed.whole else api.ListKind.CHANGES
+    def apply_host_list(self, host_list: HostList, cached: bool = False) -> None:
+        """Apply a list of hosts, whole or as changes; ``cached`` marks the list from the configuration."""
+        kind = api.ListKind.WHOLE if host_list.whole else api.ListKind.CHANGES
         if cached:
             kind = api.ListKind.CACHED
-        unsent = self.hosts.apply_host_list(listed)
-        self.readiness.listed |= any(host.entry.phase is not api.Phase.GONE for host in listed.hosts)
-        self.feed(api.ServerListed(kind, listed.version, tuple(host.entry for host in listed.hosts)))
-        for attempt in unsent:  # after the list, which tells where else they may go
+        unsent = self.hosts.apply_host_list(host_list)
+        self.readiness.listed |= any(host.entry.phase is not api.Phase.GONE for host in host_list.hosts)
+        self.feed(api.ServerListed(kind, host_list.version, tuple(host.entry for host in host_list.hosts)))
+        for attempt in unsent:  # after the list, so that retries go to the hosts that it names
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
 
-    def ban(self, server: api.Server, out: bool) -> bool:
-        """Operators take a host out, or put it back; False where discovery has never listed it."""
+    def ban(self, server: api.Server, is_banned: bool) -> bool:
+        """Ban a host for an operator, or lift the ban; returns False if discovery has never listed it."""
         if server not in self.gateway.names:
             return False
-        unsent = self.hosts.ban_host(server) if out else []
-        self.feed(api.ServerBanned(server, out))
-        for attempt in unsent:  # after the ban, which tells where else they may go
+        unsent = self.hosts.ban_host(server) if is_banned else []
+        self.feed(api.ServerBanned(server, is_banned))
+        for attempt in unsent:  # after the ban, so that retries go to other hosts
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
         return True
 
     def peer_message_received(self, sender: int, body: bytes) -> None:
-        """A datagram of another gateway."""
+        """Handle a datagram from another gateway."""
         self.stats["peer_in"] += 1
         self.feed(api.PeerMessage(sender, body))
 
     def feed(self, event: api.Event) -> None:
-        """One event to the module; what an action leads to at once waits until all of them are done."""
+        """Pass an event to the decision module; events raised by its actions are queued meanwhile."""
         self.pending_events.append(event)
         if self.successor and isinstance(event, api.AttemptEnded | api.AttemptElsewhere | api.PeerMessage):
             self.successor.forward_event(event)
@@ -247,53 +257,55 @@
             self.is_handling = False
 
     def _handle(self, event: api.Event) -> None:
-        if self.pre_event_hook and (first := self.pre_event_hook()):
-            self.gateway.handle(self.clock(), first)
+        if self.pre_event_hook and (hook_event := self.pre_event_hook()):
+            self.gateway.handle(self.clock(), hook_event)
         try:
             actions = self.gateway.handle(self.clock(), event)
-        except Exception:  # guards against a fault of the decisions taking all held requests with it
+        except Exception:  # a fault in the decision module must not fail the other requests in flight
             log.exception("decisions_failed", topic=event.topic)
             number = event.token - 1 if isinstance(event, api.TimerFired) else getattr(event, "request", 0)
             call = self.calls.get(number)
             if call is not None and not call.finished:
                 self._finish(call, FAILED_REPLY)
                 self.pending_events.append(api.ClientGone(number))
-            # Guards the gossip's own timer, which it sets anew before all else.
+            # Keep the timers: gossip rearms its own before anything that may raise.
             actions = [action for action in self.gateway.actions if isinstance(action, api.SetTimer)]
         self._execute(actions)
 
-    # -- handing over ---------------------------------------------------------------------------------------
+    # -- handover -------------------------------------------------------------------------------------------
 
     def freeze(self) -> None:
-        """From now on nothing is decided: the state stays as it is, and events wait."""
+        """Stop making decisions: the state does not change any more, and events are queued."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Nobody took over: decide on what has come meanwhile, but for requests that are over by now."""
+        """Resume after a failed handover: handle the queued events, except for requests that have ended."""
         self.frozen = False
-        waiting, self.pending_events = self.pending_events, deque()
-        over = {
-            e.request for e in waiting if isinstance(e, api.RequestArrived) and e.request not in self.calls
+        queued_events, self.pending_events = self.pending_events, deque()
+        ended = {
+            queued.request
+            for queued in queued_events
+            if isinstance(queued, api.RequestArrived) and queued.request not in self.calls
         }
-        for event in waiting:
-            if not (isinstance(event, api.RequestArrived | api.ClientGone) and event.request in over):
+        for event in queued_events:
+            if not (isinstance(event, api.RequestArrived | api.ClientGone) and event.request in ended):
                 self.feed(event)
 
     def hand_over(self, successor: Successor) -> None:
-        """Another process owns the counts: it decides on all that has not been sent to a host yet."""
+        """Another process has taken over the state: relay to it all requests not yet sent to a host."""
         self.successor = successor
         unsent = [call for call in self.calls.values() if not call.attempts and not call.finished]
-        waiting, self.pending_events = self.pending_events, deque()
+        queued_events, self.pending_events = self.pending_events, deque()
         self.frozen = False
         for call in unsent:
-            self.feed(api.ClientGone(call.event.request))  # one that it holds, it forgets
+            self.feed(api.ClientGone(call.event.request))  # the module here drops it, if it knows it
             self._relay(call)
-        for event in waiting:
+        for event in queued_events:
             if not isinstance(event, api.RequestArrived):
                 self.feed(event)
 
     def _relay(self, call: Call) -> None:
-        if isinstance(call.parts[-1], tuple):  # not worth the memory in both: it has not run
+        if isinstance(call.parts[-1], tuple):  # a large body is not copied to the successor; it has not run
             self.stats["refused_handed_over"] += 1
             return self._finish(call, b"-BUSY\r\n")
         self.stats["relayed"] += 1
@@ -301,7 +313,7 @@
         return self.successor.forward_request(call)
 
     def answer_relayed(self, number: int, reply: bytes) -> None:
-        """The process that decides on a request has answered it; or it is gone, and nobody will."""
+        """Answer a relayed request with the successor's reply, or with an error if the successor has gone."""
         call = self.calls.get(number)
         if call is not None and call.is_relayed:
             self._finish(call, reply)
@@ -317,13 +329,13 @@
         if call is None:
             return
         now = self.clock()
-        give_up_at = min(action.give_up_at or call.deadline, call.deadline)
-        attempt = Attempt(call, len(call.attempts), action.server, now, give_up_at, action.send_by)
+        expires_at = min(action.give_up_at or call.deadline, call.deadline)
+        attempt = Attempt(call, len(call.attempts), action.server, now, expires_at, action.send_by)
         call.attempts.append(attempt)
         if action.send_by:
             self._call_at(action.send_by, self._withdraw, attempt)
-        if give_up_at < call.deadline:  # else the call's own timer ends it: one less for every attempt
-            attempt.timer = self._call_at(give_up_at, self._timed_out, attempt)
+        if expires_at < call.deadline:  # otherwise the call's deadline timer ends it, which saves a timer
+            attempt.timer = self._call_at(expires_at, self._timed_out, attempt)
         if self.successor:
             self.successor.forward_event(
                 api.AttemptElsewhere(call.event, attempt.number, attempt.server, now)
@@ -344,8 +356,8 @@
         if call := self.calls.get(action.request):
             self.stats["refused_" + action.cause.value] += 1
             self._observe(call, "refused")
-            wait = -(-action.retry_after // MS)  # a client that came back earlier would be refused again
-            self._finish(call, b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n")
+            retry_after = -(-action.retry_after // MS)  # rounded up: an earlier retry would be refused again
+            self._finish(call, b"-BUSY %d\r\n" % retry_after if retry_after else b"-BUSY\r\n")
 
     def _fail(self, action: api.Fail) -> None:
         if call := self.calls.get(action.request):
@@ -361,7 +373,7 @@
         self.send_to_peer(action.peer, action.body)
 
     def _ignore(self, action: api.Action) -> None:
-        """The watch on discovery runs in any case, and these decisions send no probes."""
+        """Ignored: the discovery watch runs in any case, and this module sends no probes."""
 
     _HANDLERS: ClassVar = {
         api.Send: _send,
@@ -378,7 +390,7 @@
     # -- answers and deadlines ------------------------------------------------------------------------------
 
     def _finish(self, call: Call, reply: bytes) -> None:
-        """Every final answer passes here, once for each call."""
+        """Send a request's final answer, unless it has one already."""
         if not call.finished:
             self._mark_finished(call)
             call.answer(reply)
@@ -393,24 +405,24 @@
         if all(attempt.ended for attempt in call.attempts):
             call.deadline_timer.cancel()
             self.calls.pop(call.event.request, None)
-        else:  # a Cancel of what is still out may follow: kept for the length of one turn of the loop
+        else:  # kept for one loop iteration: the module may still cancel its outstanding attempts
             self.loop.call_soon(self.calls.pop, call.event.request, None)
 
     def _withdraw(self, attempt: Attempt) -> None:
-        """Not to be sent, where its last byte has not left: so it never runs."""
+        """Give up an attempt that is not fully sent, so that no host executes it."""
         if not (attempt.ended or attempt.fully_sent):
             self.hosts.abandon(attempt)
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        """Nothing came in time. What never left whole has certainly not run."""
+        """End an attempt that was not answered in time; one that was never fully sent has not run."""
         if not attempt.ended:
             self.hosts.abandon(attempt)
             outcome = api.Outcome.TIMED_OUT if attempt.fully_sent else api.Outcome.NOT_CONNECTED
             self.attempt_ended(attempt, outcome)
 
     def _deadline_passed(self, call: Call) -> None:
-        """Ends what is out. Guards the deadline: what the module leaves unanswered then is failed."""
+        """End a request's attempts at its deadline, and fail it if the module has not answered it."""
         for attempt in call.attempts:
             self._timed_out(attempt)
         if not call.finished:
@@ -420,9 +432,9 @@
             if not call.is_relayed:
                 self.feed(api.ClientGone(call.event.request))
 
-    def _call_after(self, span: int, callback: Callable, *args) -> asyncio.TimerHandle:
-        """Call back no earlier than a span from now: the loop counts whole milliseconds."""
-        return self.loop.call_later((span // MS + 1) / 1_000, callback, *args)
+    def _call_after(self, delay: int, callback: Callable, *args) -> asyncio.TimerHandle:
+        """Call back no earlier than ``delay`` from now; the loop's timers have millisecond resolution."""
+        return self.loop.call_later((delay // MS + 1) / 1_000, callback, *args)
 
     def _call_at(self, when: int, callback: Callable, *args) -> asyncio.TimerHandle:
         return self._call_after(max(0, when - self.clock()), callback, *args)
