--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -1,4 +1,4 @@
-"""One client connection: its states, what is read from it, and its end."""
+"""One client connection: command processing, backpressure, timeouts and close."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 if TYPE_CHECKING:
     from .clients import Clients
 
-# What a client may make us hold is bounded for each connection and for all together.
-COMMAND_BYTES_MAX = 2 * VALUE_BYTES_MAX  # of one unfinished command: a body and little else
-COMMAND_BYTES_MAX_ALL = 64 * VALUE_BYTES_MAX  # of the unfinished commands of all clients
-PIPELINE_MAX = 64  # requests in flight on one connection: no more is read from it meanwhile
-COMMANDS_PER_TICK = 64  # carried out for one client before all others have their turn
-SURPLUS_CONNECTIONS_MAX = 16  # beyond the limit that still get an answer: more are closed at once
-RECEIVE_BUFFER_BYTES = 256 * 1024  # what may wait in a client's socket
+# Limits on the memory that clients can occupy, for each connection and for all together.
+COMMAND_BYTES_MAX = 2 * VALUE_BYTES_MAX  # buffered for one unfinished command: a body and little else
+COMMAND_BYTES_MAX_ALL = 64 * VALUE_BYTES_MAX  # buffered for the unfinished commands of all clients
+PIPELINE_MAX = 64  # commands in flight on one connection; reading pauses while there are so many
+COMMANDS_PER_TICK = 64  # commands executed for one client before the event loop serves others
+SURPLUS_CONNECTIONS_MAX = 16  # connections beyond the limit that get an error response; more are reset
+RECEIVE_BUFFER_BYTES = 256 * 1024  # SO_RCVBUF of a client's socket
 
 # Timeouts, in seconds.
-COMMAND_TIMEOUT = 2.2  # for a first command, for the rest of one, or for more of a large body
-FIRST_COMMAND_GRACE = 0.3  # that a new connection has for its first command while idle ones are closed
-WRITE_STALL_TIMEOUT = 10.0  # that a client may leave its answers unread
-LINGER_TIMEOUT = 1.0  # in which what a client still sends is read and dropped after our end (lingering close)
+COMMAND_TIMEOUT = 2.2  # for the first command, for the rest of one, or for more of a large body
+FIRST_COMMAND_GRACE = 0.3  # in which a new connection is not closed as idle during a drain
+WRITE_STALL_TIMEOUT = 10.0  # for which a client may leave its responses unread
+LINGER_TIMEOUT = 1.0  # of a lingering close: input is discarded after the half-close
 
 
 class Stage(Enum):
-    """How far the end of a client's connection is."""
+    """Life cycle of a client connection."""
 
     OPEN = auto()  # commands are read
-    ENDING = auto()  # no more are: once all is answered comes the end
-    HALF_CLOSED = auto()  # our end is sent; what still comes is read and dropped until the client ends, too
+    ENDING = auto()  # no more commands are read; half-closed once all responses are written
+    HALF_CLOSED = auto()  # FIN is sent; input is discarded until the client closes as well
 
 
 class Client(asyncio.Protocol):
@@ -53,31 +53,34 @@
         self.reader = Reader(COMMAND_BYTES_MAX, large_index=BODY_INDEX, large_must_be_last=True)
         self.upload: Upload | None = None
         self.slots: deque[Slot] = deque()
-        self.unfinished_bytes = 0  # bytes since the last whole command
+        self.unfinished_bytes = 0  # received since the last complete command
         self.stage = Stage.OPEN
-        self.is_surplus = False  # there is no room for it
-        # Since when it waits for a first command, or for the rest of one; 0: for none.
+        self.is_surplus = False  # it was accepted beyond the connection limit
+        # Loop time since when the first command or the rest of one is awaited; 0: none is.
         self.waiting_since = clients.driver.loop.time()
         self.was_overdue = False
-        self.stalled_since = 0.0  # since when the client takes nothing of its answers; 0: it does
-        self.stalled_bytes = 0  # bytes that it had not taken then
-        self.reading_paused = False  # no more is read for now
-        self.last_seen = self.waiting_since  # when it was there still, where nothing is read
+        self.stalled_since = 0.0  # since when the client has not read its responses; 0: it reads
+        self.stalled_bytes = 0  # bytes in the write buffer at that time
+        self.reading_paused = False
+        self.last_seen = self.waiting_since  # when the client was last known to be connected, while paused
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """A client has connected."""
+        """Set up an accepted connection."""
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
         )
-        over = self.clients.connection_opened(self)
-        self.is_surplus = over > 0
-        if over > SURPLUS_CONNECTIONS_MAX:  # guards the descriptors that hosts and discovery need
+        excess = self.clients.connection_opened(self)
+        self.is_surplus = excess > 0
+        if excess > SURPLUS_CONNECTIONS_MAX:  # keeps descriptors free for hosts and discovery
             transport.abort()
 
     def pause_writing(self) -> None:
-        """Guards memory: a client that reads no answers is not read from either, unless that is read away."""
+        """Apply backpressure: a client that does not read its responses is not read from either.
+
+        In a lingering close reading goes on, since its input is discarded.
+        """
         self.stalled_since = self.clients.driver.loop.time()
         self.stalled_bytes = self.transport.get_write_buffer_size()
         if self.slots and self.slots[0].source:
@@ -85,15 +88,15 @@
         self._pause_reading()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """The write buffer has drained."""
         self.stalled_since = 0.0
         if self.slots and self.slots[0].source:
             self.slots[0].source.resume()
         self._continue()
 
     def _must_pause_reading(self) -> bool:
-        no_room = self.upload is not None and not self.upload.has_memory
-        return self.stalled_since > 0 or len(self.slots) >= PIPELINE_MAX or no_room
+        lacks_memory = self.upload is not None and not self.upload.has_memory
+        return self.stalled_since > 0 or len(self.slots) >= PIPELINE_MAX or lacks_memory
 
     def _pause_reading(self) -> None:
         if not self.reading_paused and self.stage is Stage.OPEN:
@@ -106,56 +109,55 @@
             self._process_commands()
 
     def _resume_reading(self) -> None:
-        """Read on."""
         if self.reading_paused and not self.transport.is_closing():
             self.reading_paused = False
             self.transport.resume_reading()
 
     def write(self, data: bytes) -> None:
-        """Send something, where there is still a way."""
+        """Write data, unless the connection is closed for writing."""
         if not self.is_write_closed():
             self.transport.write(data)
 
     def is_write_closed(self) -> bool:
-        """Whether nothing can be sent to it any more."""
+        """Whether nothing can be written any more."""
         return self.stage is Stage.HALF_CLOSED or self.transport.is_closing()
 
     def _accepts_commands(self) -> bool:
-        """Whether what has come is carried out: for who is gone nothing is, however much of it waits here."""
+        """Whether received commands are executed; those of a client that has disconnected are not."""
         return self.stage is Stage.OPEN and not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
-        """Commands, or parts of them."""
+        """Buffer input and execute the commands that are complete."""
         if self.stage is not Stage.OPEN:
             self.clients.driver.stats["client_read_away"] += len(data)
             return
-        passed = self.reader.bytes_streamed
+        streamed_before = self.reader.bytes_streamed
         self.clients.driver.stats["client_bytes_in"] += len(data)
         self.reader.feed(data)
-        self.unfinished_bytes += len(data) - (self.reader.bytes_streamed - passed)
+        self.unfinished_bytes += len(data) - (self.reader.bytes_streamed - streamed_before)
         self._process_commands()
 
     def _process_commands(self) -> None:
-        """Carry out what has come whole, as long as there is room for its answers."""
-        whole, turn = False, 0
+        """Execute complete commands, up to the limits on pipelining and on commands per loop iteration."""
+        completed, executed = False, 0
         if not self._accepts_commands():
             return None
         try:
             while self._accepts_commands():
                 if self._must_pause_reading():
                     return self._pause_reading()
-                if turn >= COMMANDS_PER_TICK:
+                if executed >= COMMANDS_PER_TICK:
                     self._pause_reading()
                     self.clients.driver.loop.call_soon(self._continue)
                     return None
                 if self.upload:
                     if not self._receive_upload():
                         break
-                    whole = True
+                    completed = True
                     continue
                 if (command := self.reader.gets()) is False:
                     break
-                self.unfinished_bytes, whole, turn = 0, True, turn + 1
+                self.unfinished_bytes, completed, executed = 0, True, executed + 1
                 if self.reader.large_values and isinstance(command, list) and command[-1:] == [PLACEHOLDER]:
                     self._begin_upload(command, self.reader.large_values.popleft())
                 else:
@@ -166,23 +168,26 @@
                 raise hiredis.ProtocolError("too much is unfinished")
             if self.reader.at_boundary:
                 self.waiting_since = 0.0
-            elif whole or self.upload or not self.waiting_since:
+            elif completed or self.upload or not self.waiting_since:
                 self.waiting_since = self.clients.driver.loop.time()
-        except hiredis.ProtocolError as wrong:  # where the next command starts is lost
+        except hiredis.ProtocolError as error:  # framing is lost: the next command cannot be found
             self.clients.driver.stats["client_protocol_error"] += 1
-            self._end_with_error(" ".join(str(wrong).split()))
+            self._end_with_error(" ".join(str(error).split()))
         if self.clients.drain.closes:
             self.close_if_idle()
         return None
 
-    def check_timeouts(self, before: float) -> None:
-        """Closes a connection on which nothing proper has come for too long. What came while we stood still
-        is read between two looks, so it takes two of them."""
-        if self.stalled_since and (unread := self.transport.get_write_buffer_size()) < self.stalled_bytes:
-            self.stalled_bytes, self.stalled_since = unread, before + COMMAND_TIMEOUT  # slow, but it reads
-        if 0 < self.stalled_since < before - (WRITE_STALL_TIMEOUT - COMMAND_TIMEOUT):
+    def check_timeouts(self, cutoff: float) -> None:
+        """Close a connection that has exceeded a timeout; ``cutoff`` is now less COMMAND_TIMEOUT.
+
+        A command timeout must be exceeded in two successive sweeps: if the event loop was blocked, input that
+        arrived meanwhile is read between the two.
+        """
+        if self.stalled_since and (unsent := self.transport.get_write_buffer_size()) < self.stalled_bytes:
+            self.stalled_bytes, self.stalled_since = unsent, cutoff + COMMAND_TIMEOUT  # slow, but it reads
+        if 0 < self.stalled_since < cutoff - (WRITE_STALL_TIMEOUT - COMMAND_TIMEOUT):
             self.clients.driver.stats["client_unread"] += 1
-            self.transport.abort()  # a close would wait for the client
+            self.transport.abort()  # close() would wait until the client has read everything
         if self.stage is Stage.HALF_CLOSED:
             return
         if self.reading_paused and self.client_has_closed():
@@ -190,32 +195,31 @@
             self.transport.abort()
         elif self.reading_paused:
             self.last_seen = self.clients.driver.loop.time()
-        late = 0 < self.waiting_since < before
-        late |= self.upload is not None and self.upload.is_late(before, COMMAND_TIMEOUT)
-        due, self.was_overdue = self.was_overdue, late and not self.slots
-        if due and self.was_overdue:
+        is_late = 0 < self.waiting_since < cutoff
+        is_late |= self.upload is not None and self.upload.is_late(cutoff, COMMAND_TIMEOUT)
+        was_overdue, self.was_overdue = self.was_overdue, is_late and not self.slots
+        if was_overdue and self.was_overdue:
             self.clients.driver.stats["client_overdue"] += 1
             if self.reader.at_boundary:
-                self.half_close()  # no word, which would be taken for the answer to a request on its way
+                self.half_close()  # without an error line, which would pass for the reply to a request
             elif self.upload and not self.upload.has_memory:
                 self.clients.driver.stats["refused_no_room"] += 1
-                self._end_with_reply(b"-BUSY\r\n")  # it has not run
+                self._end_with_reply(b"-BUSY\r\n")  # the request was not executed, so it may be retried
             else:
                 self._end_with_error("no whole command in time")
 
-    def _end_with_error(self, why: str) -> None:
-        """An error line, and the end once those before it are written."""
-        self._end_with_reply(b"-ERR %b\r\n" % why.encode(errors="replace"))
+    def _end_with_error(self, reason: str) -> None:
+        self._end_with_reply(b"-ERR %b\r\n" % reason.encode(errors="replace"))
 
     def _end_with_reply(self, reply: bytes) -> None:
-        """A last word; commands are not read any more."""
+        """Stop reading commands, and half-close once this reply and those before it are written."""
         self._resume_reading()
         self.stage = Stage.ENDING
         self._free_upload()
         self._reply(reply)
 
     def end_unfinished_command(self) -> None:
-        """It takes too long over a command: that has not run."""
+        """Close a connection without requests in flight, even within a command, which is then not executed."""
         if self.stage is Stage.OPEN and not self.slots:
             if self.reader.at_boundary and not self.upload:
                 self.half_close()
@@ -223,9 +227,11 @@
                 self._end_with_reply(b"-BUSY\r\n")
 
     def half_close(self) -> None:
-        """Stop sending, and read away what still comes until the client ends as well: a close over unread
-        bytes would reset the connection, and take along what the client has not read yet. Whose request
-        crosses our end sees that nothing of it was taken up, and asks again elsewhere."""
+        """Send FIN and discard input until the client closes as well (lingering close).
+
+        Closing with unread input would reset the connection and destroy responses that the client has not
+        read yet. A client whose request crosses the FIN gets no response, and can retry it elsewhere.
+        """
         if self.is_write_closed():
             return
         self._resume_reading()
@@ -240,37 +246,37 @@
 
     def _abort_after_linger(self) -> None:
         if not self.transport.is_closing():
-            if self.transport.get_write_buffer_size():  # it reads slowly; ``look`` ends who doesn't read
+            if self.transport.get_write_buffer_size():  # a slow reader; check_timeouts ends stalled ones
                 self._linger()
             else:
                 self.transport.abort()
 
     def _begin_upload(self, command: list[object], large: LargeValue) -> None:
-        """A command has come but for its large body: read on if it makes sense and there is room."""
+        """Handle a command whose large body has begun: check it and reserve memory for the body."""
         upload = self.upload = Upload(large, self.clients.driver.loop.time())
         try:
             if not all(isinstance(value, bytes) for value in command) or command[0] != b"CALL.POST":
                 raise MalformedRequest("unknown command")
             upload.terms, parts = parse(command, self.clients.config)
-        except MalformedRequest as wrong:
+        except MalformedRequest as error:
             self.clients.driver.stats["client_malformed"] += 1
-            return self._reply(b"-ERR %b\r\n" % str(wrong).encode())
+            return self._reply(b"-ERR %b\r\n" % str(error).encode())
         upload.parts = parts[:-1]
         if not self.clients.upload_memory.acquire(self, large.length):
             self.clients.driver.stats["upload_waited"] += 1
             upload.has_memory = False
-            self.waiting_since = 0.0  # it is we who keep it waiting
+            self.waiting_since = 0.0  # the command timeout does not run while the gateway lacks memory
         return None
 
     def upload_memory_granted(self) -> None:
-        """There is room for the large body now."""
+        """Continue an upload that has waited for memory."""
         now = self.clients.driver.loop.time()
         self.upload.has_memory, self.upload.began = True, now
         self.waiting_since = now - COMMAND_TIMEOUT + UPLOAD_RESUME_TIMEOUT
         self._continue()
 
     def _receive_upload(self) -> bool:
-        """Whether the large body has come whole; then its request has arrived."""
+        """Take new chunks of a large body; once it is complete, accept its request and return True."""
         upload = self.upload
         chunks = upload.large.take_chunks()
         if upload.terms:
@@ -297,16 +303,16 @@
     def _handle_request(self, command: list[bytes]) -> None:
         try:
             terms, parts = parse(command, self.clients.config)
-        except MalformedRequest as wrong:
+        except MalformedRequest as error:
             self.clients.driver.stats["client_malformed"] += 1
-            return self._reply(b"-ERR %b\r\n" % str(wrong).encode())
+            return self._reply(b"-ERR %b\r\n" % str(error).encode())
         return self._accept_request(terms, parts)
 
     def _accept_request(self, terms: Terms, parts: tuple[bytes | Body, ...], body_bytes: int = 0) -> None:
-        """A request has come whole; its body takes so much of the room for large ones."""
+        """Pass a complete request to the driver or refuse it; ``body_bytes`` is the upload memory it holds."""
         if (
             self.is_surplus and len(self.clients.open) > self.clients.max_connections
-        ):  # guards descriptors: it has not run
+        ):  # keeps descriptors free; the request was not executed
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
             return self._reply(b"-BUSY 1000\r\n", body_bytes)
@@ -327,7 +333,7 @@
         slot.answer(reply)
 
     def flush(self) -> None:
-        """Write the answers whose turn has come."""
+        """Write all responses that are first in the pipeline and ready."""
         while self.slots and (slot := self.slots[0]).reply is not None:
             if not slot.begun:
                 slot.begun = True
@@ -341,8 +347,10 @@
         self.close_if_idle()
 
     def is_idle(self) -> bool:
-        """Nothing of a request is here, nor waits in the socket: where the loop is behind it often does, and
-        who sent it would have to send it again."""
+        """Whether no request is in flight, buffered, or unread in the socket.
+
+        With event loop lag, requests are often still unread; closing then would force the client to retry.
+        """
         return self._is_between_requests() and not self.stalled_since
 
     def _is_between_requests(self) -> bool:
@@ -350,15 +358,15 @@
         return not self.slots and not self.upload and parsed and not self._has_unread_bytes()
 
     def _has_unread_bytes(self) -> bool:
-        """Whether bytes wait that were not read yet."""
+        """Whether the socket holds unread input."""
         try:
-            number = self.transport.get_extra_info("socket").fileno()
-            return any(fcntl.ioctl(number, termios.FIONREAD, bytes(4)))
+            descriptor = self.transport.get_extra_info("socket").fileno()
+            return any(fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)))
         except (OSError, ValueError):
-            return False  # it can't be asked, or is closing
+            return False  # FIONREAD is not supported, or the socket is closing
 
     def client_has_closed(self) -> bool:
-        """Whether a client has closed, though nothing is read from it: its end waits behind what it sent."""
+        """Whether the client has closed; while reading is paused, its FIN waits behind unread input."""
         if self.transport.is_closing():
             return False
         poller = select.poll()
@@ -366,25 +374,24 @@
         return bool(poller.poll(0))
 
     def close_if_idle(self) -> None:
-        """Close between two requests, if it shall be closed."""
+        """Half-close between two requests, if the connection is ending or the gateway is draining."""
         if self.slots or self.stage is Stage.HALF_CLOSED:
             return
-        new = (
-            self.waiting_since > self.clients.driver.loop.time() - FIRST_COMMAND_GRACE
-        )  # its command is on its way
+        # The first command of a new connection is probably on its way.
+        is_new = self.waiting_since > self.clients.driver.loop.time() - FIRST_COMMAND_GRACE
         if self.stage is Stage.ENDING or (
-            self.clients.drain.closes and not new and self._is_between_requests()
+            self.clients.drain.closes and not is_new and self._is_between_requests()
         ):
             self.half_close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The client has gone away, and with it all that it waited for."""
+        """The connection is closed: end the requests that its client was waiting for."""
         self.clients.open.pop(self, None)
         self.clients.half_closed.pop(self, None)
         self._release_resources()
 
     def _release_resources(self) -> None:
-        """Nothing more can be answered here: give up all that is held for it."""
+        """Cancel all requests of a connection that cannot be answered any more, and free their memory."""
         self._free_upload()
         slots, self.slots = self.slots, deque()
         seconds_unobserved = self.clients.driver.loop.time() - self.last_seen if self.reading_paused else 0.0
--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -1,4 +1,4 @@
-"""All client connections: the listener, who makes room for whom, and the sweep over them."""
+"""All client connections: the listener, the connection limit with eviction, and the timeout sweep."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .driver import Driver
 from .uploads import UPLOAD_MEMORY_SHARE, UploadMemory
 
-# The accept queue. A client that finds no room there may take itself for connected and hear nothing for ever.
+# Length of the accept queue. A client that overflows it may believe it is connected and wait for ever.
 LISTEN_BACKLOG = 1024
-SWEEP_INTERVAL = 0.2  # seconds between two sweeps over all connections for what is overdue
+SWEEP_INTERVAL = 0.2  # seconds between two checks of all connections' timeouts
 
 
 class Clients:
@@ -23,41 +23,43 @@
 
     def __init__(self, driver: Driver, config: Config, max_connections: int) -> None:
         self.driver, self.config, self.max_connections = driver, config, max_connections
-        self.open: dict[Client, None] = {}  # the one whose last request is longest ago comes first
-        self.half_closed: dict[Client, None] = {}  # half-closed, the one longest so first
+        self.open: dict[Client, None] = {}  # least recently used first
+        self.half_closed: dict[Client, None] = {}  # the one half-closed longest first
         self.upload_memory = UploadMemory(int(UPLOAD_MEMORY_SHARE * config.memory))
         self.drain = Drain(self)
         self.server: asyncio.Server | None = None
-        self.accepting: set[asyncio.Task[object]] = set()  # the last connections, on their way into ``open``
+        self.accepting: set[asyncio.Task[object]] = set()  # accepted connections not yet in ``open``
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """Serve from now on, on the listening socket of the process before this one if it gave it."""
+        """Accept connections, on ``sock`` if the predecessor process has passed its listening socket on."""
         if sock:
-            where = {"sock": sock}
-        else:  # shared: a process that hangs may still hold it
-            where = {"host": self.config.listen[0], "port": self.config.listen[1], "reuse_port": True}
+            target = {"sock": sock}
+        else:  # SO_REUSEPORT: a hung process may still hold the address
+            target = {"host": self.config.listen[0], "port": self.config.listen[1], "reuse_port": True}
         self.server = await self.driver.loop.create_server(
-            lambda: Client(self), backlog=LISTEN_BACKLOG, **where
+            lambda: Client(self), backlog=LISTEN_BACKLOG, **target
         )
         self.driver.readiness.serving = True
         self._sweep()
 
     def _sweep(self) -> None:
-        """Who connects and sends nothing, or part of a command, is owed a close: its place is wanted."""
-        before = self.driver.loop.time() - COMMAND_TIMEOUT
+        """Enforce the timeouts of all connections, so that stalled ones do not occupy descriptors."""
+        cutoff = self.driver.loop.time() - COMMAND_TIMEOUT
         for client in [*self.open, *self.half_closed]:
-            client.check_timeouts(before)
+            client.check_timeouts(cutoff)
             client.close_if_idle()
         self.driver.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @property
     def is_finished(self) -> bool:
-        """Whether every request has its answer and every connection is closed at both ends: what a transport
-        has still to send would end with the process."""
+        """Whether all requests are answered and all connections are fully closed.
+
+        Data that is still in a transport's write buffer would be lost if the process exited.
+        """
         return not (self.driver.calls or self.open or self.half_closed or self.accepting)
 
     def connection_opened(self, client: Client) -> int:
-        """One more, if need be in the place of the one idle longest; how many there are beyond the limit."""
+        """Register a connection, evicting the one idle longest at the limit; returns the excess over it."""
         self.driver.stats["client_accepted"] += 1
         if len(self.open) >= self.max_connections:
             idle = next((client for client in self.open if client.is_idle()), None)
@@ -68,26 +70,26 @@
         if (
             self.half_closed
             and len(self.open) + len(self.half_closed) > self.max_connections + SURPLUS_CONNECTIONS_MAX
-        ):  # guards descriptors
+        ):  # half-closed connections still hold descriptors
             next(iter(self.half_closed)).transport.abort()
         return len(self.open) - self.max_connections
 
     def mark_half_closed(self, client: Client) -> None:
-        """It is half-closed: it makes room, but its descriptor is held for a while."""
+        """Stop counting a half-closed connection as open; it keeps its descriptor until it is closed."""
         self.open.pop(client, None)
         self.half_closed[client] = None
 
     def mark_used(self, client: Client) -> None:
-        """It has sent a request: the last to make room."""
+        """Make a connection that has sent a request the last to be evicted."""
         self.open.pop(client, None)
         self.open[client] = None
 
     def unfinished_bytes(self) -> int:
-        """Bytes of commands that have not come whole."""
+        """Total buffered bytes of unfinished commands."""
         return sum(client.unfinished_bytes for client in self.open)
 
     def gauges(self) -> dict[str, int]:
-        """Connections by what they are doing."""
+        """Connection counts by state, for metrics."""
         return {
             "client_conns": len(self.open),
             "client_conns_most": self.max_connections,
@@ -101,12 +103,12 @@
         }
 
     def stop_accepting(self) -> None:
-        """No new connections. Those that wait to be accepted are: with the listener they would be reset."""
-        if not self.server.sockets:  # the next process has the listener
+        """Close the listener, but first accept connections in its queue, which closing it would reset."""
+        if not self.server.sockets:  # the successor process has the listener
             return
         listener = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
         self.server.close()
-        with listener, contextlib.suppress(OSError):  # there are no more
+        with listener, contextlib.suppress(OSError):  # until the queue is empty
             listener.setblocking(False)
             while True:
                 sock, _ = listener.accept()
