--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -219,7 +219,7 @@
         self._reply(reply)
 
     def end_unfinished_command(self) -> None:
-        """Close a connection without requests in flight, even within a command, which is then not executed."""
+        """Close a connection without requests in flight, even within a command, which then does not run."""
         if self.stage is Stage.OPEN and not self.slots:
             if self.reader.at_boundary and not self.upload:
                 self.half_close()
@@ -309,7 +309,7 @@
         return self._accept_request(terms, parts)
 
     def _accept_request(self, terms: Terms, parts: tuple[bytes | Body, ...], body_bytes: int = 0) -> None:
-        """Pass a complete request to the driver or refuse it; ``body_bytes`` is the upload memory it holds."""
+        """Pass a complete request on or refuse it; its body holds ``body_bytes`` of upload memory."""
         if (
             self.is_surplus and len(self.clients.open) > self.clients.max_connections
         ):  # keeps descriptors free; the request was not executed
