--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -156,7 +156,7 @@
                 and not is_streaming
                 and (self.reader.large_values or self.received > REPLY_BYTES_MAX)
             ):
-                raise hiredis.ProtocolError("answer too long, or a second large value")
+                raise hiredis.ProtocolError("response too long, or a second large value")
         except hiredis.ProtocolError:
             reply, malformed = None, True
         attempt = self.attempt
@@ -185,7 +185,7 @@
             if attempt and attempt.fully_sent:
                 self.sink = hosts.driver.stream_started(attempt, large.length, self)
             if self.sink is None:
-                raise hiredis.ProtocolError("a large value that nobody waits for")
+                raise hiredis.ProtocolError("unexpected large value")
             self.attempt, hosts.streams[self], self.large = None, None, large
         if large is not self.large:
             return
