--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -14,7 +14,7 @@
 import hiredis
 import pytest
 from conftest import SITE, FakeHost, Rig, Service, asyncio_test, until
-from test_host_links import Gate, arrived, reset
+from test_host_links import Gate, reset, wait_readable
 from test_large import answer, post
 
 from orchidlane import interface as api
@@ -34,7 +34,7 @@
     return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
 
 
-class Plain:
+class PlainClient:
     """A client's socket."""
 
     def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
@@ -62,12 +62,12 @@
         return data
 
 
-async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[Plain, Client]:
+async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
     """A client's socket and what the gateway makes of it."""
     if rig.clients.server is None:
         await rig.clients.listen()
     before = set(rig.clients.open)
-    plain = Plain(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
+    plain = PlainClient(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
     await until(lambda: set(rig.clients.open) - before)
     return plain, (set(rig.clients.open) - before).pop()
 
@@ -76,7 +76,7 @@
     return client.transport.get_extra_info("socket").fileno()
 
 
-def crossed(client: Client, plain: Plain, data: bytes) -> None:
+def send_at_half_close(client: Client, plain: PlainClient, data: bytes) -> None:
     """These bytes come in the very moment in which the gateway ends the connection, after its look."""
     half_close = client.half_close
 
@@ -84,48 +84,48 @@
         if client.stage is not Stage.HALF_CLOSED:
             plain.send(data)
             if data:
-                arrived(fileno(client))
+                wait_readable(fileno(client))
         half_close()
 
     client.half_close = end
 
 
-async def by_drain(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
     rig.clients.drain._close_between()
     return b""
 
 
-async def by_eviction(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_eviction(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     rig.clients.max_connections = len(rig.clients.open)
     await connected(rig)
     return b""
 
 
-async def by_overdue(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_command_timeout(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = rig.loop.time() - COMMAND_TIMEOUT - 1
     return b""
 
 
-async def by_error(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_error(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     plain.send(b"junk\r\n")
     return b"-ERR not a RESP2 value\r\n"
 
 
-async def by_leaving(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_late_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
     rig.clients.drain._close_without_request()
     return b""
 
 
-async def by_crowd(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_connection_limit(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     rig.clients.max_connections, client.is_surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
 
-ENDS = (by_drain, by_eviction, by_overdue, by_error, by_leaving, by_crowd)
-CROSSING = {
+CLOSE_CAUSES = (by_drain, by_eviction, by_command_timeout, by_error, by_late_drain, by_connection_limit)
+CROSSING_INPUT = {
     "nothing": b"",
     "a request": request(7, b"bill"),
     "half a request": request(7)[:20],
@@ -134,17 +134,17 @@
 }
 
 
-@pytest.mark.parametrize("crossing", CROSSING)
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("crossing", CROSSING_INPUT)
+@pytest.mark.parametrize("end", CLOSE_CAUSES)
 @asyncio_test
-async def test_bytes_that_cross_the_end_are_read_away_and_what_was_sent_before_arrives(end, crossing):
+async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
     """They reset the connection, which took the answer before them along; or were sent on after the end."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
-    crossed(client, plain, CROSSING[crossing])
+    send_at_half_close(client, plain, CROSSING_INPUT[crossing])
     last = await end(rig, plain, client)
     assert await plain.rest() == last
     assert (
@@ -163,7 +163,7 @@
 
 
 @asyncio_test
-async def test_a_drain_does_not_end_over_commands_that_came_in_one_piece_with_the_last():
+async def test_drain_answers_all_commands_received_in_one_segment():
     """The first was answered at once, the connection closed, and the next one sent on all the same."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -176,7 +176,7 @@
 
 
 @asyncio_test
-async def test_a_half_closed_connection_is_cut_in_the_end_and_those_are_bounded(monkeypatch):
+async def test_half_closed_connections_are_bounded_and_aborted_after_the_linger_timeout(monkeypatch):
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
     rig = Rig(await FakeHost("a").listen())
     held = [await connected(rig) for _ in range(4)]
@@ -193,24 +193,24 @@
 
 
 @asyncio_test
-async def test_connections_that_wait_to_be_accepted_when_the_listener_closes_are_served():
+async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
     """They were reset with it, and their requests with them."""
     rig = Rig(await FakeHost("a").listen())
     await rig.clients.listen()
     where = rig.clients.server.sockets[0].getsockname()
-    late = [Plain(rig, where) for _ in range(5)]
+    late = [PlainClient(rig, where) for _ in range(5)]
     for plain in late:
         plain.send(request())
     rig.clients.stop_accepting()  # in the same turn: nobody has accepted them
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
-        Plain(rig, where)
+        PlainClient(rig, where)
     assert not rig.clients.accepting
 
 
 @asyncio_test
-async def test_a_drain_waits_for_what_a_transport_has_still_to_send(monkeypatch):
+async def test_drain_waits_until_write_buffers_are_empty(monkeypatch):
     """The process ended once the last answer was handed to the loop, which held most of it."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.0)
     monkeypatch.setattr(drain_module, "SHUTDOWN_COMMAND_TIMEOUT", 0.0)
@@ -233,7 +233,7 @@
 
 
 @asyncio_test
-async def test_a_drain_ends_however_long_clients_go_on_sending(monkeypatch):
+async def test_drain_ends_while_clients_keep_sending(monkeypatch):
     """A connection that always had a request open was never closed: it was served up to SIGKILL."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.2)
     host = await FakeHost("a").listen()
@@ -261,7 +261,7 @@
 
 
 @asyncio_test
-async def test_a_drain_ends_though_a_client_reads_ever_so_slowly(monkeypatch):
+async def test_drain_ends_despite_a_slow_reader(monkeypatch):
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.0)
     monkeypatch.setattr(drain_module, "WRITE_STALL_TIMEOUT", 0.5)
     host = await FakeHost("a").listen()
@@ -279,14 +279,14 @@
 # -- a client that leaves while nothing is read from it
 
 
-async def pipeline_full(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def behind_a_full_pipeline(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
     plain.send(b"".join(request(number, b"bill") for number in range(1, 25)))
     await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).reading_paused)
     return gate
 
 
-async def no_room(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def behind_an_upload_without_memory(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
     rig.clients.upload_memory.free = 0
     plain.send(request(1, b"bill") + post(b"x" * 200_000)[:150_000])
@@ -294,7 +294,7 @@
     return gate
 
 
-async def answers_unread(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def behind_unread_responses(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     """Behind a large answer that the client does not read; that one has a connection already."""
     plain.send(request(0))
     await plain.read(8)
@@ -307,49 +307,56 @@
     return gate
 
 
-async def for_a_connection(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def for_a_host_connection(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
     plain.send(request(1, b"bill"))
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     return gate
 
 
-class Listing:
+class ListHost:
     """The host is listed once this is open."""
 
     def __init__(self, rig: Rig, host: FakeHost) -> None:
         self.open = lambda: rig.told(host.line())
 
 
-async def for_a_host(rig: Rig, host: FakeHost, plain: Plain) -> Listing:
+async def for_an_available_host(rig: Rig, host: FakeHost, plain: PlainClient) -> ListHost:
     rig.told(host.line("DRAINING"))
     plain.send(request(1, b"bill"))
     await until(lambda: rig.driver.calls)
-    return Listing(rig, host)
+    return ListHost(rig, host)
 
 
-class Thaw:
+class ThawDriver:
     """The state is not handed over after all."""
 
     def __init__(self, rig: Rig) -> None:
         self.open = rig.driver.thaw
 
 
-async def in_a_frozen_driver(rig: Rig, host: FakeHost, plain: Plain) -> Thaw:
+async def during_a_handover(rig: Rig, host: FakeHost, plain: PlainClient) -> ThawDriver:
     rig.driver.freeze()
     plain.send(request(1, b"bill"))
     await until(lambda: rig.driver.calls)
-    return Thaw(rig)
+    return ThawDriver(rig)
 
 
-WAITS = (pipeline_full, no_room, answers_unread, for_a_connection, for_a_host, in_a_frozen_driver)
+WAIT_REASONS = (
+    behind_a_full_pipeline,
+    behind_an_upload_without_memory,
+    behind_unread_responses,
+    for_a_host_connection,
+    for_an_available_host,
+    during_a_handover,
+)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-@pytest.mark.parametrize("wait", WAITS)
+@pytest.mark.parametrize("wait", WAIT_REASONS)
 @asyncio_test
-async def test_nothing_is_sent_for_a_client_that_has_gone(wait, leave, may_cancel, monkeypatch):
+async def test_nothing_is_sent_for_a_disconnected_client(wait, leave, may_cancel, monkeypatch):
     """Wherever its request waits: who was not read from was not seen to go."""
     monkeypatch.setattr(client_module, "PIPELINE_MAX", 16)
     host = await FakeHost("a").listen()
@@ -373,7 +380,7 @@
     assert [host.out for host in gateway.hosts.values()] == [0]
 
 
-async def decided(rig: Rig, plain: Plain) -> Callable[[], None]:
+async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
     """A request that waits for a host is sent to one, on a connection that is there."""
     (idle,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
@@ -389,7 +396,7 @@
     return go_on
 
 
-async def rested(rig: Rig, plain: Plain) -> Callable[[], None]:
+async def when_cooled_down(rig: Rig, plain: PlainClient) -> Callable[[], None]:
     """A request that waits for a connection gets the one that has rested by now."""
     pool = rig.hosts.pools[b"a"]
     Gate(rig, pool.address[1])
@@ -400,9 +407,9 @@
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-@pytest.mark.parametrize("wait", [decided, rested])
+@pytest.mark.parametrize("wait", [when_dispatched, when_cooled_down])
 @asyncio_test
-async def test_nothing_is_sent_for_a_client_whose_end_the_loop_has_not_come_to_see(wait, leave):
+async def test_nothing_is_sent_for_a_client_whose_close_is_not_yet_noticed(wait, leave):
     """Its turn to be sent comes before that of the socket, in which the client's end waits."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -412,7 +419,7 @@
     assert await plain.read(8) == b"$2\r\nok\r\n"
     go_on = await wait(rig, plain)
     leave(plain.sock)
-    arrived(fileno(client))
+    wait_readable(fileno(client))
     go_on()
     assert not rig.driver.calls or all(call.finished for call in rig.driver.calls.values())
     other, _ = await connected(rig)
@@ -428,7 +435,7 @@
 @pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 @asyncio_test
-async def test_what_a_client_sent_in_one_piece_before_it_left_is_not_carried_out_after(leave, pings):
+async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
     """A piece is read in turns; between two of them the connection may have ended under what is left."""
     host = await FakeHost("a").listen()
     rig, faults = Rig(host), []
@@ -450,7 +457,7 @@
 
 
 @asyncio_test
-async def test_who_floods_with_commands_waits_for_its_neighbours():
+async def test_client_flooding_with_commands_does_not_starve_others():
     """A piece of thousands of commands was carried out to its end before anyone else was read from."""
     rig = Rig(await FakeHost("a").listen())
     flood, flooding = await connected(rig)
@@ -460,14 +467,14 @@
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
     flood.send(PING * 4_000)
     calm.send(PING)
-    arrived(fileno(waiting))  # both are there before the loop looks
+    wait_readable(fileno(waiting))  # both are there before the loop looks
     assert await calm.read(7) == b"+PONG\r\n"
     assert order.index(waiting) <= 200  # of 4,000
     assert await flood.read(7 * 4_000) == b"+PONG\r\n" * 4_000
 
 
 @asyncio_test
-async def test_each_request_goes_by_the_settings_of_its_own_class_customer_and_deployment():
+async def test_requests_follow_the_settings_of_their_class_customer_and_deployment():
     """Two deployments in one process with the same names, two customers on one connection."""
     for effects in (("once", "by_key"), ("by_key", "once")):
         classes = [
@@ -508,7 +515,7 @@
 
 
 @asyncio_test
-async def test_a_thousand_that_connect_and_rest_are_closed_in_time_and_neighbours_are_served(tmp_path):
+async def test_a_thousand_stalled_connections_are_closed_in_time_while_others_are_served(tmp_path):
     """Some send part of a command, or much of a large one. Descriptors stay within the limit all the time."""
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
@@ -557,7 +564,7 @@
 
 
 @asyncio_test
-async def test_resting_and_new_clients_of_a_process_that_ends_are_answered_or_see_a_clean_end(tmp_path):
+async def test_shutdown_answers_clients_or_closes_them_without_a_reset(tmp_path):
     """SIGTERM, twice, with SIGHUP in between: each connection ends without a reset, though its client sends
     one more request in the moment in which it sees the end, and only what was read before is sent on."""
     host = await FakeHost("a").listen()
@@ -567,17 +574,17 @@
         where = (where[0], int(where[1]))
         loop = asyncio.get_running_loop()
         rig = type("Loop", (), {"loop": loop})
-        resting = [Plain(rig, where) for _ in range(12)]
+        resting = [PlainClient(rig, where) for _ in range(12)]
         for number, plain in enumerate(resting):
             plain.send(request(number))
             assert await plain.read(8) == b"$2\r\nok\r\n"
         host.script = lambda command: None
-        busy = Plain(rig, where)
+        busy = PlainClient(rig, where)
         busy.send(request(100, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 13)
         process.send_signal(signal.SIGTERM)
 
-        async def end(plain: Plain) -> None:
+        async def end(plain: PlainClient) -> None:
             assert await plain.rest() == b""
             with contextlib.suppress(BrokenPipeError, ConnectionResetError):
                 plain.send(request(200, b"bill"))  # crosses nothing any more: it is never sent on
@@ -587,7 +594,7 @@
                 group.create_task(end(plain))
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        new = Plain(rig, where)
+        new = PlainClient(rig, where)
         new.send(request(101, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 14)
         for connection in host.connections:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -32,7 +32,7 @@
 
 
 @asyncio_test
-async def test_a_host_gets_the_command_unchanged_but_for_the_time_left():
+async def test_host_receives_the_command_with_only_the_timeout_changed():
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.call("put", wait=1500, number=b"id9", more=",r=1")
@@ -46,7 +46,7 @@
 
 
 @asyncio_test
-async def test_pipelined_commands_are_answered_in_their_order():
+async def test_pipelined_commands_are_answered_in_order():
     slow = []
     host = await FakeHost("a").listen()
     host.script = lambda command: slow.append(command) if command[2] == b"first" else b"*1\r\n$1\r\n2\r\n"
@@ -62,7 +62,7 @@
 
 
 @asyncio_test
-async def test_attempts_do_not_share_a_connection_and_idle_ones_are_used_again(monkeypatch):
+async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused(monkeypatch):
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -81,7 +81,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_that_was_reset_after_it_was_sent_fails_and_goes_nowhere_else():
+async def test_unsafe_request_reset_after_it_was_sent_fails_without_retry():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"reset"
@@ -92,7 +92,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_goes_again_where_it_was_turned_away_or_not_connected():
+async def test_unsafe_request_is_retried_after_busy_or_failed_connect():
     busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
@@ -103,7 +103,7 @@
 
 
 @asyncio_test
-async def test_a_safe_request_goes_again_after_an_error():
+async def test_safe_request_is_retried_after_an_error():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [b"-ERR failed util=0.5\r\n", b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
@@ -125,7 +125,7 @@
     ],
 )
 @asyncio_test
-async def test_an_answer_that_no_host_makes_is_a_failed_attempt_at_once(junk):
+async def test_invalid_reply_fails_the_attempt_at_once(junk):
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [junk, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
@@ -138,7 +138,7 @@
 
 
 @asyncio_test
-async def test_an_answer_that_never_comes_is_ended_before_the_client_gives_up():
+async def test_unanswered_request_fails_before_the_client_times_out():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -150,7 +150,7 @@
 
 
 @asyncio_test
-async def test_a_request_that_is_not_written_whole_has_not_run():
+async def test_request_not_fully_written_counts_as_not_executed():
     """A host that reads nothing: the last byte stays here, so that even an unsafe request is refused."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -179,7 +179,7 @@
 
 
 @asyncio_test
-async def test_a_connection_answered_before_its_request_was_out_is_not_used_again():
+async def test_connection_answered_before_its_request_was_fully_sent_is_not_reused():
     """What is left of that request would be taken for the start of the next one."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -207,7 +207,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up():
+async def test_client_close_cancels_its_attempt():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -220,7 +220,7 @@
 
 
 @asyncio_test
-async def test_an_attempt_that_nobody_waits_for_any_more_ends_with_the_requests_time():
+async def test_attempt_without_client_ends_at_the_request_deadline():
     """Where nothing may be called off, a silent host would else keep the connection for good."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
@@ -276,7 +276,7 @@
     ],
 )
 @asyncio_test
-async def test_what_is_malformed_is_answered_and_reaches_no_host(words):
+async def test_malformed_commands_get_an_error_and_reach_no_host(words):
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.ask(*words)
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("junk", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$400000\r\n" + b"x" * 399_999])
 @asyncio_test
-async def test_where_framing_is_lost_the_connection_is_closed(junk):
+async def test_connection_is_closed_when_framing_is_lost(junk):
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.transport.write(junk)
     assert error((await caller.replied())[0]).startswith("ERR")
@@ -298,7 +298,7 @@
 
 @pytest.mark.parametrize("head", [b"*2147483647\r\n", b"*4\r\n*999999999\r\n", b"%99999999\r\n"])
 @asyncio_test
-async def test_a_head_that_declares_what_no_command_holds_is_answered_and_closed(head):
+async def test_oversized_declared_length_gets_an_error_and_a_close(head):
     """The parser made room for all of it, and the garbage collector looked through it for seconds."""
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.ask(b"PING")
@@ -312,7 +312,7 @@
 
 
 @asyncio_test
-async def test_nothing_new_goes_to_a_host_that_drains_and_what_it_holds_is_finished():
+async def test_draining_host_gets_no_new_requests_and_finishes_its_own():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     old.script = lambda command: None
     rig = Rig(old)
@@ -332,7 +332,7 @@
 
 @pytest.mark.parametrize("health", ["DRAINING", "DELETED"])
 @asyncio_test
-async def test_what_waits_for_a_connection_to_a_host_that_drains_goes_elsewhere(health):
+async def test_attempts_queued_for_a_draining_host_are_retried_elsewhere(health):
     """It was sent there once the connection came up, however long after the word."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
@@ -360,7 +360,7 @@
 
 
 @asyncio_test
-async def test_idle_connections_are_closed_well_before_the_hosts_limit():
+async def test_idle_connections_are_closed_before_the_host_idle_timeout():
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=SITE["permissions"] | {"idleClose": 200_000})
     caller = await rig.caller()
@@ -370,7 +370,7 @@
 
 
 @asyncio_test
-async def test_connections_stay_within_the_limit_on_descriptors():
+async def test_host_connections_stay_within_the_limit():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, sockets=4)
@@ -383,7 +383,7 @@
 
 
 @asyncio_test
-async def test_the_client_idle_longest_makes_room_and_only_the_one_too_many_is_refused():
+async def test_idle_client_is_evicted_and_only_the_surplus_connection_is_refused():
     """Each request of all clients was refused while one connection was too many (ticket9204)."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -410,7 +410,7 @@
 
 
 @asyncio_test
-async def test_who_sends_nothing_or_part_of_a_command_is_closed_and_who_asks_properly_is_kept():
+async def test_silent_and_incomplete_clients_are_closed_and_proper_ones_kept():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -434,7 +434,7 @@
 
 
 @asyncio_test
-async def test_what_came_while_the_gateway_stood_still_is_read_before_its_sender_is_overdue():
+async def test_input_received_during_event_loop_lag_is_read_before_the_timeout():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     (client,) = rig.clients.open
@@ -447,7 +447,7 @@
 
 
 @asyncio_test
-async def test_connections_far_beyond_the_limit_are_closed_at_once():
+async def test_connections_far_beyond_the_limit_are_reset_at_once():
     """Each within a command took a descriptor for two seconds, also from those that hosts need."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
@@ -470,7 +470,7 @@
 
 
 @asyncio_test
-async def test_no_more_is_read_while_many_requests_are_open_on_a_connection():
+async def test_reading_pauses_at_the_pipeline_limit():
     """Behind one open request the answers to all that followed piled up without end."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
@@ -490,7 +490,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_never_reads_its_answers_is_closed():
+async def test_client_that_never_reads_its_responses_is_closed():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
@@ -504,7 +504,7 @@
 
 
 @asyncio_test
-async def test_what_all_clients_leave_unfinished_is_bounded():
+async def test_unfinished_commands_of_all_clients_are_bounded():
     rig = Rig(await FakeHost("a").listen(), sockets=256)
     rig.clients._sweep = lambda: None  # none is closed for taking too long
     callers = [await rig.caller() for _ in range(80)]
@@ -516,7 +516,7 @@
 
 
 @asyncio_test
-async def test_a_client_within_a_command_does_not_make_room():
+async def test_client_within_a_command_is_not_evicted():
     """Of a command cut right after a head nothing is left in the parser."""
     rig = Rig(await FakeHost("a").listen())
     rig.clients.max_connections = 1
@@ -532,7 +532,7 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_fails_one_request_and_no_more():
+async def test_exception_in_the_decision_module_fails_only_one_request():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -547,7 +547,7 @@
 
 
 @asyncio_test
-async def test_a_request_that_the_decisions_forget_is_failed_in_time():
+async def test_request_without_a_decision_fails_at_its_deadline():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     rig.driver.gateway._advance = lambda request: None
@@ -556,7 +556,7 @@
 
 
 @asyncio_test
-async def test_sigterm_finishes_what_is_held_and_serves_new_connections_for_a_while(tmp_path):
+async def test_sigterm_finishes_requests_in_flight_and_still_accepts_for_a_while(tmp_path):
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     with socket.socket() as probe:
@@ -597,7 +597,7 @@
 
 
 @asyncio_test
-async def test_a_refusal_tells_when_to_come_back_in_whole_milliseconds_and_no_earlier():
+async def test_retry_after_is_rounded_up_to_whole_milliseconds():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
@@ -610,7 +610,7 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_does_not_stop_the_gossip():
+async def test_exception_in_the_decision_module_does_not_stop_gossip():
     rig = Rig(await FakeHost("a").listen())
     turns = []
 
@@ -624,7 +624,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_reads_no_answers_is_not_read_from():
+async def test_client_that_does_not_read_gets_backpressure():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
@@ -649,7 +649,7 @@
 
 
 @asyncio_test
-async def test_whose_request_waits_in_the_socket_does_not_make_room_for_another():
+async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
     """The loop is behind: when one more comes, requests of those idle longest were sent, but not read yet."""
     rig = Rig(await FakeHost("a").listen())
     asked = await rig.caller()
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -23,7 +23,7 @@
 STALE = b"*1\r\n$5\r\nstale\r\n"
 
 
-def arrived(fd: int) -> None:
+def wait_readable(fd: int) -> None:
     """The kernel has it: nothing has to run for that but the other end's send."""
     look = select.poll()
     look.register(fd, select.POLLIN | select.POLLRDHUP)
@@ -50,7 +50,7 @@
         return sock
 
 
-async def command(sock: socket.socket) -> list[bytes]:
+async def receive_command(sock: socket.socket) -> list[bytes]:
     """The next one that comes whole."""
     reader = hiredis.Reader()
     while (words := reader.gets()) is False:
@@ -60,7 +60,7 @@
     return words
 
 
-LEFT = {
+LEFTOVERS = {
     "an end": lambda sock: sock.close(),
     "a reset": reset,
     "half a line": lambda sock: sock.sendall(b"*1\r\n$5"),
@@ -70,9 +70,9 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "bill"])
-@pytest.mark.parametrize("left", LEFT)
+@pytest.mark.parametrize("left", LEFTOVERS)
 @asyncio_test
-async def test_what_waits_unread_on_an_idle_connection_meets_no_request(left, kind):
+async def test_idle_connection_with_unread_input_is_not_reused(left, kind):
     """The request comes first and what the host left behind it, both before the loop looks again: it was sent
     on that connection, and lost for nothing, or answered with what belonged to another."""
     host = PlainHost("a")
@@ -80,25 +80,25 @@
     caller = await rig.caller()
     caller.call(kind, number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     await rig.loop.sock_sendall(first, ANSWER)
     assert await caller.replied() == [b"fresh"]
     (connection,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
     client = next(iter(rig.clients.open))
     caller.call(kind, number=b"two")  # goes to the kernel at once
-    arrived(client.transport.get_extra_info("socket").fileno())
-    LEFT[left](first)
-    arrived(connection.transport.get_extra_info("socket").fileno())
+    wait_readable(client.transport.get_extra_info("socket").fileno())
+    LEFTOVERS[left](first)
+    wait_readable(connection.transport.get_extra_info("socket").fileno())
     second = await host.accept()
-    assert (await command(second))[2] == b"two"
+    assert (await receive_command(second))[2] == b"two"
     await rig.loop.sock_sendall(second, ANSWER)
     assert await caller.replied(2) == [b"fresh", b"fresh"]
     assert rig.hosts.sockets == 1 and rig.driver.stats["host_stale"] == 1
 
 
 @asyncio_test
-async def test_a_second_answer_that_comes_late_is_not_given_to_the_next_request():
+async def test_late_duplicate_response_is_not_matched_to_the_next_request():
     """The next request came at once and went out on the same connection, where the answer to the one before
     came once more."""
     host = PlainHost("a")
@@ -106,7 +106,7 @@
     caller = await rig.caller()
     caller.call(number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     await rig.loop.sock_sendall(first, ANSWER)
     await caller.replied()
     caller.call(number=b"two")
@@ -114,13 +114,13 @@
     await rig.loop.sock_sendall(first, STALE)
     await until(lambda: rig.driver.stats["host_unasked"])
     second = await host.accept()
-    assert (await command(second))[2] == b"two"
+    assert (await receive_command(second))[2] == b"two"
     await rig.loop.sock_sendall(second, ANSWER)
     assert await caller.replied(2) == [b"fresh", b"fresh"]
 
 
 @asyncio_test
-async def test_nothing_begins_after_the_final_answer():
+async def test_no_attempt_starts_after_the_final_answer():
     """One attempt waits for its connection while another of the same request is served."""
     slow, quick = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(slow, quick, permissions=SITE["permissions"] | {"cancel": False, "connectTimeout": 5_000_000})
@@ -140,30 +140,30 @@
 
 
 @asyncio_test
-async def test_what_waits_takes_a_connection_that_has_cooled_down_and_only_the_rest_opens_others():
+async def test_queued_attempts_reuse_cooled_down_connections_before_opening_new_ones():
     """A new one for each request that came within the cooldown cost a host a handshake, and a fifth more."""
     host = PlainHost("a")
     rig = Rig(host)
     caller, pool = await rig.caller(), rig.hosts.pools[b"a"]
     caller.call(number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     gate = Gate(rig, host.port)
     for number in (b"two", b"three"):
         await rig.loop.sock_sendall(first, ANSWER)
         await until(lambda: pool.idle)
         caller.call(number=number)
-        assert (await command(first))[2] == number
+        assert (await receive_command(first))[2] == number
     assert rig.hosts.sockets == 1 and pool.opening == 0
     await rig.loop.sock_sendall(first, ANSWER)
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
         caller.call(number=number)
     await until(lambda: gate.under_way == 2)
-    assert (await command(first))[2] == b"four"
+    assert (await receive_command(first))[2] == b"four"
     gate.open()
     others = [await host.accept() for _ in range(2)]
-    assert {(await command(other))[2] for other in others} == {b"five", b"six"}
+    assert {(await receive_command(other))[2] for other in others} == {b"five", b"six"}
     for each in (first, *others):
         await rig.loop.sock_sendall(each, ANSWER)
     assert await caller.replied(6) == [b"fresh"] * 6
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "bill"])
 @asyncio_test
-async def test_a_connection_that_comes_up_as_its_time_runs_out_is_used(kind):
+async def test_connection_established_at_its_timeout_is_used(kind):
     """The loop stood still from before the time until after it, and then closed the connection without a word
     to anyone: the request on it was never answered, and its socket counted until then."""
     host = await FakeHost("a").listen()
@@ -215,7 +215,7 @@
     assert rig.hosts.sockets == len(host.connections)
 
 
-ENDS = {
+CONNECT_OUTCOMES = {
     "refused": lambda rig, host, gate: (host.listener.close(), gate.open()),
     "too late": lambda rig, host, gate: None,
     "gone while it opens": lambda rig, host, gate: rig.told(host.line("DELETED")),
@@ -229,9 +229,9 @@
 }
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", CONNECT_OUTCOMES)
 @asyncio_test
-async def test_however_a_connect_ends_it_is_counted_once_and_nothing_goes_to_a_host_that_is_gone(end):
+async def test_failed_connects_are_counted_once_and_send_nothing(end):
     host = PlainHost("a")
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1, "connectTimeout": 200_000})
     gate = Gate(rig, host.port)
@@ -239,7 +239,7 @@
     caller.call("bill")
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     assert rig.hosts.sockets == 1
-    ENDS[end](rig, host, gate)
+    CONNECT_OUTCOMES[end](rig, host, gate)
     if end != "client gone":
         assert error((await caller.replied())[0]).startswith("BUSY")
     await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("early", [b"*1\r\n$2\r\nok\r\n", b"*1\r\n$2\r", b"-ERR failed\r\n", b"+OK\r\n"])
 @asyncio_test
-async def test_what_comes_before_a_request_is_out_is_not_its_answer(early):
+async def test_input_before_a_request_is_fully_sent_is_not_its_response(early):
     """A host can't have served what it has not got; since its last byte never leaves, it never runs."""
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -280,7 +280,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_says_busy_and_more_may_have_run_it():
+async def test_busy_followed_by_more_input_may_have_been_executed():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"-BUSY\r\n*1\r\n$2\r\nok\r\n"
@@ -292,7 +292,7 @@
 
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
-async def test_an_answer_cut_at_any_byte_is_none(end):
+async def test_response_truncated_at_any_byte_is_not_accepted(end):
     """An unsafe request is failed and not sent again; a whole answer counts whatever comes behind it."""
     data = b"*3\r\n$5\r\nfresh\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
     for cut in range(len(data) + 1):
@@ -301,7 +301,7 @@
         caller = await rig.caller()
         caller.call("bill")
         sock = await host.accept()
-        await command(sock)
+        await receive_command(sock)
         await rig.loop.sock_sendall(sock, data[:cut])
         sock.close() if end == "end" else reset(sock)
         (reply,) = await caller.replied()
@@ -317,7 +317,7 @@
 
 
 @asyncio_test
-async def test_no_repeat_goes_out_after_its_window_however_late_its_connection_comes_up():
+async def test_no_retry_is_sent_after_the_repeat_window():
     """It was decided on within the window and sent when the connection was there."""
     classes = [dict(cls, dedupWindow=300_000) for cls in SITE["classes"]]
     first, second = await FakeHost("a").listen(), await FakeHost("b").listen()
@@ -355,7 +355,7 @@
 
 
 @asyncio_test
-async def test_no_path_counts_a_connection_twice_and_every_stage_ends():
+async def test_connections_are_counted_once_on_every_path():
     """Hosts that refuse, reset, end and answer under many requests: in the end only idle ones are counted."""
     hosts = [await FakeHost(name).listen() for name in "abcd"]
     replies = [b"reset", b"-BUSY\r\n", b"-ERR failed\r\n", ANSWER, ANSWER + STALE, b"$5\r\nodd"]
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_large_value_passes_the_parser_wherever_it_is_cut(seed):
+def test_large_values_are_streamed_whatever_the_segmentation(seed):
     draw = random.Random(seed)
     bodies = [draw.randbytes(size) for size in (VALUE_BYTES_MAX, VALUE_BYTES_MAX + 1, 200_000, 3)]
     data = b"".join(post(body, b"%d" % n) for n, body in enumerate(bodies))
@@ -64,7 +64,7 @@
         + b"\rx",
     ],
 )
-def test_what_is_too_long_or_out_of_place_is_wrong(data):
+def test_values_too_long_or_misplaced_are_rejected(data):
     reader = Reader(2 * VALUE_BYTES_MAX, large_index=4, large_must_be_last=True)
     reader.feed(data)
     with pytest.raises(hiredis.ProtocolError):
@@ -73,7 +73,7 @@
 
 
 @asyncio_test
-async def test_a_large_answer_streams_and_the_connection_is_used_again(monkeypatch):
+async def test_large_response_is_streamed_and_its_connection_reused(monkeypatch):
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -90,7 +90,7 @@
 
 
 @asyncio_test
-async def test_first_bytes_go_on_at_once_and_pieces_may_be_cut_anywhere():
+async def test_streaming_starts_at_once_whatever_the_segmentation():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -115,7 +115,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_breaks_off_ends_the_clients_connection_and_nothing_is_sent_again():
+async def test_truncated_stream_closes_the_client_connection_without_retry():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("rest", [b"$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n", b""])
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
-async def test_a_large_answer_cut_anywhere_never_looks_whole(end, rest):
+async def test_truncated_large_response_is_never_taken_for_complete(end, rest):
     """Where only the figures behind the value were missing, it did."""
     value = BIG[:70_000]
     data = answer(value, rest) if rest else b"*1\r\n$%d\r\n%b\r\n" % (len(value), value)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("wrong", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
 @asyncio_test
-async def test_a_large_answer_that_is_spoilt_before_its_turn_fails_alone(wrong):
+async def test_malformed_large_response_behind_another_fails_alone(wrong):
     """It took the connection along, and with it the request before it, which was still to be answered."""
     host = await FakeHost("a").listen()
     first = []
@@ -187,7 +187,7 @@
 
 
 @asyncio_test
-async def test_a_large_answer_that_comes_twice_is_passed_on_once():
+async def test_duplicate_large_response_is_forwarded_once():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG) * 2 if command[2] == b"one" else answer(b"other")
     rig = Rig(host)
@@ -199,7 +199,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_falls_silent_within_an_answer_is_given_up(monkeypatch):
+async def test_stalled_stream_is_given_up(monkeypatch):
     monkeypatch.setattr(hosts_module, "STREAM_IDLE_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
@@ -210,7 +210,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_reads_slowly_pauses_its_host_and_one_that_leaves_frees_it():
+async def test_slow_client_pauses_its_host_and_a_disconnect_releases_it():
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
     host.script = lambda command: answer(value)
@@ -236,7 +236,7 @@
 
 
 @asyncio_test
-async def test_a_slow_reader_is_kept_as_long_as_it_reads(monkeypatch):
+async def test_slow_reader_is_kept_as_long_as_it_reads(monkeypatch):
     monkeypatch.setattr(client_module, "WRITE_STALL_TIMEOUT", client_module.COMMAND_TIMEOUT + 0.6)
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
@@ -256,7 +256,7 @@
 
 
 @asyncio_test
-async def test_a_large_request_arrives_whole_and_may_go_again():
+async def test_large_request_is_forwarded_whole_and_can_be_retried():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [b"-BUSY\r\n", answer(b"done"), answer(b"small")]
     for host in hosts:
@@ -277,7 +277,7 @@
 
 
 @asyncio_test
-async def test_bodies_wait_for_room_and_all_of_them_arrive():
+async def test_uploads_wait_for_memory_and_are_all_served():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     rig.clients.upload_memory.free = 2 * len(BIG) + 1
@@ -298,7 +298,7 @@
 
 
 @asyncio_test
-async def test_who_finds_no_room_for_long_is_told_that_trying_again_is_harmless(monkeypatch):
+async def test_upload_without_memory_in_time_is_refused_as_retryable(monkeypatch):
     monkeypatch.setattr(uploads_module, "UPLOAD_MEMORY_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     rig = Rig(host)
@@ -311,7 +311,7 @@
 
 
 @asyncio_test
-async def test_a_body_that_stops_or_dawdles_ends_in_time():
+async def test_stalled_and_slow_uploads_are_closed_in_time():
     rig = Rig(await FakeHost("a").listen())
     stops, dawdles = [await rig.caller() for _ in range(2)]
     began, free = rig.loop.time(), rig.clients.upload_memory.free
@@ -327,7 +327,7 @@
 
 @pytest.mark.parametrize("more", [0, 1_000_000])
 @asyncio_test
-async def test_a_body_over_the_limit_gets_its_error_line(more):
+async def test_body_over_the_limit_gets_an_error(more):
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.transport.write(post(b"x" * (LARGE_VALUE_BYTES_MAX + 1 + more)))
@@ -337,7 +337,7 @@
 
 
 @asyncio_test
-async def test_a_malformed_request_with_a_large_body_is_read_away_and_the_connection_kept():
+async def test_malformed_request_with_a_large_body_is_discarded_and_the_connection_kept():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -349,7 +349,7 @@
 
 
 @asyncio_test
-async def test_the_end_waits_for_the_rest_of_a_large_answer():
+async def test_shutdown_waits_for_the_rest_of_a_streamed_response():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
     rig = Rig(host)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("seeds", [range(first, first + 20) for first in range(0, 80, 20)], ids=str)
-def test_whatever_happens_each_request_taken_on_is_answered_once_and_in_its_time(seeds):
+def test_every_request_is_answered_once_and_in_time_under_random_events(seeds):
     for seed in seeds:
         world = World(seed)
         for _ in range(EVENTS):
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -25,13 +25,13 @@
 VALUES = [[b"A", b"*999999999\r\n$1\r\n", b""], [None, [7]], b"ok"]
 
 
-def test_values_are_read_whole_wherever_they_are_cut():
+def test_values_are_parsed_whatever_the_segmentation():
     for cut in range(len(GOOD) + 1):
         assert read([GOOD[:cut], GOOD[cut:]]) == (VALUES, False)
     assert read(GOOD[i : i + 1] for i in range(len(GOOD))) == (VALUES, False)
 
 
-def test_it_knows_where_a_value_ends():
+def test_at_boundary_is_true_exactly_after_a_complete_value():
     reader = Reader(100)
     ends = [i for i in range(len(GOOD)) if (reader.feed(GOOD[i : i + 1]), reader.at_boundary)[1]]
     command = len(hiredis.pack_command((b"A", b"*999999999\r\n$1\r\n", b"")))
@@ -57,6 +57,6 @@
         b"+" + b"x" * LINE_BYTES_MAX,
     ],
 )
-def test_what_is_out_of_bounds_is_told_after_all_before_it_was_read(bad):
+def test_an_error_is_raised_after_all_values_before_it_were_read(bad):
     assert read([GOOD + bad]) == (VALUES, True)
     assert read([GOOD, *(bad[i : i + 1] for i in range(len(bad)))]) == (VALUES, True)
