--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -1,6 +1,6 @@
-"""Ends of client connections at their rare moments: ours under bytes on their way, theirs while nobody reads.
+"""Races when client connections end: a half-close crossed by input, a client's close while reading is paused.
 
-Clients are plain sockets here, so that the loop stands still until a test lets it run."""
+Clients are plain sockets, so that the event loop does not run until a test lets it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class PlainClient:
-    """A client's socket."""
+    """A client as a plain socket."""
 
     def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
         self.loop = rig.loop
@@ -43,7 +43,7 @@
         if receive_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.sock.connect(address)
-        self.send = self.sock.sendall  # at once, to the kernel
+        self.send = self.sock.sendall  # passes data to the kernel at once
         self.sock.setblocking(False)
 
     async def read(self, size: int) -> bytes:
@@ -55,7 +55,7 @@
         return data
 
     async def rest(self) -> bytes:
-        """What comes up to the end; a reset is none, and raises."""
+        """Read until the peer closes; a reset raises."""
         data = b""
         while piece := await asyncio.wait_for(self.loop.sock_recv(self.sock, 65536), 10):
             data += piece
@@ -63,7 +63,7 @@
 
 
 async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
-    """A client's socket and what the gateway makes of it."""
+    """A client's socket, and the gateway's object for it."""
     if rig.clients.server is None:
         await rig.clients.listen()
     before = set(rig.clients.open)
@@ -77,7 +77,7 @@
 
 
 def send_at_half_close(client: Client, plain: PlainClient, data: bytes) -> None:
-    """These bytes come in the very moment in which the gateway ends the connection, after its look."""
+    """Have these bytes arrive just before the half-close, after the gateway's check for unread input."""
     half_close = client.half_close
 
     def end() -> None:
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("end", CLOSE_CAUSES)
 @asyncio_test
 async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
-    """They reset the connection, which took the answer before them along; or were sent on after the end."""
+    """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
@@ -152,7 +152,7 @@
         and client in rig.clients.half_closed
         and client not in rig.clients.open
     )
-    for _ in range(3):  # whoever goes on is not reset either, while we linger
+    for _ in range(3):  # a client that keeps sending is not reset either during the lingering close
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
@@ -164,7 +164,7 @@
 
 @asyncio_test
 async def test_drain_answers_all_commands_received_in_one_segment():
-    """The first was answered at once, the connection closed, and the next one sent on all the same."""
+    """The connection was closed after the first response, and later commands were still sent to hosts."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
@@ -194,14 +194,14 @@
 
 @asyncio_test
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
-    """They were reset with it, and their requests with them."""
+    """They were reset together with the listener."""
     rig = Rig(await FakeHost("a").listen())
     await rig.clients.listen()
     where = rig.clients.server.sockets[0].getsockname()
     late = [PlainClient(rig, where) for _ in range(5)]
     for plain in late:
         plain.send(request())
-    rig.clients.stop_accepting()  # in the same turn: nobody has accepted them
+    rig.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
@@ -211,7 +211,7 @@
 
 @asyncio_test
 async def test_drain_waits_until_write_buffers_are_empty(monkeypatch):
-    """The process ended once the last answer was handed to the loop, which held most of it."""
+    """The process exited while most of the last response was still in the transport's write buffer."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.0)
     monkeypatch.setattr(drain_module, "SHUTDOWN_COMMAND_TIMEOUT", 0.0)
     host = await FakeHost("a").listen()
@@ -234,7 +234,7 @@
 
 @asyncio_test
 async def test_drain_ends_while_clients_keep_sending(monkeypatch):
-    """A connection that always had a request open was never closed: it was served up to SIGKILL."""
+    """A connection that always had a request in flight was never closed, but served until SIGKILL."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.2)
     host = await FakeHost("a").listen()
     out = []
@@ -245,7 +245,7 @@
     await until(lambda: len(host.commands) == 1)
     drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
     asked, stats = 1, rig.driver.stats
-    while True:  # the next one comes before the last is answered
+    while True:  # the next request arrives before the last is answered
         caller.call(number=b"%d" % asked)
         asked += 1
         await until(lambda asked=asked: len(host.commands) == asked or stats["refused_leaving"])
@@ -271,12 +271,12 @@
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
     await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
-    client.check_timeouts = lambda before: None  # it takes a byte now and then: never stuck for long
+    client.check_timeouts = lambda before: None  # it reads a byte now and then, so it never stalls
     await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
     assert not rig.clients.is_finished
 
 
-# -- a client that leaves while nothing is read from it
+# -- a client that disconnects while reading is paused
 
 
 async def behind_a_full_pipeline(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
@@ -295,7 +295,7 @@
 
 
 async def behind_unread_responses(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    """Behind a large answer that the client does not read; that one has a connection already."""
+    """The request waits behind a large response that the client does not read."""
     plain.send(request(0))
     await plain.read(8)
     (idle,) = rig.hosts.pools[b"a"].idle
@@ -315,7 +315,7 @@
 
 
 class ListHost:
-    """The host is listed once this is open."""
+    """``open`` lists the host as serving."""
 
     def __init__(self, rig: Rig, host: FakeHost) -> None:
         self.open = lambda: rig.told(host.line())
@@ -329,7 +329,7 @@
 
 
 class ThawDriver:
-    """The state is not handed over after all."""
+    """``open`` ends the handover as failed."""
 
     def __init__(self, rig: Rig) -> None:
         self.open = rig.driver.thaw
@@ -357,7 +357,7 @@
 @pytest.mark.parametrize("wait", WAIT_REASONS)
 @asyncio_test
 async def test_nothing_is_sent_for_a_disconnected_client(wait, leave, may_cancel, monkeypatch):
-    """Wherever its request waits: who was not read from was not seen to go."""
+    """While reading is paused the event loop does not report a close, wherever the request waits."""
     monkeypatch.setattr(client_module, "PIPELINE_MAX", 16)
     host = await FakeHost("a").listen()
     permissions = SITE["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
@@ -367,12 +367,12 @@
     asked = rig.loop.time()
     leave(plain.sock)
     await until(lambda: not rig.driver.calls, within=20)
-    assert rig.loop.time() - asked < 1.5  # not its deadline, which is 2 s
+    assert rig.loop.time() - asked < 1.5  # well before the deadline of 2 s
     stats = rig.driver.stats
     assert stats["client_gone_waiting"] > 0 and stats["client_gone_sent_late"] == 0
     opens.open()
     other, _ = await connected(rig)
-    other.send(request(99, b"bill"))  # whatever was to come before it has come
+    other.send(request(99, b"bill"))  # anything sent earlier arrives before it
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
     gateway = rig.driver.gateway
@@ -381,7 +381,7 @@
 
 
 async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
-    """A request that waits for a host is sent to one, on a connection that is there."""
+    """A request waits for a host; returns what dispatches it on an established connection."""
     (idle,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
     rig.told(rig.line | {"health": "DRAINING"})
@@ -397,7 +397,7 @@
 
 
 async def when_cooled_down(rig: Rig, plain: PlainClient) -> Callable[[], None]:
-    """A request that waits for a connection gets the one that has rested by now."""
+    """A request waits for a connection; returns what dispatches it on one past its cooldown."""
     pool = rig.hosts.pools[b"a"]
     Gate(rig, pool.address[1])
     plain.send(request(1, b"bill"))
@@ -410,7 +410,7 @@
 @pytest.mark.parametrize("wait", [when_dispatched, when_cooled_down])
 @asyncio_test
 async def test_nothing_is_sent_for_a_client_whose_close_is_not_yet_noticed(wait, leave):
-    """Its turn to be sent comes before that of the socket, in which the client's end waits."""
+    """The request is dispatched before the event loop reads the client's FIN from the socket."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     rig.line = host.line()
@@ -436,7 +436,7 @@
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 @asyncio_test
 async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
-    """A piece is read in turns; between two of them the connection may have ended under what is left."""
+    """A segment is processed over several loop iterations, and the connection may be lost between two."""
     host = await FakeHost("a").listen()
     rig, faults = Rig(host), []
     rig.loop.set_exception_handler(lambda loop, context: faults.append(context))
@@ -453,12 +453,12 @@
     assert faults == []
 
 
-# -- neighbours
+# -- fairness and isolation between clients
 
 
 @asyncio_test
 async def test_client_flooding_with_commands_does_not_starve_others():
-    """A piece of thousands of commands was carried out to its end before anyone else was read from."""
+    """A segment of thousands of commands was executed completely before other clients were read from."""
     rig = Rig(await FakeHost("a").listen())
     flood, flooding = await connected(rig)
     calm, waiting = await connected(rig)
@@ -467,7 +467,7 @@
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
     flood.send(PING * 4_000)
     calm.send(PING)
-    wait_readable(fileno(waiting))  # both are there before the loop looks
+    wait_readable(fileno(waiting))  # both are readable before the loop polls
     assert await calm.read(7) == b"+PONG\r\n"
     assert order.index(waiting) <= 200  # of 4,000
     assert await flood.read(7 * 4_000) == b"+PONG\r\n" * 4_000
@@ -497,7 +497,7 @@
             await caller.replied(len(caller.replies) + 1)
             sent = sum(len(host.commands) for host in hosts) - before
             assert (sent == 1) == (effect == "once"), effect
-    # The quota of one is spent, the other's is not, whichever comes first in a piece.
+    # One customer's quota is spent and the other's is not, whatever their order in a segment.
     host = await FakeHost("a").listen()
     rig = Rig(host, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)])
     caller = await rig.caller()
@@ -516,7 +516,7 @@
 
 @asyncio_test
 async def test_a_thousand_stalled_connections_are_closed_in_time_while_others_are_served(tmp_path):
-    """Some send part of a command, or much of a large one. Descriptors stay within the limit all the time."""
+    """Some send part of a command or of a large body. Descriptors stay within the limit throughout."""
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
         process = await service.start()
@@ -527,7 +527,7 @@
         folder = f"/proc/{process.pid}/fd"
 
         async def ask() -> None:
-            """A neighbour, whose connection may be closed between two requests to make room."""
+            """Send requests as another client, whose connection may be evicted between two of them."""
             neighbour = await service.caller()
             while not over.is_set():
                 descriptors.append(len(os.listdir(folder)))
@@ -540,7 +540,7 @@
                     neighbour.replies.clear()
 
         async def rest(words: bytes) -> float:
-            """Connect, and see the end: seconds from the one to the other."""
+            """Connect and stall; returns the seconds until the gateway closes the connection."""
             with socket.socket() as sock:
                 sock.setblocking(False)
                 await loop.sock_connect(sock, where)
@@ -559,14 +559,17 @@
         assert len(took) == 1_000 and max(descriptors) <= service.text["limits"]["sockets"]
         assert sum(span > 3.5 for span in took) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
-        assert b"ok" in kinds and kinds <= {b"ok", "BUSY"}  # crowded, or its quota: 100 a second
+        assert b"ok" in kinds and kinds <= {
+            b"ok",
+            "BUSY",
+        }  # at the connection limit, or beyond its quota of 100 a second
         assert process.returncode is None
 
 
 @asyncio_test
 async def test_shutdown_answers_clients_or_closes_them_without_a_reset(tmp_path):
-    """SIGTERM, twice, with SIGHUP in between: each connection ends without a reset, though its client sends
-    one more request in the moment in which it sees the end, and only what was read before is sent on."""
+    """SIGTERM twice, with SIGHUP in between: each connection is closed without a reset, although its client
+    sends one more request on seeing the close, and only requests read before reach hosts."""
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
         process = await service.start()
@@ -587,7 +590,7 @@
         async def end(plain: PlainClient) -> None:
             assert await plain.rest() == b""
             with contextlib.suppress(BrokenPipeError, ConnectionResetError):
-                plain.send(request(200, b"bill"))  # crosses nothing any more: it is never sent on
+                plain.send(request(200, b"bill"))  # after the close, so it never reaches a host
 
         async with asyncio.TaskGroup() as group:
             for plain in resting:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Clients and hosts over loopback sockets: one answer each, in order, and what may go out again."""
+"""Clients and hosts over loopback sockets: responses in order, retries, limits and timeouts."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @asyncio_test
 async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused(monkeypatch):
-    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
+    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -119,7 +119,7 @@
         b"*2147483647\r\n",
         b"*3\r\n$4000000000\r\n",
         b"HTTP/1.1 200 OK\r\n",
-        b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",  # its value is longer than its head says
+        b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",  # a value longer than its declared length
         b"*3\r\n$4\r\nab\r\n$-1\r\n$-1\r\n",  # or shorter
         b"*999\r\n" + (b"$65536\r\n%b\r\n" % (b"x" * 65536)) * 3,
     ],
@@ -134,7 +134,7 @@
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
-    await until(lambda: rig.hosts.sockets == 1)  # the other connection is not used again
+    await until(lambda: rig.hosts.sockets == 1)  # the other connection is closed
 
 
 @asyncio_test
@@ -145,13 +145,13 @@
     caller = await rig.caller()
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
-    await until(lambda: not host.connections)  # the attempt is given up
+    await until(lambda: not host.connections)  # the attempt is cancelled
     assert rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
 
 
 @asyncio_test
 async def test_request_not_fully_written_counts_as_not_executed():
-    """A host that reads nothing: the last byte stays here, so that even an unsafe request is refused."""
+    """The host reads nothing, so the last byte is never sent, and even an unsafe request may be refused."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     host = FakeHost("a")
@@ -164,12 +164,12 @@
     pool = rig.hosts.pools[b"a"]
     original = pool.connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(connection)
 
-    pool.connected = narrow
+    pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     assert error((await caller.replied())[0]).startswith("BUSY")
@@ -180,7 +180,7 @@
 
 @asyncio_test
 async def test_connection_answered_before_its_request_was_fully_sent_is_not_reused():
-    """What is left of that request would be taken for the start of the next one."""
+    """The unsent rest of that request would be taken for the start of the next one."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.setblocking(False)
@@ -190,12 +190,12 @@
     caller = await rig.caller()
     up = rig.hosts.pools[b"a"].connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    rig.hosts.pools[b"a"].connected = narrow
+    rig.hosts.pools[b"a"].connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await rig.loop.sock_accept(listener)
@@ -221,7 +221,7 @@
 
 @asyncio_test
 async def test_attempt_without_client_ends_at_the_request_deadline():
-    """Where nothing may be called off, a silent host would else keep the connection for good."""
+    """With cancellation disabled, a silent host would otherwise hold the connection for ever."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, permissions=SITE["permissions"] | {"cancel": False})
@@ -299,7 +299,7 @@
 @pytest.mark.parametrize("head", [b"*2147483647\r\n", b"*4\r\n*999999999\r\n", b"%99999999\r\n"])
 @asyncio_test
 async def test_oversized_declared_length_gets_an_error_and_a_close(head):
-    """The parser made room for all of it, and the garbage collector looked through it for seconds."""
+    """The parser would allocate all declared values, which the garbage collector scans for seconds."""
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.ask(b"PING")
     caller.transport.write(hiredis.pack_command((b"PING",)) + head[:5])
@@ -333,7 +333,7 @@
 @pytest.mark.parametrize("health", ["DRAINING", "DELETED"])
 @asyncio_test
 async def test_attempts_queued_for_a_draining_host_are_retried_elsewhere(health):
-    """It was sent there once the connection came up, however long after the word."""
+    """They were sent once the connection was established, however long after the host began to drain."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
@@ -384,16 +384,16 @@
 
 @asyncio_test
 async def test_idle_client_is_evicted_and_only_the_surplus_connection_is_refused():
-    """Each request of all clients was refused while one connection was too many (ticket9204)."""
+    """All requests of all clients were refused while there was one surplus connection (ticket9204)."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     rig.clients.max_connections = 3
     first, second, third = [await rig.caller() for _ in range(3)]
     await until(lambda: len(rig.clients.open) == 3)
-    for caller in (second, third, first):  # the first was the last to ask
+    for caller in (second, third, first):  # the first is the most recently used
         caller.call()
         await caller.replied()
-    more = [await rig.caller() for _ in range(2)]  # both come before an end is told
+    more = [await rig.caller() for _ in range(2)]  # both connect before an eviction is noticed
     await until(lambda: second.closed and third.closed)
     assert not first.closed
     host.script = lambda command: None
@@ -426,7 +426,7 @@
         if dripping.transport.is_closing() or dripping.closed:
             break
     await until(lambda: silent.closed and partial.closed and dripping.closed)
-    assert rig.loop.time() - begun < 3.0 + 3.0  # the three seconds owed, and as much for a busy machine
+    assert rig.loop.time() - begun < 3.0 + 3.0  # the specified limit, and as much for a busy machine
     assert silent.replies == []
     assert error(partial.replies[1]) == error(dripping.replies[0])
     await asyncio.sleep(3 * SWEEP_INTERVAL)
@@ -448,15 +448,15 @@
 
 @asyncio_test
 async def test_connections_far_beyond_the_limit_are_reset_at_once():
-    """Each within a command took a descriptor for two seconds, also from those that hosts need."""
+    """Each unfinished command held a descriptor for two seconds, so that none were left for hosts."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
     rig.clients.max_connections = 1
-    holder = await rig.caller()
-    holder.call("bill", wait=10_000)
+    busy = await rig.caller()
+    busy.call("bill", wait=10_000)
     await until(lambda: host.commands)
-    rig.clients._sweep = lambda: None  # none is closed for its silence
+    rig.clients._sweep = lambda: None  # disables the command timeout
     more = []
     for number in range(SURPLUS_CONNECTIONS_MAX + 5):
         more.append(await rig.caller())
@@ -466,12 +466,12 @@
         )
     assert [caller.closed for caller in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
     assert len(rig.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
-    assert not holder.closed
+    assert not busy.closed
 
 
 @asyncio_test
 async def test_reading_pauses_at_the_pipeline_limit():
-    """Behind one open request the answers to all that followed piled up without end."""
+    """Responses to commands behind one unanswered request accumulated without bound."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -506,7 +506,7 @@
 @asyncio_test
 async def test_unfinished_commands_of_all_clients_are_bounded():
     rig = Rig(await FakeHost("a").listen(), sockets=256)
-    rig.clients._sweep = lambda: None  # none is closed for taking too long
+    rig.clients._sweep = lambda: None  # disables the command timeout
     callers = [await rig.caller() for _ in range(80)]
     for caller in callers:
         caller.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
@@ -517,7 +517,7 @@
 
 @asyncio_test
 async def test_client_within_a_command_is_not_evicted():
-    """Of a command cut right after a head nothing is left in the parser."""
+    """When a command is cut right after a header, the parser holds no unparsed data."""
     rig = Rig(await FakeHost("a").listen())
     rig.clients.max_connections = 1
     caller = await rig.caller()
@@ -580,9 +580,9 @@
                 except OSError:
                     await asyncio.sleep(0.02)
 
-    holder, idle, stuck = await connect(), await connect(), await connect()
-    stuck.transport.write(b"*1\r\n$4\r\nPI")  # a command without its end must not hold up the exit
-    holder.call(wait=10_000, number=b"held")
+    busy, idle, stuck = await connect(), await connect(), await connect()
+    stuck.transport.write(b"*1\r\n$4\r\nPI")  # an unfinished command must not delay the exit
+    busy.call(wait=10_000, number=b"held")
     await until(lambda: host.commands)
     process.send_signal(signal.SIGTERM)
     await until(lambda: idle.closed)
@@ -591,9 +591,9 @@
     await until(lambda: len(host.commands) == 2)
     for connection in host.connections:
         connection.transport.write(b"*1\r\n$2\r\nok\r\n")
-    assert await holder.replied() == await late.replied() == [b"ok"]
+    assert await busy.replied() == await late.replied() == [b"ok"]
     assert await asyncio.wait_for(process.wait(), 10) == 0
-    assert holder.closed and late.closed
+    assert busy.closed and late.closed
 
 
 @asyncio_test
@@ -612,15 +612,15 @@
 @asyncio_test
 async def test_exception_in_the_decision_module_does_not_stop_gossip():
     rig = Rig(await FakeHost("a").listen())
-    turns = []
+    ticks = []
 
-    def turn():
-        turns.append(rig.loop.time())
+    def tick():
+        ticks.append(rig.loop.time())
         rig.driver.gateway.actions.append(api.SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._turn = turn
-    await until(lambda: len(turns) >= 3)
+    rig.driver.gateway._turn = tick
+    await until(lambda: len(ticks) >= 3)
 
 
 @asyncio_test
@@ -634,7 +634,7 @@
     pause = client.pause_writing
     client.transport.set_write_buffer_limits(high=1024)
     client.pause_writing = lambda: (paused.append(True), pause())
-    # A few commands a turn are carried out: what the sockets hold on the way has to be small.
+    # Few commands are executed per loop iteration, so the socket buffers must be small.
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     caller.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     pings = 0
@@ -650,7 +650,7 @@
 
 @asyncio_test
 async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
-    """The loop is behind: when one more comes, requests of those idle longest were sent, but not read yet."""
+    """With event loop lag, requests of the clients idle longest may be unread when an eviction is due."""
     rig = Rig(await FakeHost("a").listen())
     asked = await rig.caller()
     address = asked.transport.get_extra_info("peername")
@@ -658,15 +658,13 @@
         await until(lambda: len(rig.clients.open) == 3)
         spare = await rig.caller()
         await until(lambda: len(rig.clients.open) == 4)
-        asked.call()  # so that the others are idle longer
+        asked.call()  # so that the others have been idle longer
         await asked.replied()
         rig.clients.max_connections = 4
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
-        rig.clients.connection_opened(
-            list(rig.clients.open)[-1]
-        )  # in the same moment: nothing is read in between
+        rig.clients.connection_opened(list(rig.clients.open)[-1])  # at once: nothing is read in between
         for idle in (first, second):
             assert await asyncio.wait_for(rig.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
         await until(lambda: spare.closed)
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -1,6 +1,6 @@
-"""Connections to hosts at rare moments: what comes while nobody looks, what may not go out any more.
+"""Races on connections to hosts: unread input on idle ones, attempts that must not be sent any more.
 
-Hosts and clients are plain sockets here, so that the loop stands still until a test lets it run."""
+Hosts and clients are plain sockets, so that the event loop does not run until a test lets it."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 def wait_readable(fd: int) -> None:
-    """The kernel has it: nothing has to run for that but the other end's send."""
+    """Wait until the kernel has received data or a close, without running the event loop."""
     look = select.poll()
     look.register(fd, select.POLLIN | select.POLLRDHUP)
     assert look.poll(5_000)
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Close a socket with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class PlainHost(FakeHost):
-    """A listening socket that does what the test does."""
+    """A listening socket whose connections the test itself reads and writes."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
@@ -51,7 +51,7 @@
 
 
 async def receive_command(sock: socket.socket) -> list[bytes]:
-    """The next one that comes whole."""
+    """Read the next complete command."""
     reader = hiredis.Reader()
     while (words := reader.gets()) is False:
         data = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), 5)
@@ -73,8 +73,8 @@
 @pytest.mark.parametrize("left", LEFTOVERS)
 @asyncio_test
 async def test_idle_connection_with_unread_input_is_not_reused(left, kind):
-    """The request comes first and what the host left behind it, both before the loop looks again: it was sent
-    on that connection, and lost for nothing, or answered with what belonged to another."""
+    """A request and the host's leftover input both arrive before the loop polls again. The request was sent on
+    that connection and lost, or answered with another request's response."""
     host = PlainHost("a")
     rig = Rig(host)
     caller = await rig.caller()
@@ -86,7 +86,7 @@
     (connection,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
     client = next(iter(rig.clients.open))
-    caller.call(kind, number=b"two")  # goes to the kernel at once
+    caller.call(kind, number=b"two")  # passed to the kernel at once
     wait_readable(client.transport.get_extra_info("socket").fileno())
     LEFTOVERS[left](first)
     wait_readable(connection.transport.get_extra_info("socket").fileno())
@@ -99,8 +99,7 @@
 
 @asyncio_test
 async def test_late_duplicate_response_is_not_matched_to_the_next_request():
-    """The next request came at once and went out on the same connection, where the answer to the one before
-    came once more."""
+    """The next request followed at once on the same connection, and the duplicate response arrived there."""
     host = PlainHost("a")
     rig = Rig(host)
     caller = await rig.caller()
@@ -121,7 +120,7 @@
 
 @asyncio_test
 async def test_no_attempt_starts_after_the_final_answer():
-    """One attempt waits for its connection while another of the same request is served."""
+    """One attempt waits for a connection while another attempt of the same request is served."""
     slow, quick = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(slow, quick, permissions=SITE["permissions"] | {"cancel": False, "connectTimeout": 5_000_000})
     gate, caller = Gate(rig, slow.port), await rig.caller()
@@ -134,14 +133,15 @@
     gate.open()
     await until(lambda: slow.connections and not rig.hosts.pools[b"a"].opening)
     assert rig.driver.stats["attempt_not_connected"] == 1
-    caller.call(number=b"id2")  # whatever was to come before it has come
+    caller.call(number=b"id2")  # anything sent earlier arrives before it
     await caller.replied(2)
     assert [command[2] for command in slow.commands] == [b"id2"]
 
 
 @asyncio_test
 async def test_queued_attempts_reuse_cooled_down_connections_before_opening_new_ones():
-    """A new one for each request that came within the cooldown cost a host a handshake, and a fifth more."""
+    """Opening a connection for each request within the cooldown cost hosts a handshake, and a fifth more
+    connections."""
     host = PlainHost("a")
     rig = Rig(host)
     caller, pool = await rig.caller(), rig.hosts.pools[b"a"]
@@ -171,7 +171,7 @@
 
 
 class Gate:
-    """Connections to a port come up once it is open."""
+    """Delays connecting to a port until it is opened."""
 
     def __init__(self, rig: Rig, port: int) -> None:
         self.loop, self.port, self.gate = rig.hosts.loop, port, asyncio.Event()
@@ -194,19 +194,19 @@
 @pytest.mark.parametrize("kind", ["read", "bill"])
 @asyncio_test
 async def test_connection_established_at_its_timeout_is_used(kind):
-    """The loop stood still from before the time until after it, and then closed the connection without a word
-    to anyone: the request on it was never answered, and its socket counted until then."""
+    """When the loop was blocked across the connect timeout, the connection was closed without reporting it:
+    its request was never answered, and it stayed in the connection count."""
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=SITE["permissions"] | {"connectTimeout": 50_000})
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
     up = pool.connected
 
-    def held(connection):
+    def block_loop(connection):
         up(connection)
         time.sleep(0.1)
 
-    pool.connected = held
+    pool.connected = block_loop
     caller.call(kind)
     assert await caller.replied() == [b"ok"]
     await until(lambda: pool.idle)
@@ -249,7 +249,7 @@
     try:
         sock, _ = host.listener.accept()
     except OSError:
-        return  # it never came there
+        return  # no connection was established
     sock.setblocking(False)
     with contextlib.suppress(BlockingIOError, ConnectionResetError):
         assert sock.recv(64) == b""
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("early", [b"*1\r\n$2\r\nok\r\n", b"*1\r\n$2\r", b"-ERR failed\r\n", b"+OK\r\n"])
 @asyncio_test
 async def test_input_before_a_request_is_fully_sent_is_not_its_response(early):
-    """A host can't have served what it has not got; since its last byte never leaves, it never runs."""
+    """A host cannot have served a request that it has not received; it is never executed."""
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
@@ -266,11 +266,11 @@
     pool = rig.hosts.pools[b"a"]
     up = pool.connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    pool.connected = narrow
+    pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
@@ -293,7 +293,7 @@
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
 async def test_response_truncated_at_any_byte_is_not_accepted(end):
-    """An unsafe request is failed and not sent again; a whole answer counts whatever comes behind it."""
+    """An unsafe request fails without a retry; a complete response counts whatever follows it."""
     data = b"*3\r\n$5\r\nfresh\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
     for cut in range(len(data) + 1):
         host = PlainHost("a")
@@ -318,7 +318,7 @@
 
 @asyncio_test
 async def test_no_retry_is_sent_after_the_repeat_window():
-    """It was decided on within the window and sent when the connection was there."""
+    """It was decided on within the window, but sent later, when its connection was established."""
     classes = [dict(cls, dedupWindow=300_000) for cls in SITE["classes"]]
     first, second = await FakeHost("a").listen(), await FakeHost("b").listen()
     first.script = lambda command: b"reset"
@@ -328,14 +328,14 @@
     caller = await rig.caller()
     ended, feed = [], rig.driver.feed
 
-    def told(event):
+    def feed_and_update_list(event):
         if isinstance(event, api.AttemptEnded):
             ended.append(event)
-            if len(ended) == 1:  # before it is decided on: only the other host is left
+            if len(ended) == 1:  # before the retry is decided on: only the other host is left
                 feed(api.ServerListed(api.ListKind.CHANGES, 3, entries(rig, first, second)))
         feed(event)
 
-    rig.driver.feed = told
+    rig.driver.feed = feed_and_update_list
     caller.call("put", wait=3000)
     await until(lambda: rig.hosts.pools[b"b"].waiting)
     sent = rig.loop.time()
@@ -356,7 +356,7 @@
 
 @asyncio_test
 async def test_connections_are_counted_once_on_every_path():
-    """Hosts that refuse, reset, end and answer under many requests: in the end only idle ones are counted."""
+    """Hosts refuse, reset, close and answer under many requests; afterwards only idle connections count."""
     hosts = [await FakeHost(name).listen() for name in "abcd"]
     replies = [b"reset", b"-BUSY\r\n", b"-ERR failed\r\n", ANSWER, ANSWER + STALE, b"$5\r\nodd"]
     for place, host in enumerate(hosts):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Large values, up to 4 MiB: answers that stream, requests that are kept, and what they may take."""
+"""Large values, up to 4 MiB: streamed responses, buffered uploads, and their memory limit."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
     "data",
     [
         b"*5\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (LARGE_VALUE_BYTES_MAX + 1),
-        b"*5\r\n" + b"$1\r\nx\r\n" * 3 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the place for one
-        b"*6\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the last
+        b"*5\r\n" + b"$1\r\nx\r\n" * 3 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not at large_index
+        b"*6\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the last value
         b"$%d\r\n" % (3 * VALUE_BYTES_MAX),
         b"*5\r\n"
         + b"$1\r\nx\r\n" * 4
@@ -74,7 +74,7 @@
 
 @asyncio_test
 async def test_large_response_is_streamed_and_its_connection_reused(monkeypatch):
-    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
+    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -104,7 +104,7 @@
     for cut in (1, 5, 7, 12, 14, 200, 100_000, len(BIG) + 13, len(BIG) + 15, len(data)):
         host.connections[0].transport.write(data[at:cut])
         at = cut
-        await asyncio.sleep(0.06)  # longer than its deadline in all: that does not run any more
+        await asyncio.sleep(0.06)  # in total longer than the deadline, which no longer applies
         if cut == 200:
             first = b"$%d\r\n" % len(BIG) + BIG[: 200 - 14]
             assert await reader.readexactly(len(first)) == first
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
 async def test_truncated_large_response_is_never_taken_for_complete(end, rest):
-    """Where only the figures behind the value were missing, it did."""
+    """It was when only the metadata behind the value was missing."""
     value = BIG[:70_000]
     data = answer(value, rest) if rest else b"*1\r\n$%d\r\n%b\r\n" % (len(value), value)
     head, tail = data.index(value), data.index(value) + len(value)
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("wrong", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
 @asyncio_test
 async def test_malformed_large_response_behind_another_fails_alone(wrong):
-    """It took the connection along, and with it the request before it, which was still to be answered."""
+    """It closed the connection, and with it the earlier request that was still unanswered."""
     host = await FakeHost("a").listen()
     first = []
     spoilt = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], wrong + b"\r\n" + b"x" * 70_000)
@@ -232,7 +232,7 @@
     assert rig.hosts.streams
     sock.close()
     await until(lambda: not rig.hosts.streams and not rig.hosts.sockets)
-    assert not rig.driver.stats["stream_broken"]  # the host did not
+    assert not rig.driver.stats["stream_broken"]  # counts only streams that a host broke off
 
 
 @asyncio_test
@@ -245,7 +245,7 @@
     caller = await rig.caller()
     (client,) = await asyncio.sleep(0.05) or rig.clients.open
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    client.transport.set_write_buffer_limits(high=1_000, low=0)  # it is seldom empty
+    client.transport.set_write_buffer_limits(high=1_000, low=0)  # so that it rarely drains
     caller.call(wait=2000)
     for _ in range(40):
         caller.transport.pause_reading()
@@ -287,7 +287,7 @@
         caller.transport.write(post(BIG, b"id%d" % number)[:-10])
     await until(lambda: len(rig.clients.upload_memory.waiting) == 4)
     assert rig.clients.upload_memory.free == 1
-    callers[5].transport.close()  # one that waits leaves, and one that has room
+    callers[5].transport.close()  # one that waits for memory disconnects, and one that holds some
     callers[0].transport.close()
     for number, caller in enumerate(callers[1:5], 1):
         caller.transport.write(post(BIG, b"id%d" % number)[-10:])
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -1,8 +1,8 @@
-"""Every request that is taken on has one timer that ends it no later than its time, whatever happens.
+"""Every accepted request is answered exactly once and by its deadline, whatever happens.
 
-The gateway's own parts run in virtual time over random events: clients that are cut anywhere, send junk,
-don't read or leave; hosts that come up late or never, answer in part, wrongly, twice or not at all; lists
-that change; a loop that is behind."""
+The driver and the connections run in virtual time over random events: clients that send partial commands or
+junk, do not read or disconnect; hosts that connect late or never, answer partially, wrongly, twice or not at
+all; updates of the host list; event loop lag."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from saffrongw.driver import Driver
 from saffrongw.hosts import Connection, Hosts, Stage
 
-EVENTS = 400
-BEHIND = 0.2  # seconds that the loop may be behind
+EVENTS_PER_SEED = 400
+LOOP_LAG_MAX = 0.2  # seconds
 KINDS = (b"read", b"put", b"bill")
 COVERED: Counter[str] = Counter()
 
 
 class Timer:
-    """A call that is due."""
+    """A scheduled callback."""
 
     def __init__(self, when: float, call: Callable, words: tuple) -> None:
         self.when, self.call, self.words, self.pending = when, call, words, True
@@ -41,7 +41,7 @@
 
 
 class Loop:
-    """A clock of its own; connections are begun, and come up or not as the test likes."""
+    """An event loop in virtual time; the test decides when connections are established or fail."""
 
     def __init__(self) -> None:
         self.now, self.timers, self.opening = 100.0, [], []
@@ -63,7 +63,7 @@
         return Timer(0.0, lambda: None, ())
 
     def run(self, until: float) -> None:
-        """All that is due by then, in its order."""
+        """Run all callbacks that are due by then, in order."""
         while due := [timer for timer in self.timers if timer.pending and timer.when <= until]:
             first = min(due, key=lambda timer: timer.when)
             first.pending = False
@@ -76,7 +76,7 @@
 class Wire:
     """A transport whose other end is the test."""
 
-    quiet = socket.socketpair()  # nothing ever waits in it
+    quiet = socket.socketpair()  # never readable
 
     def __init__(self, loop: Loop, protocol: Client | Connection) -> None:
         self.loop, self.protocol, self.closing, self.unsent, self.sent = loop, protocol, False, 0, b""
@@ -104,13 +104,13 @@
         return self.quiet[0]
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """It is all one here."""
+        """Ignored."""
 
     pause_reading = resume_reading = lambda self: None
 
 
 class World:
-    """One gateway with its clients and hosts, and what each request that it took on came to."""
+    """One gateway with its clients and hosts, and the answers to each request that it accepted."""
 
     def __init__(self, seed: int) -> None:
         self.loop, self.random, self.numbers = Loop(), random.Random(seed), itertools.count(1)
@@ -123,46 +123,46 @@
         permissions = SITE["permissions"] | {"cancel": seed % 2 == 0, "secondCopies": seed % 3 == 0}
         text |= {"limits": {"sockets": 24}, "settings": SITE | {"permissions": permissions}}
         text |= {"known": {"seq": 1, "whole": True, "hosts": self.lines}}
-        made = config.parse(json.dumps(text))
-        self.driver = Driver(made.settings, made.seed, self.loop)
+        parsed_config = config.parse(json.dumps(text))
+        self.driver = Driver(parsed_config.settings, parsed_config.seed, self.loop)
         self.started = self.driver.gateway.filled
         self.driver.clock = lambda: self.started + round((self.loop.now - 100.0) * 1e6)
         self.hosts = self.driver.hosts = Hosts(self.driver, (), 24, 2.0, 0.25)
-        self.driver.start(made.known)
-        self.clients = Clients(self.driver, made, 12)
+        self.driver.start(parsed_config.known)
+        self.clients = Clients(self.driver, parsed_config, 12)
         self.clients._sweep()
-        self.zones = made.zones
+        self.zones = parsed_config.zones
         self.answers: dict[Call, list[float]] = {}
         self.gone: set[Call] = set()
         self.behind = 0.0
         arrived, client_gone = self.driver.accept_request, self.driver.client_gone
 
-        def taken(terms, parts, answer, sink=None) -> Call:
+        def record_accepted(terms, parts, answer, sink=None) -> Call:
             times: list[float] = []
             call = arrived(terms, parts, lambda reply: (times.append(self.loop.now), answer(reply)), sink)
             self.answers[call] = times
             return call
 
-        def left(call: Call, unseen: float = 0.0) -> None:
+        def record_gone(call: Call, seconds_unobserved: float = 0.0) -> None:
             self.gone.add(call)
-            client_gone(call, unseen)
+            client_gone(call, seconds_unobserved)
 
-        self.driver.accept_request, self.driver.client_gone = taken, left
-        self.wires: list[Wire] = []  # of clients
+        self.driver.accept_request, self.driver.client_gone = record_accepted, record_gone
+        self.client_wires: list[Wire] = []  # of clients
         self.to_send: dict[Wire, bytes] = {}
-        self.links: list[Wire] = []  # to hosts
+        self.host_wires: list[Wire] = []  # to hosts
 
     # -- what clients do
 
-    def client_comes(self) -> None:
+    def client_connects(self) -> None:
         client = Client(self.clients)
         wire = Wire(self.loop, client)
         client.connection_made(wire)
-        self.wires.append(wire)
+        self.client_wires.append(wire)
         self.to_send[wire] = b""
 
     def client_sends(self) -> None:
-        if wire := self._one([wire for wire in self.wires if not wire.closing]):
+        if wire := self._one([wire for wire in self.client_wires if not wire.closing]):
             while len(self.to_send[wire]) < 200:
                 self.to_send[wire] += self._command()
             cut = self.random.choice((1, 7, 60, 200, 10_000))
@@ -170,10 +170,10 @@
             wire.protocol.data_received(piece)
 
     def _command(self) -> bytes:
-        odd = self.random.random()
-        if odd < 0.02:
+        draw = self.random.random()
+        if draw < 0.02:
             return self.random.choice((b"GET / HTTP/1.1\r\n\r\n", b"*3000000000\r\n", b"$4\r\nabcdef"))
-        if odd < 0.1:
+        if draw < 0.1:
             return self.random.choice((b"*1\r\n$4\r\nPING\r\n", b"*2\r\n$1\r\na\r\n$1\r\nb\r\n"))
         kind = self.random.choice(KINDS)
         wait = self.random.choice((20, 200, 900, 3000))
@@ -183,28 +183,28 @@
             return hiredis.pack_command((b"CALL.GET", *words))
         return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
 
-    def client_leaves(self) -> None:
-        if wire := self._one([wire for wire in self.wires if not wire.closing]):
+    def client_disconnects(self) -> None:
+        if wire := self._one([wire for wire in self.client_wires if not wire.closing]):
             wire.abort(self.random.choice((None, ConnectionResetError())))
 
-    def client_does_not_read(self) -> None:
-        if wire := self._one([w for w in self.wires if not w.closing and not w.unsent]):
+    def client_stops_reading(self) -> None:
+        if wire := self._one([w for w in self.client_wires if not w.closing and not w.unsent]):
             wire.unsent = 70_000
             wire.protocol.pause_writing()
 
-    def client_reads_again(self) -> None:
-        if wire := self._one([wire for wire in self.wires if not wire.closing and wire.unsent]):
+    def client_resumes_reading(self) -> None:
+        if wire := self._one([wire for wire in self.client_wires if not wire.closing and wire.unsent]):
             wire.unsent = 0
             wire.protocol.resume_writing()
 
     # -- what hosts do
 
-    def connection_comes_up(self) -> None:
+    def connection_is_established(self) -> None:
         if self.loop.opening:
             link = self.loop.opening.pop(self.random.randrange(len(self.loop.opening)))
             wire = Wire(self.loop, link)
             link.connection_made(wire)
-            self.links.append(wire)
+            self.host_wires.append(wire)
 
     def connection_is_refused(self) -> None:
         if self.loop.opening:
@@ -212,9 +212,9 @@
             link.pool.connect_failed(link)
 
     def host_answers(self) -> None:
-        if wire := self._one([wire for wire in self.links if not wire.closing]):
+        if wire := self._one([wire for wire in self.host_wires if not wire.closing]):
             good = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
-            odd = [
+            bad_replies = [
                 b"-BUSY\r\n",
                 b"-ERR failed\r\n",
                 good[:9],
@@ -222,13 +222,15 @@
                 b"+x\r\n",
                 good.replace(b"ok", b"okok"),
             ]
-            wire.protocol.data_received(good if self.random.random() < 0.6 else self.random.choice(odd))
+            wire.protocol.data_received(
+                good if self.random.random() < 0.6 else self.random.choice(bad_replies)
+            )
 
     def host_resets(self) -> None:
-        if wire := self._one([wire for wire in self.links if not wire.closing]):
+        if wire := self._one([wire for wire in self.host_wires if not wire.closing]):
             wire.abort(ConnectionResetError())
 
-    def list_changes(self) -> None:
+    def host_list_changes(self) -> None:
         health = self.random.choice(("SERVING", "SERVING", "DRAINING", "DELETED"))
         line = self.random.choice(self.lines) | {"health": health}
         raw = {"seq": next(self.numbers), "whole": False, "hosts": [line]}
@@ -237,17 +239,17 @@
     def time_passes(self) -> None:
         self.loop.run(self.loop.now + self.random.choice((0.0, 0.001, 0.02, 0.2)))
 
-    def loop_is_behind(self) -> None:
-        """Time has gone by, and nothing that was due has run yet."""
-        self.loop.now += self.random.random() * BEHIND
+    def loop_lags(self) -> None:
+        """Let time pass without running the callbacks that are due."""
+        self.loop.now += self.random.random() * LOOP_LAG_MAX
 
     def _one(self, some: list) -> Wire | None:
         return self.random.choice(some) if some else None
 
-    # -- what is owed
+    # -- invariants
 
     def check(self) -> None:
-        """Each request without its answer has its one timer, due by its time; each attempt one owner."""
+        """Each unanswered request has a timer due by its deadline; each open attempt has an owner."""
         for call in self.driver.calls.values():
             if not call.finished:
                 until = (call.deadline - self.started) / 1e6 + 100.0
@@ -263,25 +265,25 @@
             COVERED["waiting, cools down"] += len(pool.waiting) > pool.opening
 
     def _has_owner(self, attempt: Attempt) -> bool:
-        """Whether an attempt without its end is on a connection, or waits for one."""
+        """Whether an open attempt is on a connection, or queued for one."""
         if isinstance(attempt.carrier, Connection):
             return attempt.carrier.stage is Stage.BUSY and attempt.carrier.attempt is attempt
         return attempt in attempt.carrier.waiting
 
 
-WHAT = {
-    World.client_comes: 4,
+EVENT_WEIGHTS = {
+    World.client_connects: 4,
     World.client_sends: 20,
-    World.client_leaves: 2,
-    World.client_does_not_read: 1,
-    World.client_reads_again: 2,
-    World.connection_comes_up: 10,
+    World.client_disconnects: 2,
+    World.client_stops_reading: 1,
+    World.client_resumes_reading: 2,
+    World.connection_is_established: 10,
     World.connection_is_refused: 1,
     World.host_answers: 10,
     World.host_resets: 1,
-    World.list_changes: 1,
+    World.host_list_changes: 1,
     World.time_passes: 10,
-    World.loop_is_behind: 1,
+    World.loop_lags: 1,
 }
 
 
@@ -289,11 +291,11 @@
 def test_every_request_is_answered_once_and_in_time_under_random_events(seeds):
     for seed in seeds:
         world = World(seed)
-        for _ in range(EVENTS):
-            (event,) = world.random.choices(list(WHAT), WHAT.values())
+        for _ in range(EVENTS_PER_SEED):
+            (event,) = world.random.choices(list(EVENT_WEIGHTS), EVENT_WEIGHTS.values())
             event(world)
             world.check()
-        world.loop.run(world.loop.now + 20.0)  # nothing comes any more
+        world.loop.run(world.loop.now + 20.0)  # no more events: everything ends by its timers
         assert world.driver.calls == world.driver.gateway.requests == world.driver.gateway.attempts == {}
         assert world.hosts.sockets == sum(len(pool.idle) for pool in world.hosts.pools.values())
         for call, times in world.answers.items():
@@ -301,7 +303,7 @@
             COVERED["gone" if call in world.gone else "answered"] += 1
             for at in times:
                 late = at - ((call.deadline - world.started) / 1e6 + 100.0)
-                assert late <= BEHIND + 0.0021, (seed, call)
+                assert late <= LOOP_LAG_MAX + 0.0021, (seed, call)
                 COVERED["at its last moment"] += late > -0.001
     assert all(COVERED[what] for what in ("gone", "answered", "waiting, sent", "waiting, not sent"))
     assert COVERED["at its last moment"] and COVERED["waiting, cools down"]
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The guard before the RESP parser: what is read stays as it was, however it is cut."""
+"""The RESP reader: values are the same whatever the segmentation, and invalid framing is an error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def read(chunks) -> tuple[list, bool]:
-    """The values of these bytes, and whether the framing was lost."""
+    """The values parsed from these chunks, and whether a protocol error was raised."""
     reader, values = Reader(100), []
     try:
         for chunk in chunks:
