--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -61,11 +61,11 @@
 
 
 LEFTOVERS = {
-    "an end": lambda sock: sock.close(),
+    "a close": lambda sock: sock.close(),
     "a reset": reset,
     "half a line": lambda sock: sock.sendall(b"*1\r\n$5"),
-    "a second answer": lambda sock: sock.sendall(STALE),
-    "an answer and an end": lambda sock: (sock.sendall(STALE), sock.close()),
+    "a duplicate response": lambda sock: sock.sendall(STALE),
+    "a response and a close": lambda sock: (sock.sendall(STALE), sock.close()),
 }
 
 
@@ -73,8 +73,8 @@
 @pytest.mark.parametrize("left", LEFTOVERS)
 @asyncio_test
 async def test_idle_connection_with_unread_input_is_not_reused(left, kind):
-    """A request and the host's leftover input both arrive before the loop polls again. The request was sent on
-    that connection and lost, or answered with another request's response."""
+    """A request and the host's leftover input both arrive before the loop polls again. The request was sent
+    on that connection and lost, or answered with another request's response."""
     host = PlainHost("a")
     rig = Rig(host)
     caller = await rig.caller()
@@ -217,9 +217,9 @@
 
 CONNECT_OUTCOMES = {
     "refused": lambda rig, host, gate: (host.listener.close(), gate.open()),
-    "too late": lambda rig, host, gate: None,
+    "timed out": lambda rig, host, gate: None,
     "gone while it opens": lambda rig, host, gate: rig.told(host.line("DELETED")),
-    "gone in the turn in which it comes up": lambda rig, host, gate: (
+    "gone in the loop iteration in which it opens": lambda rig, host, gate: (
         gate.open(),
         rig.told(host.line("DELETED")),
     ),
@@ -243,7 +243,7 @@
     if end != "client gone":
         assert error((await caller.replied())[0]).startswith("BUSY")
     await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
-    if end != "too late":
+    if end != "timed out":
         await until(lambda: gate.under_way == 0)
     await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
     try:
