--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -310,9 +310,8 @@
 
     def _accept_request(self, terms: Terms, parts: tuple[bytes | Body, ...], body_bytes: int = 0) -> None:
         """Pass a complete request on or refuse it; its body holds ``body_bytes`` of upload memory."""
-        if (
-            self.is_surplus and len(self.clients.open) > self.clients.max_connections
-        ):  # keeps descriptors free; the request was not executed
+        # Keeps descriptors free; the request is refused as not executed.
+        if self.is_surplus and len(self.clients.open) > self.clients.max_connections:
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
             return self._reply(b"-BUSY 1000\r\n", body_bytes)
--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -67,10 +67,11 @@
                 self.driver.stats["client_evicted"] += 1
                 idle.half_close()
         self.open[client] = None
+        # Half-closed connections still hold descriptors.
         if (
             self.half_closed
             and len(self.open) + len(self.half_closed) > self.max_connections + SURPLUS_CONNECTIONS_MAX
-        ):  # half-closed connections still hold descriptors
+        ):
             next(iter(self.half_closed)).transport.abort()
         return len(self.open) - self.max_connections
 
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -27,9 +27,8 @@
 # The client's deadline runs from when it sent the request, so the answer must leave this much earlier.
 REPLY_MARGIN = 10 * MS
 FAILED_REPLY = b"-ERR failed\r\n"
-CLIENT_GONE_TOLERANCE = (
-    300 * MS
-)  # for which a request may still be sent while its client's close is unnoticed
+# Requests sent to a host up to this long after their client's close, before it was noticed, are not counted.
+CLIENT_GONE_TOLERANCE = 300 * MS
 
 
 class Hosts(Protocol):
@@ -263,11 +262,11 @@
             actions = self.gateway.handle(self.clock(), event)
         except Exception:  # a fault in the decision module must not fail the other requests in flight
             log.exception("decisions_failed", topic=event.topic)
-            number = event.token - 1 if isinstance(event, api.TimerFired) else getattr(event, "request", 0)
-            call = self.calls.get(number)
+            request = event.token - 1 if isinstance(event, api.TimerFired) else getattr(event, "request", 0)
+            call = self.calls.get(request)
             if call is not None and not call.finished:
                 self._finish(call, FAILED_REPLY)
-                self.pending_events.append(api.ClientGone(number))
+                self.pending_events.append(api.ClientGone(request))
             # Keep the timers: gossip rearms its own before anything that may raise.
             actions = [action for action in self.gateway.actions if isinstance(action, api.SetTimer)]
         self._execute(actions)
@@ -298,7 +297,7 @@
         queued_events, self.pending_events = self.pending_events, deque()
         self.frozen = False
         for call in unsent:
-            self.feed(api.ClientGone(call.event.request))  # the module here drops it, if it knows it
+            self.feed(api.ClientGone(call.event.request))  # this process's module forgets it
             self._relay(call)
         for event in queued_events:
             if not isinstance(event, api.RequestArrived):
@@ -312,9 +311,9 @@
         call.is_relayed = True
         return self.successor.forward_request(call)
 
-    def answer_relayed(self, number: int, reply: bytes) -> None:
+    def answer_relayed(self, request: int, reply: bytes) -> None:
         """Answer a relayed request with the successor's reply, or with an error if the successor has gone."""
-        call = self.calls.get(number)
+        call = self.calls.get(request)
         if call is not None and call.is_relayed:
             self._finish(call, reply)
 
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -502,8 +502,8 @@
     rig = Rig(host, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)])
     caller = await rig.caller()
     spent, other = [
-        hiredis.pack_command((b"CALL.GET", who, b"id", TERMS % (b"read", 2000)))
-        for who in (b"0000000000000007", b"0000000000000008")
+        hiredis.pack_command((b"CALL.GET", customer, b"id", TERMS % (b"read", 2000)))
+        for customer in (b"0000000000000007", b"0000000000000008")
     ]
     caller.transport.write(spent * 3 + other + spent + other)
     replies = [str(reply).split()[0] for reply in await caller.replied(6)]
@@ -528,16 +528,16 @@
 
         async def ask() -> None:
             """Send requests as another client, whose connection may be evicted between two of them."""
-            neighbour = await service.caller()
+            other_client = await service.caller()
             while not over.is_set():
                 descriptors.append(len(os.listdir(folder)))
-                if neighbour.closed:
-                    neighbour = await service.caller()
+                if other_client.closed:
+                    other_client = await service.caller()
                 else:
-                    neighbour.call(number=b"n%d" % len(descriptors))
-                    await until(lambda who=neighbour: who.replies or who.closed)
-                    replies.extend(neighbour.replies)
-                    neighbour.replies.clear()
+                    other_client.call(number=b"n%d" % len(descriptors))
+                    await until(lambda client=other_client: client.replies or client.closed)
+                    replies.extend(other_client.replies)
+                    other_client.replies.clear()
 
         async def rest(words: bytes) -> float:
             """Connect and stall; returns the seconds until the gateway closes the connection."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "command",
     [
         [b"CALL.PUT", b"0000000000000007", b"id", b"c=read,t=team,d=99,units=1,spread=2,first=0"],
         [b"CALL.GET", b"0000000000000007", b"id"],
@@ -276,10 +276,10 @@
     ],
 )
 @asyncio_test
-async def test_malformed_commands_get_an_error_and_reach_no_host(words):
+async def test_malformed_commands_get_an_error_and_reach_no_host(command):
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
-    caller.ask(*words)
+    caller.ask(*command)
     caller.ask(b"PING")  # the connection is kept
     replies = await caller.replied(2)
     assert error(replies[0]).startswith("ERR")
@@ -416,10 +416,10 @@
     rig = Rig(host)
     silent, partial, dripping, idle, waiting = [await rig.caller() for _ in range(5)]
     begun = rig.loop.time()
-    words = hiredis.pack_command((b"PING",))
-    idle.transport.write(words)
+    ping = hiredis.pack_command((b"PING",))
+    idle.transport.write(ping)
     waiting.call("bill", wait=10_000)
-    partial.transport.write(words + words[:6])
+    partial.transport.write(ping + ping[:6])
     for byte in hiredis.pack_command((b"CALL.GET", b"0" * 100)):
         dripping.transport.write(bytes((byte,)))
         await asyncio.sleep(0.05)
@@ -521,13 +521,13 @@
     rig = Rig(await FakeHost("a").listen())
     rig.clients.max_connections = 1
     caller = await rig.caller()
-    words = hiredis.pack_command((b"PING",))
-    caller.transport.write(words + words[:4])
+    ping = hiredis.pack_command((b"PING",))
+    caller.transport.write(ping + ping[:4])
     await caller.replied()
     other = await rig.caller()
     other.call()
     assert error((await other.replied())[0]) == "BUSY 1000"
-    caller.transport.write(words[4:])
+    caller.transport.write(ping[4:])
     assert await caller.replied(2) == [b"PONG", b"PONG"]
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -79,10 +79,10 @@
     rig = Rig(host)
     caller = await rig.caller()
     host.script = lambda command: answer(BIG) if command[2] == b"big" else answer(b"small")
-    for turn in range(3):
+    for round_number in range(3):
         caller.call(number=b"big")
         caller.call(number=b"other")
-        assert await caller.replied(2 * turn + 2) == [BIG, b"small"] * (turn + 1)
+        assert await caller.replied(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
         await until(lambda: not rig.hosts.streams)
     assert rig.driver.stats["streamed"] == 3 and rig.hosts.streams == {}
     assert len(host.connections) == rig.hosts.sockets <= 2
@@ -165,14 +165,14 @@
         caller.transport.close()
 
 
-@pytest.mark.parametrize("wrong", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
+@pytest.mark.parametrize("suffix", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
 @asyncio_test
-async def test_malformed_large_response_behind_another_fails_alone(wrong):
+async def test_malformed_large_response_behind_another_fails_alone(suffix):
     """It closed the connection, and with it the earlier request that was still unanswered."""
     host = await FakeHost("a").listen()
     first = []
-    spoilt = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], wrong + b"\r\n" + b"x" * 70_000)
-    host.script = lambda command: first.append(host.sender) if command[2] == b"one" else spoilt
+    malformed = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], suffix + b"\r\n" + b"x" * 70_000)
+    host.script = lambda command: first.append(host.sender) if command[2] == b"one" else malformed
     rig = Rig(host)
     caller = await rig.caller()
     caller.call(number=b"one")
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -33,8 +33,8 @@
 class Timer:
     """A scheduled callback."""
 
-    def __init__(self, when: float, call: Callable, words: tuple) -> None:
-        self.when, self.call, self.words, self.pending = when, call, words, True
+    def __init__(self, when: float, call: Callable, args: tuple) -> None:
+        self.when, self.call, self.args, self.pending = when, call, args, True
 
     def cancel(self) -> None:
         self.pending = False
@@ -49,13 +49,13 @@
     def time(self) -> float:
         return self.now
 
-    def call_later(self, span: float, call: Callable, *words) -> Timer:
-        timer = Timer(self.now + max(0.0, span), call, words)
+    def call_later(self, delay: float, call: Callable, *args) -> Timer:
+        timer = Timer(self.now + max(0.0, delay), call, args)
         self.timers.append(timer)
         return timer
 
-    def call_soon(self, call: Callable, *words) -> Timer:
-        return self.call_later(0.0, call, *words)
+    def call_soon(self, call: Callable, *args) -> Timer:
+        return self.call_later(0.0, call, *args)
 
     def create_task(self, coroutine) -> Timer:
         self.opening.append(coroutine.cr_frame.f_locals["self"])
@@ -68,7 +68,7 @@
             first = min(due, key=lambda timer: timer.when)
             first.pending = False
             self.now = max(self.now, first.when)
-            first.call(*first.words)
+            first.call(*first.args)
         self.timers = [timer for timer in self.timers if timer.pending]
         self.now = max(self.now, until)
 
@@ -162,7 +162,7 @@
         self.to_send[wire] = b""
 
     def client_sends(self) -> None:
-        if wire := self._one([wire for wire in self.client_wires if not wire.closing]):
+        if wire := self._pick([wire for wire in self.client_wires if not wire.closing]):
             while len(self.to_send[wire]) < 200:
                 self.to_send[wire] += self._command()
             cut = self.random.choice((1, 7, 60, 200, 10_000))
@@ -178,22 +178,22 @@
         kind = self.random.choice(KINDS)
         wait = self.random.choice((20, 200, 900, 3000))
         terms = b"c=%b,t=team,d=%d,k=x,units=1,spread=2,first=0" % (kind, wait)
-        words = (b"%016x" % self.random.randrange(9), b"id%d" % next(self.numbers), terms)
+        values = (b"%016x" % self.random.randrange(9), b"id%d" % next(self.numbers), terms)
         if kind == b"read":
-            return hiredis.pack_command((b"CALL.GET", *words))
-        return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
+            return hiredis.pack_command((b"CALL.GET", *values))
+        return hiredis.pack_command((b"CALL.POST", *values, b"BODY"))
 
     def client_disconnects(self) -> None:
-        if wire := self._one([wire for wire in self.client_wires if not wire.closing]):
+        if wire := self._pick([wire for wire in self.client_wires if not wire.closing]):
             wire.abort(self.random.choice((None, ConnectionResetError())))
 
     def client_stops_reading(self) -> None:
-        if wire := self._one([w for w in self.client_wires if not w.closing and not w.unsent]):
+        if wire := self._pick([w for w in self.client_wires if not w.closing and not w.unsent]):
             wire.unsent = 70_000
             wire.protocol.pause_writing()
 
     def client_resumes_reading(self) -> None:
-        if wire := self._one([wire for wire in self.client_wires if not wire.closing and wire.unsent]):
+        if wire := self._pick([wire for wire in self.client_wires if not wire.closing and wire.unsent]):
             wire.unsent = 0
             wire.protocol.resume_writing()
 
@@ -212,7 +212,7 @@
             link.pool.connect_failed(link)
 
     def host_answers(self) -> None:
-        if wire := self._one([wire for wire in self.host_wires if not wire.closing]):
+        if wire := self._pick([wire for wire in self.host_wires if not wire.closing]):
             good = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
             bad_replies = [
                 b"-BUSY\r\n",
@@ -227,7 +227,7 @@
             )
 
     def host_resets(self) -> None:
-        if wire := self._one([wire for wire in self.host_wires if not wire.closing]):
+        if wire := self._pick([wire for wire in self.host_wires if not wire.closing]):
             wire.abort(ConnectionResetError())
 
     def host_list_changes(self) -> None:
@@ -243,8 +243,8 @@
         """Let time pass without running the callbacks that are due."""
         self.loop.now += self.random.random() * LOOP_LAG_MAX
 
-    def _one(self, some: list) -> Wire | None:
-        return self.random.choice(some) if some else None
+    def _pick(self, candidates: list) -> Wire | None:
+        return self.random.choice(candidates) if candidates else None
 
     # -- invariants
 
@@ -305,5 +305,5 @@
                 late = at - ((call.deadline - world.started) / 1e6 + 100.0)
                 assert late <= LOOP_LAG_MAX + 0.0021, (seed, call)
                 COVERED["at its last moment"] += late > -0.001
-    assert all(COVERED[what] for what in ("gone", "answered", "waiting, sent", "waiting, not sent"))
+    assert all(COVERED[case] for case in ("gone", "answered", "waiting, sent", "waiting, not sent"))
     assert COVERED["at its last moment"] and COVERED["waiting, cools down"]
