--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -1,4 +1,4 @@
-"""All client connections: the listener, who makes room for whom, and the sweep over them."""
+"""All client connections: the listener, the connection limit with eviction, and the timeout sweep."""
 
 from __future__ import annotations
 
@@ -11,101 +11,105 @@
 from .config import Config
 from .drain import Drain
 from .driver import Driver
-from .uploads import UPLOAD_MEMORY_SHARE, Room
+from .uploads import UPLOAD_MEMORY_SHARE, UploadMemory
 
-# The accept queue. A client that finds no room there may take itself for connected and hear nothing for ever.
+# Length of the accept queue. A client that overflows it may believe it is connected and wait for ever.
 LISTEN_BACKLOG = 1024
-SWEEP_INTERVAL = 0.2  # seconds between two sweeps over all connections for what is overdue
+SWEEP_INTERVAL = 0.2  # seconds between two checks of all connections' timeouts
 
 
 class Clients:
     """All client connections."""
 
-    def __init__(self, driver: Driver, config: Config, most: int) -> None:
-        self.driver, self.config, self.most = driver, config, most
-        self.open: dict[Client, None] = {}  # the one whose last request is longest ago comes first
-        self.shut: dict[Client, None] = {}  # half-closed, the one longest so first
-        self.room = Room(int(UPLOAD_MEMORY_SHARE * config.memory))
+    def __init__(self, driver: Driver, config: Config, max_connections: int) -> None:
+        self.driver, self.config, self.max_connections = driver, config, max_connections
+        self.open: dict[Client, None] = {}  # least recently used first
+        self.half_closed: dict[Client, None] = {}  # the one half-closed longest first
+        self.upload_memory = UploadMemory(int(UPLOAD_MEMORY_SHARE * config.memory))
         self.drain = Drain(self)
         self.server: asyncio.Server | None = None
-        self.accepting: set[asyncio.Task[object]] = set()  # the last connections, on their way into ``open``
+        self.accepting: set[asyncio.Task[object]] = set()  # accepted connections not yet in ``open``
 
     async def listen(self, sock: socket.socket | None = None) -> None:
-        """Serve from now on, on the listening socket of the process before this one if it gave it."""
+        """Accept connections, on ``sock`` if the predecessor process has passed its listening socket on."""
         if sock:
-            where = {"sock": sock}
-        else:  # shared: a process that hangs may still hold it
-            where = {"host": self.config.listen[0], "port": self.config.listen[1], "reuse_port": True}
+            target = {"sock": sock}
+        else:  # SO_REUSEPORT: a hung process may still hold the address
+            target = {"host": self.config.listen[0], "port": self.config.listen[1], "reuse_port": True}
         self.server = await self.driver.loop.create_server(
-            lambda: Client(self), backlog=LISTEN_BACKLOG, **where
+            lambda: Client(self), backlog=LISTEN_BACKLOG, **target
         )
         self.driver.readiness.serving = True
-        self._look()
+        self._sweep()
 
-    def _look(self) -> None:
-        """Who connects and sends nothing, or part of a command, is owed a close: its place is wanted."""
-        before = self.driver.loop.time() - COMMAND_TIMEOUT
-        for client in [*self.open, *self.shut]:
-            client.look(before)
+    def _sweep(self) -> None:
+        """Enforce the timeouts of all connections, so that stalled ones do not occupy descriptors."""
+        cutoff = self.driver.loop.time() - COMMAND_TIMEOUT
+        for client in [*self.open, *self.half_closed]:
+            client.check_timeouts(cutoff)
             client.close_if_idle()
-        self.driver.loop.call_later(SWEEP_INTERVAL, self._look)
+        self.driver.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @property
-    def is_over(self) -> bool:
-        """Whether every request has its answer and every connection is closed at both ends: what a transport
-        has still to send would end with the process."""
-        return not (self.driver.calls or self.open or self.shut or self.accepting)
+    def is_finished(self) -> bool:
+        """Whether all requests are answered and all connections are fully closed.
 
-    def opened(self, client: Client) -> int:
-        """One more, if need be in the place of the one idle longest; how many there are beyond the limit."""
+        Data that is still in a transport's write buffer would be lost if the process exited.
+        """
+        return not (self.driver.calls or self.open or self.half_closed or self.accepting)
+
+    def connection_opened(self, client: Client) -> int:
+        """Register a connection, evicting the one idle longest at the limit; returns the excess over it."""
         self.driver.stats["client_accepted"] += 1
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             idle = next((client for client in self.open if client.is_idle()), None)
             if idle:
                 self.driver.stats["client_evicted"] += 1
                 idle.half_close()
         self.open[client] = None
+        # Half-closed connections still hold descriptors.
         if (
-            self.shut and len(self.open) + len(self.shut) > self.most + SURPLUS_CONNECTIONS_MAX
-        ):  # guards descriptors
-            next(iter(self.shut)).transport.abort()
-        return len(self.open) - self.most
-
-    def shut_off(self, client: Client) -> None:
-        """It is half-closed: it makes room, but its descriptor is held for a while."""
+            self.half_closed
+            and len(self.open) + len(self.half_closed) > self.max_connections + SURPLUS_CONNECTIONS_MAX
+        ):
+            next(iter(self.half_closed)).transport.abort()
+        return len(self.open) - self.max_connections
+
+    def mark_half_closed(self, client: Client) -> None:
+        """Stop counting a half-closed connection as open; it keeps its descriptor until it is closed."""
         self.open.pop(client, None)
-        self.shut[client] = None
+        self.half_closed[client] = None
 
-    def used(self, client: Client) -> None:
-        """It has sent a request: the last to make room."""
+    def mark_used(self, client: Client) -> None:
+        """Make a connection that has sent a request the last to be evicted."""
         self.open.pop(client, None)
         self.open[client] = None
 
-    def unfinished(self) -> int:
-        """Bytes of commands that have not come whole."""
-        return sum(client.unfinished for client in self.open)
+    def unfinished_bytes(self) -> int:
+        """Total buffered bytes of unfinished commands."""
+        return sum(client.unfinished_bytes for client in self.open)
 
     def gauges(self) -> dict[str, int]:
-        """Connections by what they are doing."""
+        """Connection counts by state, for metrics."""
         return {
             "client_conns": len(self.open),
-            "client_conns_most": self.most,
-            "client_idle": sum(not c.slots and c.reader.between for c in self.open),
+            "client_conns_most": self.max_connections,
+            "client_idle": sum(not c.slots and c.reader.at_boundary for c in self.open),
             "client_slots": sum(len(c.slots) for c in self.open),
-            "client_half_closed": len(self.shut),
-            "client_unfinished": sum(not c.reader.between for c in self.open),
-            "client_unfinished_bytes": self.unfinished(),
+            "client_half_closed": len(self.half_closed),
+            "client_unfinished": sum(not c.reader.at_boundary for c in self.open),
+            "client_unfinished_bytes": self.unfinished_bytes(),
             "client_uploads": sum(c.upload is not None for c in self.open),
-            "upload_room_kb": self.room.free // 1024,
+            "upload_room_kb": self.upload_memory.free // 1024,
         }
 
     def stop_accepting(self) -> None:
-        """No new connections. Those that wait to be accepted are: with the listener they would be reset."""
-        if not self.server.sockets:  # the next process has the listener
+        """Close the listener, but first accept connections in its queue, which closing it would reset."""
+        if not self.server.sockets:  # the successor process has the listener
             return
         listener = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
         self.server.close()
-        with listener, contextlib.suppress(OSError):  # there are no more
+        with listener, contextlib.suppress(OSError):  # until the queue is empty
             listener.setblocking(False)
             while True:
                 sock, _ = listener.accept()
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -76,7 +76,7 @@
     def _close_without_request(self) -> None:
         """Close all connections without a request in flight, even within a command such as a large body."""
         for client in list(self.clients.open):
-            client.end_within()
+            client.end_unfinished_command()
 
     async def shut_down(self, accept_time: float) -> None:
         """Close idle connections, go on accepting for ``accept_time`` seconds, then finish all requests.
@@ -98,12 +98,12 @@
         commands_cut_off_at = start + accept_time + SHUTDOWN_COMMAND_TIMEOUT
         time_left = max((call.deadline for call in driver.calls.values()), default=0) - driver.clock()
         cut_off_at = loop.time() + max(0.0, time_left / 1e6) + WRITE_STALL_TIMEOUT
-        while not clients.is_over and loop.time() < cut_off_at:
+        while not clients.is_finished and loop.time() < cut_off_at:
             for client in list(clients.open):
                 client.close_if_idle()
                 if loop.time() >= commands_cut_off_at:
-                    client.end_within()
+                    client.end_unfinished_command()
             await asyncio.sleep(0.01)
-        if not clients.is_over:
-            connections = len(clients.open) + len(clients.shut)
+        if not clients.is_finished:
+            connections = len(clients.open) + len(clients.half_closed)
             log.warning("drain_cut", calls=len(driver.calls), connections=connections)
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -1,4 +1,4 @@
-"""Opening an address: at once, or once the process before this one has let it go."""
+"""Opens listening addresses: at once, or as soon as another process releases them."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 
 log = logs.get(__name__)
 
-RETRY_INTERVAL = 0.5  # seconds until an address that is taken is tried again
+RETRY_INTERVAL = 0.5  # seconds between attempts to open an address that is in use
 
 
-class NoStart(Exception):
-    """The gateway can't start; the text says why and what to change, in one line."""
+class StartupError(Exception):
+    """The gateway cannot start; the text is one line that says why and what to change."""
 
 
-def refused(what: str, address: Address, wrong: OSError) -> NoStart:
-    """What to tell of an address that can't be opened."""
+def listen_error(purpose: str, address: Address, error: OSError) -> StartupError:
+    """Describe why an address cannot be opened, and what to do about it."""
     advice = {
         errno.EADDRINUSE: "another process listens there: end it or choose another port",
         errno.EADDRNOTAVAIL: "this machine has no such address",
         errno.EACCES: "no permission: ports below 1024 need it",
-    }.get(wrong.errno, str(wrong))
-    return NoStart(f"cannot listen for {what} at {address[0]}:{address[1]}: {advice}")
+    }.get(error.errno, str(error))
+    return StartupError(f"cannot listen for {purpose} at {address[0]}:{address[1]}: {advice}")
 
 
-async def now(what: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
-    """Open it; raises NoStart."""
+async def listen_now(purpose: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
+    """Open an address; raises StartupError."""
     try:
         await listen()
-    except OSError as wrong:
-        raise refused(what, address, wrong) from None
+    except OSError as error:
+        raise listen_error(purpose, address, error) from None
 
 
-async def when_free(
-    what: str, address: Address, listen: Callable[[], Awaitable[None]], patient: bool
+async def listen_when_free(
+    purpose: str, address: Address, listen: Callable[[], Awaitable[None]], retry: bool
 ) -> asyncio.Task[None] | None:
-    """Open it; where another process may hold it for a while yet (``patient``), go on trying in a task."""
+    """Open an address; with ``retry``, keep trying in a task while another process holds it."""
     try:
         await listen()
-    except OSError as wrong:
-        if not patient or wrong.errno != errno.EADDRINUSE:
-            raise refused(what, address, wrong) from None
-        return asyncio.get_running_loop().create_task(_try_on(what, address, listen))
+    except OSError as error:
+        if not retry or error.errno != errno.EADDRINUSE:
+            raise listen_error(purpose, address, error) from None
+        return asyncio.get_running_loop().create_task(_retry(purpose, address, listen))
     return None
 
 
-async def _try_on(what: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
+async def _retry(purpose: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
     while True:
-        log.error("address_taken", purpose=what, address=address, again_in_s=RETRY_INTERVAL)
+        log.error("address_taken", purpose=purpose, address=address, again_in_s=RETRY_INTERVAL)
         await asyncio.sleep(RETRY_INTERVAL)
         try:
             return await listen()
-        except OSError as wrong:
-            if wrong.errno != errno.EADDRINUSE:
-                log.error("address_refused", purpose=what, address=address, error=wrong)
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE:
+                log.error("address_refused", purpose=purpose, address=address, error=error)
                 return None
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -139,13 +139,13 @@
         is_configured = host is not None and host.entry.zone < len(self.zones)
         return self.zones[host.entry.zone] if is_configured else NO_ZONE
 
-    def answered(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
+    def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
         """Record a request that got its final answer, or whose client has gone; ``took`` in microseconds."""
         self.answers.labels(self.class_names[kind], outcome, self._zone(server)).observe(
             took / MICROSECONDS_PER_SECOND
         )
 
-    def attempted(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
+    def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
         """Record a finished attempt; ``took`` in microseconds."""
         name = outcome.value.replace(" ", "_")
         self.attempts.labels(name, self._zone(server)).observe(took / MICROSECONDS_PER_SECOND)
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -79,7 +79,7 @@
         self.bind_tasks: list[asyncio.Task[None]] = []  # retry addresses still in use
 
     async def run(self) -> None:
-        """Start, serve until stopped, and shut down; raises NoStart if it cannot start."""
+        """Start, serve until stopped, and shut down; raises StartupError if it cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
         socket_path = upgrade.handover_socket_path(self.config)
@@ -126,7 +126,7 @@
             self.watch.start_after_delay()
 
     def _on_host_list(self, hosts: HostList) -> None:
-        self.driver.listed(hosts)
+        self.driver.apply_host_list(hosts)
         self.host_list_received.set()
 
     async def _listen_for_operators(self, retry_if_taken: bool) -> None:
@@ -138,13 +138,13 @@
             try:
                 from .metrics import Metrics  # heavy import: only if configured
             except ModuleNotFoundError as missing:
-                raise listening.NoStart(
+                raise listening.StartupError(
                     f"metrics need {missing.name}: install requirements-tools.txt, or leave metrics out"
                 ) from None
             self.metrics = self.driver.observer = Metrics(self.driver, self.config)
             listeners.append(("metrics", self.config.metrics, self.metrics.listen))
         for purpose, address, listen in listeners:
-            task = await listening.when_free(
+            task = await listening.listen_when_free(
                 purpose, address, functools.partial(listen, address), retry_if_taken
             )
             if task:
@@ -163,12 +163,12 @@
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
-            await listening.now(
+            await listening.listen_now(
                 "peers", config.peer_listen, functools.partial(self.peers.listen, peer_address)
             )
         driver.stats.start(self.loop, self._gauges)
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
-        await listening.now("clients", config.listen, listener)
+        await listening.listen_now("clients", config.listen, listener)
         if taken_over:
             predecessor.share_descriptors = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
@@ -188,9 +188,9 @@
         self, predecessor: upgrade.Predecessor, predecessor_clients: int, predecessor_hosts: int
     ) -> None:
         """Subtract the descriptors that the predecessor still uses, as both processes share one limit."""
-        self.clients.most = max(1, self.client_sockets - predecessor_clients)
+        self.clients.max_connections = max(1, self.client_sockets - predecessor_clients)
         reserved = UPGRADE_DESCRIPTORS if predecessor.channel else 0
-        self.driver.hosts.most = max(1, self.host_sockets - predecessor_hosts - reserved)
+        self.driver.hosts.max_connections = max(1, self.host_sockets - predecessor_hosts - reserved)
 
     def reload(self) -> None:
         """Handle SIGHUP: reread the configuration, apply what is reloadable, and log what needs a restart."""
@@ -213,5 +213,5 @@
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
-    """Run one gateway in the running event loop; raises NoStart."""
+    """Run one gateway in the running event loop; raises StartupError."""
     await Process(config, read).run()
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -197,7 +197,7 @@
                 if peer_socket:
                     peer_socket.close()
                 self.channel = channel
-                self.driver.hand_on(self)
+                self.driver.hand_over(self)
             else:
                 if peer_socket:
                     await self.peers.listen(peer_socket)
@@ -225,10 +225,10 @@
         self.tasks += [self.loop.create_task(self._receive_messages()), self.loop.create_task(self._drain())]
 
     async def _drain(self) -> None:
-        while not self.clients.is_over:
+        while not self.clients.is_finished:
             for client in list(self.clients.open):
                 client.close_if_idle()
-            client_sockets = len(self.clients.open) + len(self.clients.shut)
+            client_sockets = len(self.clients.open) + len(self.clients.half_closed)
             self.channel.send(sockets=[client_sockets, self.driver.hosts.sockets])
             await asyncio.sleep(POLL_INTERVAL)
         log.info("handover_finished")
@@ -242,7 +242,7 @@
             while True:
                 match await self.channel.receive():
                     case {"answer": int(number), "reply": str(reply)}:
-                        self.driver.answered_elsewhere(number, reply.encode("latin-1"))
+                        self.driver.answer_relayed(number, reply.encode("latin-1"))
                     case {"said": int(number), "text": str(text)} if number in self.pending_calls:
                         self.pending_calls.pop(number).set_result(text)
                     case {"call": int(number), "line": str(line)}:
@@ -250,15 +250,15 @@
         except CHANNEL_ERRORS:
             self.successor_ended = True
             for call in list(self.driver.calls.values()):
-                self.driver.answered_elsewhere(call.event.request, FAILED_REPLY)
+                self.driver.answer_relayed(call.event.request, FAILED_REPLY)
 
     async def _execute_and_answer(self, number: int, line: str) -> None:
         self.channel.send(said=number, text=await self.execute_call(line.encode("latin-1")))
 
-    def arrived(self, call: Call) -> None:
+    def forward_request(self, call: Call) -> None:
         """Relay a request that this process has read: the successor decides on it."""
         if self.successor_ended:  # nothing of the request was sent to a host: safe to repeat elsewhere
-            self.driver.answered_elsewhere(call.event.request, b"-BUSY\r\n")
+            self.driver.answer_relayed(call.event.request, b"-BUSY\r\n")
             return
         event = call.event
         time_left = call.deadline - self.driver.clock()
@@ -278,7 +278,7 @@
         """Notify the successor that the client of a relayed request has gone."""
         self.channel.send(gone=call.event.request)
 
-    def told(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
+    def forward_event(self, event: api.AttemptElsewhere | api.AttemptEnded | api.PeerMessage) -> None:
         """Forward an event that the successor needs for its counts, statistics or gossip."""
         if isinstance(event, api.AttemptElsewhere):
             self.channel.send(began=_attempt_row(event))
@@ -401,7 +401,7 @@
             restored = handover.read(driver.gateway, state["state"], rows)
             driver.clock.base = int(state["clock"])
             if not host_list_received.is_set():
-                driver.listed(HostList(0, True, hosts))
+                driver.apply_host_list(HostList(0, True, hosts))
             restored.load(driver.gateway)
             for message in attempts_out:
                 self._attempt_started(message)
@@ -450,7 +450,7 @@
                 wait = int(time_left) + REPLY_MARGIN
                 request_terms = Terms(customer, kind, plan, wait, units, spread, first, is_repeat)
                 request_parts = tuple(part.encode("latin-1") for part in parts)
-                call = self.driver.arrived(
+                call = self.driver.accept_request(
                     request_terms, request_parts, lambda reply: self._send_reply(number, reply)
                 )
                 if not call.finished:
@@ -468,7 +468,7 @@
                     took,
                 )
             case {"peer": int(rank), "body": str(body)}:
-                self.driver.peer_said(rank, body.encode("latin-1"))
+                self.driver.peer_message_received(rank, body.encode("latin-1"))
             case {"sockets": [int(clients), int(hosts)]}:
                 self.share_descriptors(clients, hosts)
             case {"call": int(number), "line": str(line)}:
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -1,6 +1,6 @@
-"""Ends of client connections at their rare moments: ours under bytes on their way, theirs while nobody reads.
+"""Races when client connections end: a half-close crossed by input, a client's close while reading is paused.
 
-Clients are plain sockets here, so that the loop stands still until a test lets it run."""
+Clients are plain sockets, so that the event loop does not run until a test lets it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 import hiredis
 import pytest
 from conftest import SITE, FakeHost, Rig, Service, asyncio_test, until
-from test_host_links import Gate, arrived, reset
+from test_host_links import Gate, reset, wait_readable
 from test_large import answer, post
 
 from orchidlane import interface as api
 from saffrongw import client as client_module
 from saffrongw import drain as drain_module
-from saffrongw.client import COMMAND_TIMEOUT, COMMANDS_PER_TURN, SURPLUS_CONNECTIONS_MAX, Client, Stage
+from saffrongw.client import COMMAND_TIMEOUT, COMMANDS_PER_TICK, SURPLUS_CONNECTIONS_MAX, Client, Stage
 from saffrongw.hosts import CONNECTION_COOLDOWN
 
 PING = hiredis.pack_command((b"PING",))
@@ -34,16 +34,16 @@
     return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
 
 
-class Plain:
-    """A client's socket."""
+class PlainClient:
+    """A client as a plain socket."""
 
-    def __init__(self, rig: Rig, address: tuple[str, int], room: int = 0) -> None:
+    def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
         self.loop = rig.loop
         self.sock = socket.socket()
-        if room:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         self.sock.connect(address)
-        self.send = self.sock.sendall  # at once, to the kernel
+        self.send = self.sock.sendall  # passes data to the kernel at once
         self.sock.setblocking(False)
 
     async def read(self, size: int) -> bytes:
@@ -55,19 +55,19 @@
         return data
 
     async def rest(self) -> bytes:
-        """What comes up to the end; a reset is none, and raises."""
+        """Read until the peer closes; a reset raises."""
         data = b""
         while piece := await asyncio.wait_for(self.loop.sock_recv(self.sock, 65536), 10):
             data += piece
         return data
 
 
-async def connected(rig: Rig, room: int = 0) -> tuple[Plain, Client]:
-    """A client's socket and what the gateway makes of it."""
+async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
+    """A client's socket, and the gateway's object for it."""
     if rig.clients.server is None:
         await rig.clients.listen()
     before = set(rig.clients.open)
-    plain = Plain(rig, rig.clients.server.sockets[0].getsockname(), room)
+    plain = PlainClient(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
     await until(lambda: set(rig.clients.open) - before)
     return plain, (set(rig.clients.open) - before).pop()
 
@@ -76,56 +76,56 @@
     return client.transport.get_extra_info("socket").fileno()
 
 
-def crossed(client: Client, plain: Plain, data: bytes) -> None:
-    """These bytes come in the very moment in which the gateway ends the connection, after its look."""
+def send_at_half_close(client: Client, plain: PlainClient, data: bytes) -> None:
+    """Have these bytes arrive just before the half-close, after the gateway's check for unread input."""
     half_close = client.half_close
 
     def end() -> None:
         if client.stage is not Stage.HALF_CLOSED:
             plain.send(data)
             if data:
-                arrived(fileno(client))
+                wait_readable(fileno(client))
         half_close()
 
     client.half_close = end
 
 
-async def by_drain(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = 0.0
-    rig.clients.drain._close_idle()
+async def by_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+    client.waiting_since = 0.0
+    rig.clients.drain._close_between()
     return b""
 
 
-async def by_eviction(rig: Rig, plain: Plain, client: Client) -> bytes:
-    rig.clients.most = len(rig.clients.open)
+async def by_eviction(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+    rig.clients.max_connections = len(rig.clients.open)
     await connected(rig)
     return b""
 
 
-async def by_overdue(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = rig.loop.time() - COMMAND_TIMEOUT - 1
+async def by_command_timeout(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+    client.waiting_since = rig.loop.time() - COMMAND_TIMEOUT - 1
     return b""
 
 
-async def by_error(rig: Rig, plain: Plain, client: Client) -> bytes:
+async def by_error(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     plain.send(b"junk\r\n")
     return b"-ERR not a RESP2 value\r\n"
 
 
-async def by_leaving(rig: Rig, plain: Plain, client: Client) -> bytes:
-    client.waits_since = 0.0
+async def by_late_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+    client.waiting_since = 0.0
     rig.clients.drain._close_without_request()
     return b""
 
 
-async def by_crowd(rig: Rig, plain: Plain, client: Client) -> bytes:
-    rig.clients.most, client.surplus = 0, True
+async def by_connection_limit(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+    rig.clients.max_connections, client.is_surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
 
-ENDS = (by_drain, by_eviction, by_overdue, by_error, by_leaving, by_crowd)
-CROSSING = {
+CLOSE_CAUSES = (by_drain, by_eviction, by_command_timeout, by_error, by_late_drain, by_connection_limit)
+CROSSING_INPUT = {
     "nothing": b"",
     "a request": request(7, b"bill"),
     "half a request": request(7)[:20],
@@ -134,83 +134,90 @@
 }
 
 
-@pytest.mark.parametrize("crossing", CROSSING)
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("crossing", CROSSING_INPUT)
+@pytest.mark.parametrize("end", CLOSE_CAUSES)
 @asyncio_test
-async def test_bytes_that_cross_the_end_are_read_away_and_what_was_sent_before_arrives(end, crossing):
-    """They reset the connection, which took the answer before them along; or were sent on after the end."""
+async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
+    """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
-    crossed(client, plain, CROSSING[crossing])
+    send_at_half_close(client, plain, CROSSING_INPUT[crossing])
     last = await end(rig, plain, client)
     assert await plain.rest() == last
-    assert client.stage is Stage.HALF_CLOSED and client in rig.clients.shut and client not in rig.clients.open
-    for _ in range(3):  # whoever goes on is not reset either, while we linger
+    assert (
+        client.stage is Stage.HALF_CLOSED
+        and client in rig.clients.half_closed
+        and client not in rig.clients.open
+    )
+    for _ in range(3):  # a client that keeps sending is not reset either during the lingering close
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
     plain.sock.shutdown(socket.SHUT_WR)
-    await until(lambda: client not in rig.clients.shut)
+    await until(lambda: client not in rig.clients.half_closed)
     assert [command[2] for command in host.commands] == [b"id1"]
     assert rig.driver.calls == {}
 
 
 @asyncio_test
-async def test_a_drain_does_not_end_over_commands_that_came_in_one_piece_with_the_last():
-    """The first was answered at once, the connection closed, and the next one sent on all the same."""
+async def test_drain_answers_all_commands_received_in_one_segment():
+    """The connection was closed after the first response, and later commands were still sent to hosts."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     plain, client = await connected(rig)
     rig.clients.drain.closing_idle = True
-    client.waits_since = 0.0
+    client.waiting_since = 0.0
     plain.send(PING + request(1) + PING)
     assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
     assert len(host.commands) == 1
 
 
 @asyncio_test
-async def test_a_half_closed_connection_is_cut_in_the_end_and_those_are_bounded(monkeypatch):
+async def test_half_closed_connections_are_bounded_and_aborted_after_the_linger_timeout(monkeypatch):
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
     rig = Rig(await FakeHost("a").listen())
     held = [await connected(rig) for _ in range(4)]
-    rig.clients.most = 4
+    rig.clients.max_connections = 4
     for _ in range(3 * SURPLUS_CONNECTIONS_MAX):
         held.append(await connected(rig))
-        assert len(rig.clients.open) + len(rig.clients.shut) <= rig.clients.most + SURPLUS_CONNECTIONS_MAX + 1
+        assert (
+            len(rig.clients.open) + len(rig.clients.half_closed)
+            <= rig.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
+        )
     assert rig.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
-    await until(lambda: not rig.clients.shut)
+    await until(lambda: not rig.clients.half_closed)
     assert len(rig.clients.open) == 4
 
 
 @asyncio_test
-async def test_connections_that_wait_to_be_accepted_when_the_listener_closes_are_served():
-    """They were reset with it, and their requests with them."""
+async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
+    """They were reset together with the listener."""
     rig = Rig(await FakeHost("a").listen())
     await rig.clients.listen()
     where = rig.clients.server.sockets[0].getsockname()
-    late = [Plain(rig, where) for _ in range(5)]
+    late = [PlainClient(rig, where) for _ in range(5)]
     for plain in late:
         plain.send(request())
-    rig.clients.stop_accepting()  # in the same turn: nobody has accepted them
+    rig.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
-        Plain(rig, where)
+        PlainClient(rig, where)
     assert not rig.clients.accepting
 
 
 @asyncio_test
-async def test_a_drain_waits_for_what_a_transport_has_still_to_send(monkeypatch):
-    """The process ended once the last answer was handed to the loop, which held most of it."""
+async def test_drain_waits_until_write_buffers_are_empty(monkeypatch):
+    """The process exited while most of the last response was still in the transport's write buffer."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.0)
     monkeypatch.setattr(drain_module, "SHUTDOWN_COMMAND_TIMEOUT", 0.0)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     rig = Rig(host)
-    plain, client = await connected(rig, room=4096)
+    plain, client = await connected(rig, receive_buffer=4096)
     sock = client.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     count = 5
@@ -222,12 +229,12 @@
     assert await plain.rest() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
     plain.sock.close()
     await asyncio.wait_for(drain, 10)
-    assert rig.clients.is_over
+    assert rig.clients.is_finished
 
 
 @asyncio_test
-async def test_a_drain_ends_however_long_clients_go_on_sending(monkeypatch):
-    """A connection that always had a request open was never closed: it was served up to SIGKILL."""
+async def test_drain_ends_while_clients_keep_sending(monkeypatch):
+    """A connection that always had a request in flight was never closed, but served until SIGKILL."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.2)
     host = await FakeHost("a").listen()
     out = []
@@ -238,7 +245,7 @@
     await until(lambda: len(host.commands) == 1)
     drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
     asked, stats = 1, rig.driver.stats
-    while True:  # the next one comes before the last is answered
+    while True:  # the next request arrives before the last is answered
         caller.call(number=b"%d" % asked)
         asked += 1
         await until(lambda asked=asked: len(host.commands) == asked or stats["refused_leaving"])
@@ -254,41 +261,41 @@
 
 
 @asyncio_test
-async def test_a_drain_ends_though_a_client_reads_ever_so_slowly(monkeypatch):
+async def test_drain_ends_despite_a_slow_reader(monkeypatch):
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.0)
     monkeypatch.setattr(drain_module, "WRITE_STALL_TIMEOUT", 0.5)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     rig = Rig(host)
-    plain, client = await connected(rig, room=4096)
+    plain, client = await connected(rig, receive_buffer=4096)
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
     await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
-    client.look = lambda before: None  # it takes a byte now and then: never stuck for long
+    client.check_timeouts = lambda before: None  # it reads a byte now and then, so it never stalls
     await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
-    assert not rig.clients.is_over
+    assert not rig.clients.is_finished
 
 
-# -- a client that leaves while nothing is read from it
+# -- a client that disconnects while reading is paused
 
 
-async def pipeline_full(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def behind_a_full_pipeline(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
     plain.send(b"".join(request(number, b"bill") for number in range(1, 25)))
-    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).held)
+    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).reading_paused)
     return gate
 
 
-async def no_room(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def behind_an_upload_without_memory(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
-    rig.clients.room.free = 0
+    rig.clients.upload_memory.free = 0
     plain.send(request(1, b"bill") + post(b"x" * 200_000)[:150_000])
-    await until(lambda: rig.clients.room.waiting and rig.driver.calls)
+    await until(lambda: rig.clients.upload_memory.waiting and rig.driver.calls)
     return gate
 
 
-async def answers_unread(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
-    """Behind a large answer that the client does not read; that one has a connection already."""
+async def behind_unread_responses(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
+    """The request waits behind a large response that the client does not read."""
     plain.send(request(0))
     await plain.read(8)
     (idle,) = rig.hosts.pools[b"a"].idle
@@ -296,69 +303,76 @@
     gate = Gate(rig, host.port)
     host.script = lambda command: answer(b"v" * 4_000_000) if command[2] == b"id0" else answer(b"ok")
     plain.send(request(0) + request(1, b"bill"))
-    await until(lambda: next(iter(rig.clients.open)).held and rig.hosts.pools[b"a"].waiting)
+    await until(lambda: next(iter(rig.clients.open)).reading_paused and rig.hosts.pools[b"a"].waiting)
     return gate
 
 
-async def for_a_connection(rig: Rig, host: FakeHost, plain: Plain) -> Gate:
+async def for_a_host_connection(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
     gate = Gate(rig, host.port)
     plain.send(request(1, b"bill"))
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     return gate
 
 
-class Listing:
-    """The host is listed once this is open."""
+class ListHost:
+    """``open`` lists the host as serving."""
 
     def __init__(self, rig: Rig, host: FakeHost) -> None:
         self.open = lambda: rig.told(host.line())
 
 
-async def for_a_host(rig: Rig, host: FakeHost, plain: Plain) -> Listing:
+async def for_an_available_host(rig: Rig, host: FakeHost, plain: PlainClient) -> ListHost:
     rig.told(host.line("DRAINING"))
     plain.send(request(1, b"bill"))
     await until(lambda: rig.driver.calls)
-    return Listing(rig, host)
+    return ListHost(rig, host)
 
 
-class Thaw:
-    """The state is not handed over after all."""
+class ThawDriver:
+    """``open`` ends the handover as failed."""
 
     def __init__(self, rig: Rig) -> None:
         self.open = rig.driver.thaw
 
 
-async def in_a_frozen_driver(rig: Rig, host: FakeHost, plain: Plain) -> Thaw:
+async def during_a_handover(rig: Rig, host: FakeHost, plain: PlainClient) -> ThawDriver:
     rig.driver.freeze()
     plain.send(request(1, b"bill"))
     await until(lambda: rig.driver.calls)
-    return Thaw(rig)
+    return ThawDriver(rig)
 
 
-WAITS = (pipeline_full, no_room, answers_unread, for_a_connection, for_a_host, in_a_frozen_driver)
+WAIT_REASONS = (
+    behind_a_full_pipeline,
+    behind_an_upload_without_memory,
+    behind_unread_responses,
+    for_a_host_connection,
+    for_an_available_host,
+    during_a_handover,
+)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-@pytest.mark.parametrize("wait", WAITS)
+@pytest.mark.parametrize("wait", WAIT_REASONS)
 @asyncio_test
-async def test_nothing_is_sent_for_a_client_that_has_gone(wait, leave, may_cancel, monkeypatch):
-    """Wherever its request waits: who was not read from was not seen to go."""
+async def test_nothing_is_sent_for_a_disconnected_client(wait, leave, may_cancel, monkeypatch):
+    """While reading is paused the event loop does not report a close, wherever the request waits."""
     monkeypatch.setattr(client_module, "PIPELINE_MAX", 16)
     host = await FakeHost("a").listen()
     permissions = SITE["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
     rig = Rig(host, permissions=permissions, sockets=256)
-    plain, _ = await connected(rig, room=4096)
+    plain, _ = await connected(rig, receive_buffer=4096)
     opens = await wait(rig, host, plain)
     asked = rig.loop.time()
     leave(plain.sock)
     await until(lambda: not rig.driver.calls, within=20)
-    assert rig.loop.time() - asked < 1.5  # not its deadline, which is 2 s
+    assert rig.loop.time() - asked < 1.5  # well before the deadline of 2 s
     stats = rig.driver.stats
     assert stats["client_gone_waiting"] > 0 and stats["client_gone_sent_late"] == 0
     opens.open()
     other, _ = await connected(rig)
-    other.send(request(99, b"bill"))  # whatever was to come before it has come
+    other.send(request(99, b"bill"))  # anything sent earlier arrives before it
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
     gateway = rig.driver.gateway
@@ -366,8 +380,8 @@
     assert [host.out for host in gateway.hosts.values()] == [0]
 
 
-async def decided(rig: Rig, plain: Plain) -> Callable[[], None]:
-    """A request that waits for a host is sent to one, on a connection that is there."""
+async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
+    """A request waits for a host; returns what dispatches it on an established connection."""
     (idle,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
     rig.told(rig.line | {"health": "DRAINING"})
@@ -382,21 +396,21 @@
     return go_on
 
 
-async def rested(rig: Rig, plain: Plain) -> Callable[[], None]:
-    """A request that waits for a connection gets the one that has rested by now."""
+async def when_cooled_down(rig: Rig, plain: PlainClient) -> Callable[[], None]:
+    """A request waits for a connection; returns what dispatches it on one past its cooldown."""
     pool = rig.hosts.pools[b"a"]
     Gate(rig, pool.address[1])
     plain.send(request(1, b"bill"))
     await until(lambda: pool.waiting)
     pool.idle[0].idle_since -= CONNECTION_COOLDOWN
-    return pool._serve
+    return pool._dispatch
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-@pytest.mark.parametrize("wait", [decided, rested])
+@pytest.mark.parametrize("wait", [when_dispatched, when_cooled_down])
 @asyncio_test
-async def test_nothing_is_sent_for_a_client_whose_end_the_loop_has_not_come_to_see(wait, leave):
-    """Its turn to be sent comes before that of the socket, in which the client's end waits."""
+async def test_nothing_is_sent_for_a_client_whose_close_is_not_yet_noticed(wait, leave):
+    """The request is dispatched before the event loop reads the client's FIN from the socket."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     rig.line = host.line()
@@ -405,7 +419,7 @@
     assert await plain.read(8) == b"$2\r\nok\r\n"
     go_on = await wait(rig, plain)
     leave(plain.sock)
-    arrived(fileno(client))
+    wait_readable(fileno(client))
     go_on()
     assert not rig.driver.calls or all(call.finished for call in rig.driver.calls.values())
     other, _ = await connected(rig)
@@ -418,11 +432,11 @@
     assert [known.out for known in gateway.hosts.values()] == [0]
 
 
-@pytest.mark.parametrize("pings", [COMMANDS_PER_TURN, 2 * COMMANDS_PER_TURN])
+@pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 @asyncio_test
-async def test_what_a_client_sent_in_one_piece_before_it_left_is_not_carried_out_after(leave, pings):
-    """A piece is read in turns; between two of them the connection may have ended under what is left."""
+async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
+    """A segment is processed over several loop iterations, and the connection may be lost between two."""
     host = await FakeHost("a").listen()
     rig, faults = Rig(host), []
     rig.loop.set_exception_handler(lambda loop, context: faults.append(context))
@@ -439,12 +453,12 @@
     assert faults == []
 
 
-# -- neighbours
+# -- fairness and isolation between clients
 
 
 @asyncio_test
-async def test_who_floods_with_commands_waits_for_its_neighbours():
-    """A piece of thousands of commands was carried out to its end before anyone else was read from."""
+async def test_client_flooding_with_commands_does_not_starve_others():
+    """A segment of thousands of commands was executed completely before other clients were read from."""
     rig = Rig(await FakeHost("a").listen())
     flood, flooding = await connected(rig)
     calm, waiting = await connected(rig)
@@ -453,14 +467,14 @@
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
     flood.send(PING * 4_000)
     calm.send(PING)
-    arrived(fileno(waiting))  # both are there before the loop looks
+    wait_readable(fileno(waiting))  # both are readable before the loop polls
     assert await calm.read(7) == b"+PONG\r\n"
     assert order.index(waiting) <= 200  # of 4,000
     assert await flood.read(7 * 4_000) == b"+PONG\r\n" * 4_000
 
 
 @asyncio_test
-async def test_each_request_goes_by_the_settings_of_its_own_class_customer_and_deployment():
+async def test_requests_follow_the_settings_of_their_class_customer_and_deployment():
     """Two deployments in one process with the same names, two customers on one connection."""
     for effects in (("once", "by_key"), ("by_key", "once")):
         classes = [
@@ -483,13 +497,13 @@
             await caller.replied(len(caller.replies) + 1)
             sent = sum(len(host.commands) for host in hosts) - before
             assert (sent == 1) == (effect == "once"), effect
-    # The quota of one is spent, the other's is not, whichever comes first in a piece.
+    # One customer's quota is spent and the other's is not, whatever their order in a segment.
     host = await FakeHost("a").listen()
     rig = Rig(host, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)])
     caller = await rig.caller()
     spent, other = [
-        hiredis.pack_command((b"CALL.GET", who, b"id", TERMS % (b"read", 2000)))
-        for who in (b"0000000000000007", b"0000000000000008")
+        hiredis.pack_command((b"CALL.GET", customer, b"id", TERMS % (b"read", 2000)))
+        for customer in (b"0000000000000007", b"0000000000000008")
     ]
     caller.transport.write(spent * 3 + other + spent + other)
     replies = [str(reply).split()[0] for reply in await caller.replied(6)]
@@ -501,8 +515,8 @@
 
 
 @asyncio_test
-async def test_a_thousand_that_connect_and_rest_are_closed_in_time_and_neighbours_are_served(tmp_path):
-    """Some send part of a command, or much of a large one. Descriptors stay within the limit all the time."""
+async def test_a_thousand_stalled_connections_are_closed_in_time_while_others_are_served(tmp_path):
+    """Some send part of a command or of a large body. Descriptors stay within the limit throughout."""
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
         process = await service.start()
@@ -513,20 +527,20 @@
         folder = f"/proc/{process.pid}/fd"
 
         async def ask() -> None:
-            """A neighbour, whose connection may be closed between two requests to make room."""
-            neighbour = await service.caller()
+            """Send requests as another client, whose connection may be evicted between two of them."""
+            other_client = await service.caller()
             while not over.is_set():
                 descriptors.append(len(os.listdir(folder)))
-                if neighbour.closed:
-                    neighbour = await service.caller()
+                if other_client.closed:
+                    other_client = await service.caller()
                 else:
-                    neighbour.call(number=b"n%d" % len(descriptors))
-                    await until(lambda who=neighbour: who.replies or who.closed)
-                    replies.extend(neighbour.replies)
-                    neighbour.replies.clear()
+                    other_client.call(number=b"n%d" % len(descriptors))
+                    await until(lambda client=other_client: client.replies or client.closed)
+                    replies.extend(other_client.replies)
+                    other_client.replies.clear()
 
         async def rest(words: bytes) -> float:
-            """Connect, and see the end: seconds from the one to the other."""
+            """Connect and stall; returns the seconds until the gateway closes the connection."""
             with socket.socket() as sock:
                 sock.setblocking(False)
                 await loop.sock_connect(sock, where)
@@ -545,14 +559,17 @@
         assert len(took) == 1_000 and max(descriptors) <= service.text["limits"]["sockets"]
         assert sum(span > 3.5 for span in took) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
-        assert b"ok" in kinds and kinds <= {b"ok", "BUSY"}  # crowded, or its quota: 100 a second
+        assert b"ok" in kinds and kinds <= {
+            b"ok",
+            "BUSY",
+        }  # at the connection limit, or beyond its quota of 100 a second
         assert process.returncode is None
 
 
 @asyncio_test
-async def test_resting_and_new_clients_of_a_process_that_ends_are_answered_or_see_a_clean_end(tmp_path):
-    """SIGTERM, twice, with SIGHUP in between: each connection ends without a reset, though its client sends
-    one more request in the moment in which it sees the end, and only what was read before is sent on."""
+async def test_shutdown_answers_clients_or_closes_them_without_a_reset(tmp_path):
+    """SIGTERM twice, with SIGHUP in between: each connection is closed without a reset, although its client
+    sends one more request on seeing the close, and only requests read before reach hosts."""
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
         process = await service.start()
@@ -560,27 +577,27 @@
         where = (where[0], int(where[1]))
         loop = asyncio.get_running_loop()
         rig = type("Loop", (), {"loop": loop})
-        resting = [Plain(rig, where) for _ in range(12)]
+        resting = [PlainClient(rig, where) for _ in range(12)]
         for number, plain in enumerate(resting):
             plain.send(request(number))
             assert await plain.read(8) == b"$2\r\nok\r\n"
         host.script = lambda command: None
-        busy = Plain(rig, where)
+        busy = PlainClient(rig, where)
         busy.send(request(100, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 13)
         process.send_signal(signal.SIGTERM)
 
-        async def end(plain: Plain) -> None:
+        async def end(plain: PlainClient) -> None:
             assert await plain.rest() == b""
             with contextlib.suppress(BrokenPipeError, ConnectionResetError):
-                plain.send(request(200, b"bill"))  # crosses nothing any more: it is never sent on
+                plain.send(request(200, b"bill"))  # after the close, so it never reaches a host
 
         async with asyncio.TaskGroup() as group:
             for plain in resting:
                 group.create_task(end(plain))
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        new = Plain(rig, where)
+        new = PlainClient(rig, where)
         new.send(request(101, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 14)
         for connection in host.connections:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -126,9 +126,9 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
         listen = functools.partial(control.listen, address)
-        with pytest.raises(listening.NoStart, match="another process listens there"):
-            await listening.when_free("operators", address, listen, patient=False)
-        retry_task = await listening.when_free("operators", address, listen, patient=True)
+        with pytest.raises(listening.StartupError, match="another process listens there"):
+            await listening.listen_when_free("operators", address, listen, retry=False)
+        retry_task = await listening.listen_when_free("operators", address, listen, retry=True)
         caller.call()
         assert await caller.replied() == [b"ok"]
         assert control.server is None
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Clients and hosts over loopback sockets: one answer each, in order, and what may go out again."""
+"""Clients and hosts over loopback sockets: responses in order, retries, limits and timeouts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @asyncio_test
-async def test_a_host_gets_the_command_unchanged_but_for_the_time_left():
+async def test_host_receives_the_command_with_only_the_timeout_changed():
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.call("put", wait=1500, number=b"id9", more=",r=1")
@@ -46,7 +46,7 @@
 
 
 @asyncio_test
-async def test_pipelined_commands_are_answered_in_their_order():
+async def test_pipelined_commands_are_answered_in_order():
     slow = []
     host = await FakeHost("a").listen()
     host.script = lambda command: slow.append(command) if command[2] == b"first" else b"*1\r\n$1\r\n2\r\n"
@@ -62,8 +62,8 @@
 
 
 @asyncio_test
-async def test_attempts_do_not_share_a_connection_and_idle_ones_are_used_again(monkeypatch):
-    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
+async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused(monkeypatch):
+    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -81,7 +81,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_that_was_reset_after_it_was_sent_fails_and_goes_nowhere_else():
+async def test_unsafe_request_reset_after_it_was_sent_fails_without_retry():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"reset"
@@ -92,7 +92,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_goes_again_where_it_was_turned_away_or_not_connected():
+async def test_unsafe_request_is_retried_after_busy_or_failed_connect():
     busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
@@ -103,7 +103,7 @@
 
 
 @asyncio_test
-async def test_a_safe_request_goes_again_after_an_error():
+async def test_safe_request_is_retried_after_an_error():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [b"-ERR failed util=0.5\r\n", b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
@@ -119,13 +119,13 @@
         b"*2147483647\r\n",
         b"*3\r\n$4000000000\r\n",
         b"HTTP/1.1 200 OK\r\n",
-        b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",  # its value is longer than its head says
+        b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n",  # a value longer than its declared length
         b"*3\r\n$4\r\nab\r\n$-1\r\n$-1\r\n",  # or shorter
         b"*999\r\n" + (b"$65536\r\n%b\r\n" % (b"x" * 65536)) * 3,
     ],
 )
 @asyncio_test
-async def test_an_answer_that_no_host_makes_is_a_failed_attempt_at_once(junk):
+async def test_invalid_reply_fails_the_attempt_at_once(junk):
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [junk, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
@@ -134,24 +134,24 @@
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
-    await until(lambda: rig.hosts.sockets == 1)  # the other connection is not used again
+    await until(lambda: rig.hosts.sockets == 1)  # the other connection is closed
 
 
 @asyncio_test
-async def test_an_answer_that_never_comes_is_ended_before_the_client_gives_up():
+async def test_unanswered_request_fails_before_the_client_times_out():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
     caller = await rig.caller()
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
-    await until(lambda: not host.connections)  # the attempt is given up
+    await until(lambda: not host.connections)  # the attempt is cancelled
     assert rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
 
 
 @asyncio_test
-async def test_a_request_that_is_not_written_whole_has_not_run():
-    """A host that reads nothing: the last byte stays here, so that even an unsafe request is refused."""
+async def test_request_not_fully_written_counts_as_not_executed():
+    """The host reads nothing, so the last byte is never sent, and even an unsafe request may be refused."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     host = FakeHost("a")
@@ -162,14 +162,14 @@
     rig.driver.feed = lambda event: (ended.append(event), feed(event))
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    original = pool.up
+    original = pool.connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(connection)
 
-    pool.up = narrow
+    pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     assert error((await caller.replied())[0]).startswith("BUSY")
@@ -179,8 +179,8 @@
 
 
 @asyncio_test
-async def test_a_connection_answered_before_its_request_was_out_is_not_used_again():
-    """What is left of that request would be taken for the start of the next one."""
+async def test_connection_answered_before_its_request_was_fully_sent_is_not_reused():
+    """The unsent rest of that request would be taken for the start of the next one."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.setblocking(False)
@@ -188,14 +188,14 @@
     host.port = listener.getsockname()[1]
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
-    up = rig.hosts.pools[b"a"].up
+    up = rig.hosts.pools[b"a"].connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    rig.hosts.pools[b"a"].up = narrow
+    rig.hosts.pools[b"a"].connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await rig.loop.sock_accept(listener)
@@ -207,7 +207,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up():
+async def test_client_close_cancels_its_attempt():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -220,8 +220,8 @@
 
 
 @asyncio_test
-async def test_an_attempt_that_nobody_waits_for_any_more_ends_with_the_requests_time():
-    """Where nothing may be called off, a silent host would else keep the connection for good."""
+async def test_attempt_without_client_ends_at_the_request_deadline():
+    """With cancellation disabled, a silent host would otherwise hold the connection for ever."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, permissions=SITE["permissions"] | {"cancel": False})
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "command",
     [
         [b"CALL.PUT", b"0000000000000007", b"id", b"c=read,t=team,d=99,units=1,spread=2,first=0"],
         [b"CALL.GET", b"0000000000000007", b"id"],
@@ -276,10 +276,10 @@
     ],
 )
 @asyncio_test
-async def test_what_is_malformed_is_answered_and_reaches_no_host(words):
+async def test_malformed_commands_get_an_error_and_reach_no_host(command):
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
-    caller.ask(*words)
+    caller.ask(*command)
     caller.ask(b"PING")  # the connection is kept
     replies = await caller.replied(2)
     assert error(replies[0]).startswith("ERR")
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("junk", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$400000\r\n" + b"x" * 399_999])
 @asyncio_test
-async def test_where_framing_is_lost_the_connection_is_closed(junk):
+async def test_connection_is_closed_when_framing_is_lost(junk):
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.transport.write(junk)
     assert error((await caller.replied())[0]).startswith("ERR")
@@ -298,8 +298,8 @@
 
 @pytest.mark.parametrize("head", [b"*2147483647\r\n", b"*4\r\n*999999999\r\n", b"%99999999\r\n"])
 @asyncio_test
-async def test_a_head_that_declares_what_no_command_holds_is_answered_and_closed(head):
-    """The parser made room for all of it, and the garbage collector looked through it for seconds."""
+async def test_oversized_declared_length_gets_an_error_and_a_close(head):
+    """The parser would allocate all declared values, which the garbage collector scans for seconds."""
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.ask(b"PING")
     caller.transport.write(hiredis.pack_command((b"PING",)) + head[:5])
@@ -312,7 +312,7 @@
 
 
 @asyncio_test
-async def test_nothing_new_goes_to_a_host_that_drains_and_what_it_holds_is_finished():
+async def test_draining_host_gets_no_new_requests_and_finishes_its_own():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     old.script = lambda command: None
     rig = Rig(old)
@@ -332,8 +332,8 @@
 
 @pytest.mark.parametrize("health", ["DRAINING", "DELETED"])
 @asyncio_test
-async def test_what_waits_for_a_connection_to_a_host_that_drains_goes_elsewhere(health):
-    """It was sent there once the connection came up, however long after the word."""
+async def test_attempts_queued_for_a_draining_host_are_retried_elsewhere(health):
+    """They were sent once the connection was established, however long after the host began to drain."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
@@ -360,7 +360,7 @@
 
 
 @asyncio_test
-async def test_idle_connections_are_closed_well_before_the_hosts_limit():
+async def test_idle_connections_are_closed_before_the_host_idle_timeout():
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=SITE["permissions"] | {"idleClose": 200_000})
     caller = await rig.caller()
@@ -370,7 +370,7 @@
 
 
 @asyncio_test
-async def test_connections_stay_within_the_limit_on_descriptors():
+async def test_host_connections_stay_within_the_limit():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, sockets=4)
@@ -383,17 +383,17 @@
 
 
 @asyncio_test
-async def test_the_client_idle_longest_makes_room_and_only_the_one_too_many_is_refused():
-    """Each request of all clients was refused while one connection was too many (ticket9204)."""
+async def test_idle_client_is_evicted_and_only_the_surplus_connection_is_refused():
+    """All requests of all clients were refused while there was one surplus connection (ticket9204)."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.most = 3
+    rig.clients.max_connections = 3
     first, second, third = [await rig.caller() for _ in range(3)]
     await until(lambda: len(rig.clients.open) == 3)
-    for caller in (second, third, first):  # the first was the last to ask
+    for caller in (second, third, first):  # the first is the most recently used
         caller.call()
         await caller.replied()
-    more = [await rig.caller() for _ in range(2)]  # both come before an end is told
+    more = [await rig.caller() for _ in range(2)]  # both connect before an eviction is noticed
     await until(lambda: second.closed and third.closed)
     assert not first.closed
     host.script = lambda command: None
@@ -410,23 +410,23 @@
 
 
 @asyncio_test
-async def test_who_sends_nothing_or_part_of_a_command_is_closed_and_who_asks_properly_is_kept():
+async def test_silent_and_incomplete_clients_are_closed_and_proper_ones_kept():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
     silent, partial, dripping, idle, waiting = [await rig.caller() for _ in range(5)]
     begun = rig.loop.time()
-    words = hiredis.pack_command((b"PING",))
-    idle.transport.write(words)
+    ping = hiredis.pack_command((b"PING",))
+    idle.transport.write(ping)
     waiting.call("bill", wait=10_000)
-    partial.transport.write(words + words[:6])
+    partial.transport.write(ping + ping[:6])
     for byte in hiredis.pack_command((b"CALL.GET", b"0" * 100)):
         dripping.transport.write(bytes((byte,)))
         await asyncio.sleep(0.05)
         if dripping.transport.is_closing() or dripping.closed:
             break
     await until(lambda: silent.closed and partial.closed and dripping.closed)
-    assert rig.loop.time() - begun < 3.0 + 3.0  # the three seconds owed, and as much for a busy machine
+    assert rig.loop.time() - begun < 3.0 + 3.0  # the specified limit, and as much for a busy machine
     assert silent.replies == []
     assert error(partial.replies[1]) == error(dripping.replies[0])
     await asyncio.sleep(3 * SWEEP_INTERVAL)
@@ -434,42 +434,44 @@
 
 
 @asyncio_test
-async def test_what_came_while_the_gateway_stood_still_is_read_before_its_sender_is_overdue():
+async def test_input_received_during_event_loop_lag_is_read_before_the_timeout():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     (client,) = rig.clients.open
-    client.waits_since -= 10 * COMMAND_TIMEOUT
+    client.waiting_since -= 10 * COMMAND_TIMEOUT
     caller.ask(b"PING")
-    client.look(rig.loop.time() - COMMAND_TIMEOUT)
+    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
     assert await caller.replied() == [b"PONG"]
-    client.look(rig.loop.time() - COMMAND_TIMEOUT)
+    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
     assert client.stage is Stage.OPEN
 
 
 @asyncio_test
-async def test_connections_far_beyond_the_limit_are_closed_at_once():
-    """Each within a command took a descriptor for two seconds, also from those that hosts need."""
+async def test_connections_far_beyond_the_limit_are_reset_at_once():
+    """Each unfinished command held a descriptor for two seconds, so that none were left for hosts."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
-    rig.clients.most = 1
-    holder = await rig.caller()
-    holder.call("bill", wait=10_000)
+    rig.clients.max_connections = 1
+    busy = await rig.caller()
+    busy.call("bill", wait=10_000)
     await until(lambda: host.commands)
-    rig.clients._look = lambda: None  # none is closed for its silence
+    rig.clients._sweep = lambda: None  # disables the command timeout
     more = []
     for number in range(SURPLUS_CONNECTIONS_MAX + 5):
         more.append(await rig.caller())
         more[-1].transport.write(b"*1\r\n")
-        await until(lambda number=number: more[-1].closed or rig.clients.unfinished() == 4 * (number + 1))
+        await until(
+            lambda number=number: more[-1].closed or rig.clients.unfinished_bytes() == 4 * (number + 1)
+        )
     assert [caller.closed for caller in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
     assert len(rig.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
-    assert not holder.closed
+    assert not busy.closed
 
 
 @asyncio_test
-async def test_no_more_is_read_while_many_requests_are_open_on_a_connection():
-    """Behind one open request the answers to all that followed piled up without end."""
+async def test_reading_pauses_at_the_pipeline_limit():
+    """Responses to commands behind one unanswered request accumulated without bound."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -477,7 +479,7 @@
     caller.call(number=b"first", wait=30_000)
     pings = 200_000
     caller.transport.write(hiredis.pack_command((b"PING",)) * pings)
-    await until(lambda: any(client.held for client in rig.clients.open))
+    await until(lambda: any(client.reading_paused for client in rig.clients.open))
     (client,) = rig.clients.open
     for _ in range(20):
         await asyncio.sleep(0.01)
@@ -488,49 +490,49 @@
 
 
 @asyncio_test
-async def test_a_client_that_never_reads_its_answers_is_closed():
+async def test_client_that_never_reads_its_responses_is_closed():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
     await until(lambda: rig.clients.open)
     (client,) = rig.clients.open
-    while not client.unread_since:
+    while not client.stalled_since:
         caller.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
         await asyncio.sleep(0)
-    client.unread_since -= WRITE_STALL_TIMEOUT
+    client.stalled_since -= WRITE_STALL_TIMEOUT
     await until(lambda: not rig.clients.open)
 
 
 @asyncio_test
-async def test_what_all_clients_leave_unfinished_is_bounded():
+async def test_unfinished_commands_of_all_clients_are_bounded():
     rig = Rig(await FakeHost("a").listen(), sockets=256)
-    rig.clients._look = lambda: None  # none is closed for taking too long
+    rig.clients._sweep = lambda: None  # disables the command timeout
     callers = [await rig.caller() for _ in range(80)]
     for caller in callers:
         caller.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
     await until(lambda: sum(caller.closed for caller in callers) >= 80 - COMMAND_BYTES_MAX_ALL // 60_000)
-    assert rig.clients.unfinished() <= COMMAND_BYTES_MAX_ALL
+    assert rig.clients.unfinished_bytes() <= COMMAND_BYTES_MAX_ALL
     assert not all(caller.closed for caller in callers)
 
 
 @asyncio_test
-async def test_a_client_within_a_command_does_not_make_room():
-    """Of a command cut right after a head nothing is left in the parser."""
+async def test_client_within_a_command_is_not_evicted():
+    """When a command is cut right after a header, the parser holds no unparsed data."""
     rig = Rig(await FakeHost("a").listen())
-    rig.clients.most = 1
+    rig.clients.max_connections = 1
     caller = await rig.caller()
-    words = hiredis.pack_command((b"PING",))
-    caller.transport.write(words + words[:4])
+    ping = hiredis.pack_command((b"PING",))
+    caller.transport.write(ping + ping[:4])
     await caller.replied()
     other = await rig.caller()
     other.call()
     assert error((await other.replied())[0]) == "BUSY 1000"
-    caller.transport.write(words[4:])
+    caller.transport.write(ping[4:])
     assert await caller.replied(2) == [b"PONG", b"PONG"]
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_fails_one_request_and_no_more():
+async def test_exception_in_the_decision_module_fails_only_one_request():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -545,7 +547,7 @@
 
 
 @asyncio_test
-async def test_a_request_that_the_decisions_forget_is_failed_in_time():
+async def test_request_without_a_decision_fails_at_its_deadline():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     rig.driver.gateway._advance = lambda request: None
@@ -554,7 +556,7 @@
 
 
 @asyncio_test
-async def test_sigterm_finishes_what_is_held_and_serves_new_connections_for_a_while(tmp_path):
+async def test_sigterm_finishes_requests_in_flight_and_still_accepts_for_a_while(tmp_path):
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     with socket.socket() as probe:
@@ -578,9 +580,9 @@
                 except OSError:
                     await asyncio.sleep(0.02)
 
-    holder, idle, stuck = await connect(), await connect(), await connect()
-    stuck.transport.write(b"*1\r\n$4\r\nPI")  # a command without its end must not hold up the exit
-    holder.call(wait=10_000, number=b"held")
+    busy, idle, stuck = await connect(), await connect(), await connect()
+    stuck.transport.write(b"*1\r\n$4\r\nPI")  # an unfinished command must not delay the exit
+    busy.call(wait=10_000, number=b"held")
     await until(lambda: host.commands)
     process.send_signal(signal.SIGTERM)
     await until(lambda: idle.closed)
@@ -589,13 +591,13 @@
     await until(lambda: len(host.commands) == 2)
     for connection in host.connections:
         connection.transport.write(b"*1\r\n$2\r\nok\r\n")
-    assert await holder.replied() == await late.replied() == [b"ok"]
+    assert await busy.replied() == await late.replied() == [b"ok"]
     assert await asyncio.wait_for(process.wait(), 10) == 0
-    assert holder.closed and late.closed
+    assert busy.closed and late.closed
 
 
 @asyncio_test
-async def test_a_refusal_tells_when_to_come_back_in_whole_milliseconds_and_no_earlier():
+async def test_retry_after_is_rounded_up_to_whole_milliseconds():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
@@ -608,21 +610,21 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_does_not_stop_the_gossip():
+async def test_exception_in_the_decision_module_does_not_stop_gossip():
     rig = Rig(await FakeHost("a").listen())
-    turns = []
+    ticks = []
 
-    def turn():
-        turns.append(rig.loop.time())
+    def tick():
+        ticks.append(rig.loop.time())
         rig.driver.gateway.actions.append(api.SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._turn = turn
-    await until(lambda: len(turns) >= 3)
+    rig.driver.gateway._turn = tick
+    await until(lambda: len(ticks) >= 3)
 
 
 @asyncio_test
-async def test_a_client_that_reads_no_answers_is_not_read_from():
+async def test_client_that_does_not_read_gets_backpressure():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
@@ -632,7 +634,7 @@
     pause = client.pause_writing
     client.transport.set_write_buffer_limits(high=1024)
     client.pause_writing = lambda: (paused.append(True), pause())
-    # A few commands a turn are carried out: what the sockets hold on the way has to be small.
+    # Few commands are executed per loop iteration, so the socket buffers must be small.
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     caller.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     pings = 0
@@ -647,8 +649,8 @@
 
 
 @asyncio_test
-async def test_whose_request_waits_in_the_socket_does_not_make_room_for_another():
-    """The loop is behind: when one more comes, requests of those idle longest were sent, but not read yet."""
+async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
+    """With event loop lag, requests of the clients idle longest may be unread when an eviction is due."""
     rig = Rig(await FakeHost("a").listen())
     asked = await rig.caller()
     address = asked.transport.get_extra_info("peername")
@@ -656,13 +658,13 @@
         await until(lambda: len(rig.clients.open) == 3)
         spare = await rig.caller()
         await until(lambda: len(rig.clients.open) == 4)
-        asked.call()  # so that the others are idle longer
+        asked.call()  # so that the others have been idle longer
         await asked.replied()
-        rig.clients.most = 4
+        rig.clients.max_connections = 4
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
-        rig.clients.opened(list(rig.clients.open)[-1])  # in the same moment: nothing is read in between
+        rig.clients.connection_opened(list(rig.clients.open)[-1])  # at once: nothing is read in between
         for idle in (first, second):
             assert await asyncio.wait_for(rig.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
         await until(lambda: spare.closed)
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -1,6 +1,6 @@
-"""Connections to hosts at rare moments: what comes while nobody looks, what may not go out any more.
+"""Races on connections to hosts: unread input on idle ones, attempts that must not be sent any more.
 
-Hosts and clients are plain sockets here, so that the loop stands still until a test lets it run."""
+Hosts and clients are plain sockets, so that the event loop does not run until a test lets it."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 STALE = b"*1\r\n$5\r\nstale\r\n"
 
 
-def arrived(fd: int) -> None:
-    """The kernel has it: nothing has to run for that but the other end's send."""
+def wait_readable(fd: int) -> None:
+    """Wait until the kernel has received data or a close, without running the event loop."""
     look = select.poll()
     look.register(fd, select.POLLIN | select.POLLRDHUP)
     assert look.poll(5_000)
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Close a socket with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class PlainHost(FakeHost):
-    """A listening socket that does what the test does."""
+    """A listening socket whose connections the test itself reads and writes."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
@@ -50,8 +50,8 @@
         return sock
 
 
-async def command(sock: socket.socket) -> list[bytes]:
-    """The next one that comes whole."""
+async def receive_command(sock: socket.socket) -> list[bytes]:
+    """Read the next complete command."""
     reader = hiredis.Reader()
     while (words := reader.gets()) is False:
         data = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), 5)
@@ -60,53 +60,52 @@
     return words
 
 
-LEFT = {
-    "an end": lambda sock: sock.close(),
+LEFTOVERS = {
+    "a close": lambda sock: sock.close(),
     "a reset": reset,
     "half a line": lambda sock: sock.sendall(b"*1\r\n$5"),
-    "a second answer": lambda sock: sock.sendall(STALE),
-    "an answer and an end": lambda sock: (sock.sendall(STALE), sock.close()),
+    "a duplicate response": lambda sock: sock.sendall(STALE),
+    "a response and a close": lambda sock: (sock.sendall(STALE), sock.close()),
 }
 
 
 @pytest.mark.parametrize("kind", ["read", "bill"])
-@pytest.mark.parametrize("left", LEFT)
+@pytest.mark.parametrize("left", LEFTOVERS)
 @asyncio_test
-async def test_what_waits_unread_on_an_idle_connection_meets_no_request(left, kind):
-    """The request comes first and what the host left behind it, both before the loop looks again: it was sent
-    on that connection, and lost for nothing, or answered with what belonged to another."""
+async def test_idle_connection_with_unread_input_is_not_reused(left, kind):
+    """A request and the host's leftover input both arrive before the loop polls again. The request was sent
+    on that connection and lost, or answered with another request's response."""
     host = PlainHost("a")
     rig = Rig(host)
     caller = await rig.caller()
     caller.call(kind, number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     await rig.loop.sock_sendall(first, ANSWER)
     assert await caller.replied() == [b"fresh"]
     (connection,) = rig.hosts.pools[b"a"].idle
     await until(lambda: rig.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
     client = next(iter(rig.clients.open))
-    caller.call(kind, number=b"two")  # goes to the kernel at once
-    arrived(client.transport.get_extra_info("socket").fileno())
-    LEFT[left](first)
-    arrived(connection.transport.get_extra_info("socket").fileno())
+    caller.call(kind, number=b"two")  # passed to the kernel at once
+    wait_readable(client.transport.get_extra_info("socket").fileno())
+    LEFTOVERS[left](first)
+    wait_readable(connection.transport.get_extra_info("socket").fileno())
     second = await host.accept()
-    assert (await command(second))[2] == b"two"
+    assert (await receive_command(second))[2] == b"two"
     await rig.loop.sock_sendall(second, ANSWER)
     assert await caller.replied(2) == [b"fresh", b"fresh"]
     assert rig.hosts.sockets == 1 and rig.driver.stats["host_stale"] == 1
 
 
 @asyncio_test
-async def test_a_second_answer_that_comes_late_is_not_given_to_the_next_request():
-    """The next request came at once and went out on the same connection, where the answer to the one before
-    came once more."""
+async def test_late_duplicate_response_is_not_matched_to_the_next_request():
+    """The next request followed at once on the same connection, and the duplicate response arrived there."""
     host = PlainHost("a")
     rig = Rig(host)
     caller = await rig.caller()
     caller.call(number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     await rig.loop.sock_sendall(first, ANSWER)
     await caller.replied()
     caller.call(number=b"two")
@@ -114,14 +113,14 @@
     await rig.loop.sock_sendall(first, STALE)
     await until(lambda: rig.driver.stats["host_unasked"])
     second = await host.accept()
-    assert (await command(second))[2] == b"two"
+    assert (await receive_command(second))[2] == b"two"
     await rig.loop.sock_sendall(second, ANSWER)
     assert await caller.replied(2) == [b"fresh", b"fresh"]
 
 
 @asyncio_test
-async def test_nothing_begins_after_the_final_answer():
-    """One attempt waits for its connection while another of the same request is served."""
+async def test_no_attempt_starts_after_the_final_answer():
+    """One attempt waits for a connection while another attempt of the same request is served."""
     slow, quick = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(slow, quick, permissions=SITE["permissions"] | {"cancel": False, "connectTimeout": 5_000_000})
     gate, caller = Gate(rig, slow.port), await rig.caller()
@@ -129,41 +128,42 @@
     caller.call()
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     (number,) = rig.driver.calls
-    rig.driver._carry_out([api.Send(number, b"b", 0, 0)])
+    rig.driver._execute([api.Send(number, b"b", 0, 0)])
     assert await caller.replied() == [b"ok"]
     gate.open()
     await until(lambda: slow.connections and not rig.hosts.pools[b"a"].opening)
     assert rig.driver.stats["attempt_not_connected"] == 1
-    caller.call(number=b"id2")  # whatever was to come before it has come
+    caller.call(number=b"id2")  # anything sent earlier arrives before it
     await caller.replied(2)
     assert [command[2] for command in slow.commands] == [b"id2"]
 
 
 @asyncio_test
-async def test_what_waits_takes_a_connection_that_has_cooled_down_and_only_the_rest_opens_others():
-    """A new one for each request that came within the cooldown cost a host a handshake, and a fifth more."""
+async def test_queued_attempts_reuse_cooled_down_connections_before_opening_new_ones():
+    """Opening a connection for each request within the cooldown cost hosts a handshake, and a fifth more
+    connections."""
     host = PlainHost("a")
     rig = Rig(host)
     caller, pool = await rig.caller(), rig.hosts.pools[b"a"]
     caller.call(number=b"one")
     first = await host.accept()
-    await command(first)
+    await receive_command(first)
     gate = Gate(rig, host.port)
     for number in (b"two", b"three"):
         await rig.loop.sock_sendall(first, ANSWER)
         await until(lambda: pool.idle)
         caller.call(number=number)
-        assert (await command(first))[2] == number
+        assert (await receive_command(first))[2] == number
     assert rig.hosts.sockets == 1 and pool.opening == 0
     await rig.loop.sock_sendall(first, ANSWER)
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
         caller.call(number=number)
     await until(lambda: gate.under_way == 2)
-    assert (await command(first))[2] == b"four"
+    assert (await receive_command(first))[2] == b"four"
     gate.open()
     others = [await host.accept() for _ in range(2)]
-    assert {(await command(other))[2] for other in others} == {b"five", b"six"}
+    assert {(await receive_command(other))[2] for other in others} == {b"five", b"six"}
     for each in (first, *others):
         await rig.loop.sock_sendall(each, ANSWER)
     assert await caller.replied(6) == [b"fresh"] * 6
@@ -171,7 +171,7 @@
 
 
 class Gate:
-    """Connections to a port come up once it is open."""
+    """Delays connecting to a port until it is opened."""
 
     def __init__(self, rig: Rig, port: int) -> None:
         self.loop, self.port, self.gate = rig.hosts.loop, port, asyncio.Event()
@@ -193,20 +193,20 @@
 
 @pytest.mark.parametrize("kind", ["read", "bill"])
 @asyncio_test
-async def test_a_connection_that_comes_up_as_its_time_runs_out_is_used(kind):
-    """The loop stood still from before the time until after it, and then closed the connection without a word
-    to anyone: the request on it was never answered, and its socket counted until then."""
+async def test_connection_established_at_its_timeout_is_used(kind):
+    """When the loop was blocked across the connect timeout, the connection was closed without reporting it:
+    its request was never answered, and it stayed in the connection count."""
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=SITE["permissions"] | {"connectTimeout": 50_000})
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    up = pool.up
+    up = pool.connected
 
-    def held(connection):
+    def block_loop(connection):
         up(connection)
         time.sleep(0.1)
 
-    pool.up = held
+    pool.connected = block_loop
     caller.call(kind)
     assert await caller.replied() == [b"ok"]
     await until(lambda: pool.idle)
@@ -215,11 +215,11 @@
     assert rig.hosts.sockets == len(host.connections)
 
 
-ENDS = {
+CONNECT_OUTCOMES = {
     "refused": lambda rig, host, gate: (host.listener.close(), gate.open()),
-    "too late": lambda rig, host, gate: None,
+    "timed out": lambda rig, host, gate: None,
     "gone while it opens": lambda rig, host, gate: rig.told(host.line("DELETED")),
-    "gone in the turn in which it comes up": lambda rig, host, gate: (
+    "gone in the loop iteration in which it opens": lambda rig, host, gate: (
         gate.open(),
         rig.told(host.line("DELETED")),
     ),
@@ -229,9 +229,9 @@
 }
 
 
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", CONNECT_OUTCOMES)
 @asyncio_test
-async def test_however_a_connect_ends_it_is_counted_once_and_nothing_goes_to_a_host_that_is_gone(end):
+async def test_failed_connects_are_counted_once_and_send_nothing(end):
     host = PlainHost("a")
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1, "connectTimeout": 200_000})
     gate = Gate(rig, host.port)
@@ -239,17 +239,17 @@
     caller.call("bill")
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     assert rig.hosts.sockets == 1
-    ENDS[end](rig, host, gate)
+    CONNECT_OUTCOMES[end](rig, host, gate)
     if end != "client gone":
         assert error((await caller.replied())[0]).startswith("BUSY")
     await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
-    if end != "too late":
+    if end != "timed out":
         await until(lambda: gate.under_way == 0)
     await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
     try:
         sock, _ = host.listener.accept()
     except OSError:
-        return  # it never came there
+        return  # no connection was established
     sock.setblocking(False)
     with contextlib.suppress(BlockingIOError, ConnectionResetError):
         assert sock.recv(64) == b""
@@ -257,20 +257,20 @@
 
 @pytest.mark.parametrize("early", [b"*1\r\n$2\r\nok\r\n", b"*1\r\n$2\r", b"-ERR failed\r\n", b"+OK\r\n"])
 @asyncio_test
-async def test_what_comes_before_a_request_is_out_is_not_its_answer(early):
-    """A host can't have served what it has not got; since its last byte never leaves, it never runs."""
+async def test_input_before_a_request_is_fully_sent_is_not_its_response(early):
+    """A host cannot have served a request that it has not received; it is never executed."""
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
     pool = rig.hosts.pools[b"a"]
-    up = pool.up
+    up = pool.connected
 
-    def narrow(connection):
+    def shrink_send_buffer(connection):
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    pool.up = narrow
+    pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
@@ -280,7 +280,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_says_busy_and_more_may_have_run_it():
+async def test_busy_followed_by_more_input_may_have_been_executed():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"-BUSY\r\n*1\r\n$2\r\nok\r\n"
@@ -292,8 +292,8 @@
 
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
-async def test_an_answer_cut_at_any_byte_is_none(end):
-    """An unsafe request is failed and not sent again; a whole answer counts whatever comes behind it."""
+async def test_response_truncated_at_any_byte_is_not_accepted(end):
+    """An unsafe request fails without a retry; a complete response counts whatever follows it."""
     data = b"*3\r\n$5\r\nfresh\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
     for cut in range(len(data) + 1):
         host = PlainHost("a")
@@ -301,7 +301,7 @@
         caller = await rig.caller()
         caller.call("bill")
         sock = await host.accept()
-        await command(sock)
+        await receive_command(sock)
         await rig.loop.sock_sendall(sock, data[:cut])
         sock.close() if end == "end" else reset(sock)
         (reply,) = await caller.replied()
@@ -317,8 +317,8 @@
 
 
 @asyncio_test
-async def test_no_repeat_goes_out_after_its_window_however_late_its_connection_comes_up():
-    """It was decided on within the window and sent when the connection was there."""
+async def test_no_retry_is_sent_after_the_repeat_window():
+    """It was decided on within the window, but sent later, when its connection was established."""
     classes = [dict(cls, dedupWindow=300_000) for cls in SITE["classes"]]
     first, second = await FakeHost("a").listen(), await FakeHost("b").listen()
     first.script = lambda command: b"reset"
@@ -328,14 +328,14 @@
     caller = await rig.caller()
     ended, feed = [], rig.driver.feed
 
-    def told(event):
+    def feed_and_update_list(event):
         if isinstance(event, api.AttemptEnded):
             ended.append(event)
-            if len(ended) == 1:  # before it is decided on: only the other host is left
+            if len(ended) == 1:  # before the retry is decided on: only the other host is left
                 feed(api.ServerListed(api.ListKind.CHANGES, 3, entries(rig, first, second)))
         feed(event)
 
-    rig.driver.feed = told
+    rig.driver.feed = feed_and_update_list
     caller.call("put", wait=3000)
     await until(lambda: rig.hosts.pools[b"b"].waiting)
     sent = rig.loop.time()
@@ -355,8 +355,8 @@
 
 
 @asyncio_test
-async def test_no_path_counts_a_connection_twice_and_every_stage_ends():
-    """Hosts that refuse, reset, end and answer under many requests: in the end only idle ones are counted."""
+async def test_connections_are_counted_once_on_every_path():
+    """Hosts refuse, reset, close and answer under many requests; afterwards only idle connections count."""
     hosts = [await FakeHost(name).listen() for name in "abcd"]
     replies = [b"reset", b"-BUSY\r\n", b"-ERR failed\r\n", ANSWER, ANSWER + STALE, b"$5\r\nodd"]
     for place, host in enumerate(hosts):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Large values, up to 4 MiB: answers that stream, requests that are kept, and what they may take."""
+"""Large values, up to 4 MiB: streamed responses, buffered uploads, and their memory limit."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_large_value_passes_the_parser_wherever_it_is_cut(seed):
+def test_large_values_are_streamed_whatever_the_segmentation(seed):
     draw = random.Random(seed)
     bodies = [draw.randbytes(size) for size in (VALUE_BYTES_MAX, VALUE_BYTES_MAX + 1, 200_000, 3)]
     data = b"".join(post(body, b"%d" % n) for n, body in enumerate(bodies))
-    reader = Reader(2 * VALUE_BYTES_MAX, large_at=4, large_last=True)
-    commands, passed = [], []
+    reader = Reader(2 * VALUE_BYTES_MAX, large_index=4, large_must_be_last=True)
+    commands, chunks = [], []
     while data:
         size = draw.choice((1, 2, 3, 7, 50, 4096, 70_000))
         reader.feed(data[:size])
         data = data[size:]
-        for large in reader.large:
-            passed += large.take()
+        for large in reader.large_values:
+            chunks += large.take_chunks()
         while (command := reader.gets()) is not False:
             commands.append(command)
-    assert reader.between and reader.passing is None
+    assert reader.at_boundary and reader.streaming is None
     assert [command[2] for command in commands] == [b"0", b"1", b"2", b"3"]
     assert [command[4] for command in commands] == [bodies[0], PLACEHOLDER, PLACEHOLDER, bodies[3]]
-    assert b"".join(passed) == bodies[1] + bodies[2]
-    assert [large.length for large in reader.large] == [VALUE_BYTES_MAX + 1, 200_000]
+    assert b"".join(chunks) == bodies[1] + bodies[2]
+    assert [large.length for large in reader.large_values] == [VALUE_BYTES_MAX + 1, 200_000]
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"*5\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (LARGE_VALUE_BYTES_MAX + 1),
-        b"*5\r\n" + b"$1\r\nx\r\n" * 3 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the place for one
-        b"*6\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the last
+        b"*5\r\n" + b"$1\r\nx\r\n" * 3 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not at large_index
+        b"*6\r\n" + b"$1\r\nx\r\n" * 4 + b"$%d\r\n" % (3 * VALUE_BYTES_MAX),  # not the last value
         b"$%d\r\n" % (3 * VALUE_BYTES_MAX),
         b"*5\r\n"
         + b"$1\r\nx\r\n" * 4
@@ -64,8 +64,8 @@
         + b"\rx",
     ],
 )
-def test_what_is_too_long_or_out_of_place_is_wrong(data):
-    reader = Reader(2 * VALUE_BYTES_MAX, large_at=4, large_last=True)
+def test_values_too_long_or_misplaced_are_rejected(data):
+    reader = Reader(2 * VALUE_BYTES_MAX, large_index=4, large_must_be_last=True)
     reader.feed(data)
     with pytest.raises(hiredis.ProtocolError):
         while reader.gets() is not False:
@@ -73,16 +73,16 @@
 
 
 @asyncio_test
-async def test_a_large_answer_streams_and_the_connection_is_used_again(monkeypatch):
-    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # what rests is not used again yet
+async def test_large_response_is_streamed_and_its_connection_reused(monkeypatch):
+    monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
     host.script = lambda command: answer(BIG) if command[2] == b"big" else answer(b"small")
-    for turn in range(3):
+    for round_number in range(3):
         caller.call(number=b"big")
         caller.call(number=b"other")
-        assert await caller.replied(2 * turn + 2) == [BIG, b"small"] * (turn + 1)
+        assert await caller.replied(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
         await until(lambda: not rig.hosts.streams)
     assert rig.driver.stats["streamed"] == 3 and rig.hosts.streams == {}
     assert len(host.connections) == rig.hosts.sockets <= 2
@@ -90,7 +90,7 @@
 
 
 @asyncio_test
-async def test_first_bytes_go_on_at_once_and_pieces_may_be_cut_anywhere():
+async def test_streaming_starts_at_once_whatever_the_segmentation():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -104,7 +104,7 @@
     for cut in (1, 5, 7, 12, 14, 200, 100_000, len(BIG) + 13, len(BIG) + 15, len(data)):
         host.connections[0].transport.write(data[at:cut])
         at = cut
-        await asyncio.sleep(0.06)  # longer than its deadline in all: that does not run any more
+        await asyncio.sleep(0.06)  # in total longer than the deadline, which no longer applies
         if cut == 200:
             first = b"$%d\r\n" % len(BIG) + BIG[: 200 - 14]
             assert await reader.readexactly(len(first)) == first
@@ -115,7 +115,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_breaks_off_ends_the_clients_connection_and_nothing_is_sent_again():
+async def test_truncated_stream_closes_the_client_connection_without_retry():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -133,8 +133,8 @@
 @pytest.mark.parametrize("rest", [b"$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n", b""])
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
-async def test_a_large_answer_cut_anywhere_never_looks_whole(end, rest):
-    """Where only the figures behind the value were missing, it did."""
+async def test_truncated_large_response_is_never_taken_for_complete(end, rest):
+    """It was when only the metadata behind the value was missing."""
     value = BIG[:70_000]
     data = answer(value, rest) if rest else b"*1\r\n$%d\r\n%b\r\n" % (len(value), value)
     head, tail = data.index(value), data.index(value) + len(value)
@@ -165,14 +165,14 @@
         caller.transport.close()
 
 
-@pytest.mark.parametrize("wrong", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
+@pytest.mark.parametrize("suffix", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
 @asyncio_test
-async def test_a_large_answer_that_is_spoilt_before_its_turn_fails_alone(wrong):
-    """It took the connection along, and with it the request before it, which was still to be answered."""
+async def test_malformed_large_response_behind_another_fails_alone(suffix):
+    """It closed the connection, and with it the earlier request that was still unanswered."""
     host = await FakeHost("a").listen()
     first = []
-    spoilt = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], wrong + b"\r\n" + b"x" * 70_000)
-    host.script = lambda command: first.append(host.sender) if command[2] == b"one" else spoilt
+    malformed = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], suffix + b"\r\n" + b"x" * 70_000)
+    host.script = lambda command: first.append(host.sender) if command[2] == b"one" else malformed
     rig = Rig(host)
     caller = await rig.caller()
     caller.call(number=b"one")
@@ -187,7 +187,7 @@
 
 
 @asyncio_test
-async def test_a_large_answer_that_comes_twice_is_passed_on_once():
+async def test_duplicate_large_response_is_forwarded_once():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG) * 2 if command[2] == b"one" else answer(b"other")
     rig = Rig(host)
@@ -199,7 +199,7 @@
 
 
 @asyncio_test
-async def test_a_host_that_falls_silent_within_an_answer_is_given_up(monkeypatch):
+async def test_stalled_stream_is_given_up(monkeypatch):
     monkeypatch.setattr(hosts_module, "STREAM_IDLE_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
@@ -210,7 +210,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_reads_slowly_pauses_its_host_and_one_that_leaves_frees_it():
+async def test_slow_client_pauses_its_host_and_a_disconnect_releases_it():
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
     host.script = lambda command: answer(value)
@@ -232,11 +232,11 @@
     assert rig.hosts.streams
     sock.close()
     await until(lambda: not rig.hosts.streams and not rig.hosts.sockets)
-    assert not rig.driver.stats["stream_broken"]  # the host did not
+    assert not rig.driver.stats["stream_broken"]  # counts only streams that a host broke off
 
 
 @asyncio_test
-async def test_a_slow_reader_is_kept_as_long_as_it_reads(monkeypatch):
+async def test_slow_reader_is_kept_as_long_as_it_reads(monkeypatch):
     monkeypatch.setattr(client_module, "WRITE_STALL_TIMEOUT", client_module.COMMAND_TIMEOUT + 0.6)
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
@@ -245,7 +245,7 @@
     caller = await rig.caller()
     (client,) = await asyncio.sleep(0.05) or rig.clients.open
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    client.transport.set_write_buffer_limits(high=1_000, low=0)  # it is seldom empty
+    client.transport.set_write_buffer_limits(high=1_000, low=0)  # so that it rarely drains
     caller.call(wait=2000)
     for _ in range(40):
         caller.transport.pause_reading()
@@ -256,14 +256,14 @@
 
 
 @asyncio_test
-async def test_a_large_request_arrives_whole_and_may_go_again():
+async def test_large_request_is_forwarded_whole_and_can_be_retried():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [b"-BUSY\r\n", answer(b"done"), answer(b"small")]
     for host in hosts:
         host.script = lambda command: replies.pop(0)
     rig = Rig(*hosts)
     caller = await rig.caller()
-    free = rig.clients.room.free
+    free = rig.clients.upload_memory.free
     data = post(BIG)
     for at in range(0, len(data), 400_000):
         assert not hosts[0].commands + hosts[1].commands
@@ -273,48 +273,48 @@
     assert await caller.replied(2) == [b"done", b"small"]
     commands = [command for host in hosts for command in host.commands]
     assert [command[4] for command in commands if command[2] == b"id1"] == [BIG, BIG]
-    assert rig.clients.room.free == free
+    assert rig.clients.upload_memory.free == free
 
 
 @asyncio_test
-async def test_bodies_wait_for_room_and_all_of_them_arrive():
+async def test_uploads_wait_for_memory_and_are_all_served():
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.room.free = 2 * len(BIG) + 1
+    rig.clients.upload_memory.free = 2 * len(BIG) + 1
     host.script = lambda command: answer(command[2])
     callers = [await rig.caller() for _ in range(6)]
     for number, caller in enumerate(callers):
         caller.transport.write(post(BIG, b"id%d" % number)[:-10])
-    await until(lambda: len(rig.clients.room.waiting) == 4)
-    assert rig.clients.room.free == 1
-    callers[5].transport.close()  # one that waits leaves, and one that has room
+    await until(lambda: len(rig.clients.upload_memory.waiting) == 4)
+    assert rig.clients.upload_memory.free == 1
+    callers[5].transport.close()  # one that waits for memory disconnects, and one that holds some
     callers[0].transport.close()
     for number, caller in enumerate(callers[1:5], 1):
         caller.transport.write(post(BIG, b"id%d" % number)[-10:])
     for number, caller in enumerate(callers[1:5], 1):
         assert await caller.replied() == [b"id%d" % number]
-    await until(lambda: rig.clients.room.free == 2 * len(BIG) + 1)
-    assert rig.clients.room.waiting == {} and len(host.commands) == 4
+    await until(lambda: rig.clients.upload_memory.free == 2 * len(BIG) + 1)
+    assert rig.clients.upload_memory.waiting == {} and len(host.commands) == 4
 
 
 @asyncio_test
-async def test_who_finds_no_room_for_long_is_told_that_trying_again_is_harmless(monkeypatch):
-    monkeypatch.setattr(uploads_module, "UPLOAD_ROOM_TIMEOUT", 0.3)
+async def test_upload_without_memory_in_time_is_refused_as_retryable(monkeypatch):
+    monkeypatch.setattr(uploads_module, "UPLOAD_MEMORY_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    rig.clients.room.free = 10
+    rig.clients.upload_memory.free = 10
     caller = await rig.caller()
     caller.transport.write(post(BIG))
     assert str((await caller.replied())[0]) == "BUSY"
     await until(lambda: caller.closed)
-    assert rig.clients.room.free == 10 and host.commands == []
+    assert rig.clients.upload_memory.free == 10 and host.commands == []
 
 
 @asyncio_test
-async def test_a_body_that_stops_or_dawdles_ends_in_time():
+async def test_stalled_and_slow_uploads_are_closed_in_time():
     rig = Rig(await FakeHost("a").listen())
     stops, dawdles = [await rig.caller() for _ in range(2)]
-    began, free = rig.loop.time(), rig.clients.room.free
+    began, free = rig.loop.time(), rig.clients.upload_memory.free
     for caller in (stops, dawdles):
         caller.transport.write(post(BIG)[:1000])
     while not (stops.closed and dawdles.closed):
@@ -322,12 +322,12 @@
         await asyncio.sleep(0.05)
     assert str(stops.replies[0]).startswith("ERR") and str(dawdles.replies[0]).startswith("ERR")
     assert rig.loop.time() - began < 4
-    await until(lambda: rig.clients.room.free == free)
+    await until(lambda: rig.clients.upload_memory.free == free)
 
 
 @pytest.mark.parametrize("more", [0, 1_000_000])
 @asyncio_test
-async def test_a_body_over_the_limit_gets_its_error_line(more):
+async def test_body_over_the_limit_gets_an_error(more):
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.transport.write(post(b"x" * (LARGE_VALUE_BYTES_MAX + 1 + more)))
@@ -337,19 +337,19 @@
 
 
 @asyncio_test
-async def test_a_malformed_request_with_a_large_body_is_read_away_and_the_connection_kept():
+async def test_malformed_request_with_a_large_body_is_discarded_and_the_connection_kept():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
-    free = rig.clients.room.free
+    free = rig.clients.upload_memory.free
     caller.transport.write(post(BIG, terms=b"c=put") + hiredis.pack_command((b"PING",)))
     replies = await caller.replied(2)
     assert str(replies[0]).startswith("ERR") and replies[1] == b"PONG"
-    assert rig.clients.room.free == free and host.commands == []
+    assert rig.clients.upload_memory.free == free and host.commands == []
 
 
 @asyncio_test
-async def test_the_end_waits_for_the_rest_of_a_large_answer():
+async def test_shutdown_waits_for_the_rest_of_a_streamed_response():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
     rig = Rig(host)
