--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -92,7 +92,7 @@
 
 async def by_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
-    rig.clients.drain._close_between()
+    rig.clients.drain._close_idle()
     return b""
 
 
