--- a/lab/defects.py
+++ b/lab/defects.py
@@ -13,7 +13,7 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
-from orchidlane.member_messages import Message, Odd, Row, Word
+from orchidlane.member_messages import Message, InvalidMessage, Row, Word
 from orchidlane.member_news import MEMBER
 from orchidlane.membership import Membership
 from saffrongw import places
@@ -104,7 +104,7 @@
 
     def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
         done = super().heard(now, source, data)
-        with contextlib.suppress(Odd):
+        with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
             if rank != self.rank and life >= self.known.get(rank, Place(0, source)).life:
                 self.known[rank] = Place(life, source)
--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -19,8 +19,8 @@
 FORMAT, VERSION = 3, 1
 TAG = 8  # bytes
 HEAD = struct.Struct("<BHH7sIIIIBHII")
-START = 2 + TAG  # bytes before the head
-ROOM = SIZE_MOST - START - HEAD.size  # bytes for rows
+HEADER_OFFSET = 2 + TAG  # bytes before the head
+ROOM = SIZE_MOST - HEADER_OFFSET - HEAD.size  # bytes for rows
 LIFE_BYTES = 7
 AGE_UNIT = 10_000  # microseconds
 COUNT_MOST = 0xFFFF_FFFF  # of incarnations and message numbers
@@ -86,11 +86,11 @@
     rows: tuple[Row, ...] = ()
 
 
-class Odd(Exception):
+class InvalidMessage(Exception):
     """Bytes that are no message of this cluster; the text is the name that they are counted by."""
 
 
-def key_of(cluster: str) -> bytes:
+def tag_key(cluster: str) -> bytes:
     """The tag's key of a cluster's name."""
     return hashlib.blake2s(cluster.encode()).digest()
 
@@ -128,15 +128,15 @@
     return bytes((FORMAT, version)) + _tag(key, version, body) + body
 
 
-def opened(data: bytes, key: bytes, version: int = VERSION) -> bytes:
+def unseal(data: bytes, key: bytes, version: int = VERSION) -> bytes:
     """A datagram's body; raises Odd: ``malformed``, ``version``, or ``foreign`` where its tag fails."""
-    if not START < len(data) <= SIZE_MOST or data[0] != FORMAT:
-        raise Odd("malformed")
+    if not HEADER_OFFSET < len(data) <= SIZE_MOST or data[0] != FORMAT:
+        raise InvalidMessage("malformed")
     if data[1] != version:
-        raise Odd("version")
-    body = data[START:]
-    if _tag(key, version, body) != data[2:START]:
-        raise Odd("foreign")
+        raise InvalidMessage("version")
+    body = data[HEADER_OFFSET:]
+    if _tag(key, version, body) != data[2:HEADER_OFFSET]:
+        raise InvalidMessage("foreign")
     return body
 
 
@@ -162,9 +162,9 @@
 
 def unpack(data: bytes, key: bytes, ranks: int) -> Message:
     """The message; raises Odd: ``version``, ``foreign`` (garbled, or of another cluster) or ``malformed``."""
-    if len(data) < START + HEAD.size:
-        raise Odd("malformed")
-    body = opened(data, key)
+    if len(data) < HEADER_OFFSET + HEAD.size:
+        raise InvalidMessage("malformed")
+    body = unseal(data, key)
     try:
         kind, sender, receiver, life, *rest = HEAD.unpack_from(body)
         incarnation, number, heard, digest, flags, about, probe, report = rest
@@ -187,7 +187,7 @@
             rows,
         )
     except (ValueError, IndexError):
-        raise Odd("malformed") from None
+        raise InvalidMessage("malformed") from None
 
 
 def _rows(body: bytes, at: int, ranks: int) -> Iterable[Row]:
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -62,7 +62,7 @@
         self, rank: int, size: int, cluster: str, life: int, seed: int, now: int, intake: float = 0.0
     ) -> None:
         """``life`` tells this process from its former self: milliseconds of Unix time and ten random bits."""
-        self.rank, self.size, self.life, self.key = rank, size, life, messages.key_of(cluster)
+        self.rank, self.size, self.life, self.key = rank, size, life, messages.tag_key(cluster)
         self.random = random.Random(seed)
         self.incarnation = self.number = self.health = 0
         self.members = {other: Member(other) for other in range(size) if other != rank}
@@ -117,10 +117,10 @@
         try:
             message = messages.unpack(data, self.key, self.size)
             if message.sender != sender or message.receiver != self.rank or sender == self.rank:
-                raise messages.Odd("forged")
+                raise messages.InvalidMessage("forged")
             if not self.left and not self.yielded:
                 self._take(now, message)
-        except messages.Odd as odd:
+        except messages.InvalidMessage as odd:
             self.counts[f"dropped_{odd}"] += 1
         return self._done(now)
 
--- a/saffrongw/places.py
+++ b/saffrongw/places.py
@@ -33,7 +33,7 @@
 HELLO, HERE = 1, 2
 HEAD = struct.Struct(f"<BH{messages.LIFE_BYTES}sIIH")
 ROW = struct.Struct(f"<H{messages.LIFE_BYTES}s4sH")
-ROWS_MAX = (messages.SIZE_MOST - messages.START - HEAD.size) // ROW.size
+ROWS_MAX = (messages.SIZE_MOST - messages.HEADER_OFFSET - HEAD.size) // ROW.size
 
 # Between two tries at ``join`` while nobody is known, doubled with each.
 JOIN_INTERVAL_MIN, JOIN_INTERVAL_MAX = 250 * MS, 4 * SECOND
@@ -111,7 +111,7 @@
     ) -> None:
         """``own``: the address that others reach us at; ``join``: where to ask first, but for our own."""
         self.rank, self.size, self.life, self.own = rank, size, life, own
-        self.key = messages.key_of(cluster)
+        self.key = messages.tag_key(cluster)
         self.join = [address for address in join if address != own]
         self.random = random.Random(seed)
         self.known: dict[int, Place] = {}
@@ -152,7 +152,7 @@
         self.actions = []
         try:
             kind, rank, life, number, digest, page, rows = self._unpack(data)
-        except messages.Odd as odd:
+        except messages.InvalidMessage as odd:
             self.counts[f"dropped_{odd}"] += 1
             return []
         if rank == self.rank:
@@ -291,13 +291,13 @@
     # -- bytes ----------------------------------------------------------------------------------------------
 
     def _unpack(self, data: bytes) -> tuple[int, int, int, int, int, int, list[tuple[int, Place]]]:
-        body = messages.opened(data, self.key, VERSION)
+        body = messages.unseal(data, self.key, VERSION)
         if len(body) < HEAD.size or (len(body) - HEAD.size) % ROW.size:
-            raise messages.Odd("malformed")
+            raise messages.InvalidMessage("malformed")
         kind, rank, life, number, digest, page = HEAD.unpack_from(body)
         rows = list(self._rows(body))
         if kind not in (HELLO, HERE) or max(rank, page, *(other for other, _ in rows)) >= self.size:
-            raise messages.Odd("malformed")
+            raise messages.InvalidMessage("malformed")
         return kind, rank, _life(life), number, digest, page, rows
 
     @staticmethod
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
 from orchidlane.membership import PERIOD, STALL, TICK, Membership
 
 SECOND = 1_000_000
-KEY = messages.key_of("valley")
+KEY = messages.tag_key("valley")
 RANKS = st.integers(0, 199)
 SMALL = st.integers(0, 2**32 - 1)
 LIVES = st.integers(0, 2**56 - 1)
@@ -69,25 +69,25 @@
 def test_what_is_garbled_foreign_or_noise_is_dropped(message, at, flip, noise):
     body = bytearray(messages.pack(message, KEY))
     for other in (noise, bytes((messages.FORMAT, messages.VERSION)) + noise):
-        with pytest.raises(messages.Odd):
+        with pytest.raises(messages.InvalidMessage):
             messages.unpack(other, KEY, 200)
-    with pytest.raises(messages.Odd, match="foreign"):
-        messages.unpack(bytes(body), messages.key_of("other valley"), 200)
-    with pytest.raises(messages.Odd, match="version"):
+    with pytest.raises(messages.InvalidMessage, match="foreign"):
+        messages.unpack(bytes(body), messages.tag_key("other valley"), 200)
+    with pytest.raises(messages.InvalidMessage, match="version"):
         messages.unpack(bytes(body[:1]) + b"\x09" + bytes(body[2:]), KEY, 200)
     body[at % len(body)] ^= flip
-    with pytest.raises(messages.Odd):
+    with pytest.raises(messages.InvalidMessage):
         messages.unpack(bytes(body), KEY, 200)
 
 
 @given(st.binary(max_size=120))
 def test_rows_that_make_no_sense_are_dropped_whole(noise):
-    head = messages.pack(Message(Kind.NEWS, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.START :]
+    head = messages.pack(Message(Kind.NEWS, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
     body = head + noise
     data = messages.seal(KEY, body)
     try:
         message = messages.unpack(data, KEY, 200)
-    except messages.Odd:
+    except messages.InvalidMessage:
         return
     assert all(row.rank < 200 and row.by < 200 for row in message.rows)
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -17,7 +17,7 @@
 from registry import meeting as table
 from saffrongw import meeting, places
 
-KEY = messages.key_of("lab")
+KEY = messages.tag_key("lab")
 SEEDS = (1, 2, 3)
 
 
