--- a/lab/defects.py
+++ b/lab/defects.py
@@ -13,7 +13,7 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
-from orchidlane.member_messages import Message, InvalidMessage, Row, Word
+from orchidlane.member_messages import InvalidMessage, Message, Row, RowKind
 from orchidlane.member_news import MEMBER
 from orchidlane.membership import Membership
 from saffrongw import places
@@ -66,8 +66,8 @@
 
     def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
         super()._learn_doubt(now, member, row, at)
-        if row.word is Word.GONE and member.state in state.HERE:
-            self._set(now, member, state.State.GONE)
+        if row.kind is RowKind.DEAD and member.state in state.HERE:
+            self._set(now, member, state.State.DEAD)
         return False
 
 
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -4,7 +4,7 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
-from orchidlane.member_messages import Message, Row, Word
+from orchidlane.member_messages import Message, Row, RowKind
 
 from .membership import Core, Factory, Ours, ours
 
@@ -72,15 +72,15 @@
     def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
         member.there = 0
         super()._learn_doubt(now, member, row, at)
-        if row.word is Word.GONE and member.state in state.HERE and row.incarnation >= member.incarnation:
-            self._set(now, member, state.State.GONE)
+        if row.kind is RowKind.DEAD and member.state in state.HERE and row.incarnation >= member.incarnation:
+            self._set(now, member, state.State.DEAD)
             self.news.add(now, row)
         return False
 
     def _look_at_suspects(self, now: int) -> None:
         for member in [self.members[rank] for rank in self.suspects]:
             if now - member.noticed >= self._patience(member):
-                self._set(now, member, state.State.GONE)
+                self._set(now, member, state.State.DEAD)
                 self.news.add(now, self._row(now, member))
 
     def _take(self, now: int, message: Message) -> None:
--- a/lab/model.py
+++ b/lab/model.py
@@ -165,7 +165,7 @@
             (at, member.rank)
             for at, core in enumerate(self.cores)
             for member in core.members.values()
-            if member.state is state.State.GONE
+            if member.state is state.State.DEAD
         ]
 
     def faults(self, kinds: Collection[str]) -> Iterator[Fault]:
--- a/orchidlane/member_links.py
+++ b/orchidlane/member_links.py
@@ -4,7 +4,7 @@
 
 import zlib
 
-from .member_messages import Row, Word
+from .member_messages import Row, RowKind
 
 
 class Links:
@@ -20,7 +20,7 @@
 
     def learn(self, row: Row) -> bool:
         """A report; whether it is news."""
-        at, dead = (row.rank, row.by), row.word is Word.LINK_DOWN
+        at, dead = (row.rank, row.by), row.kind is RowKind.LINK_DOWN
         life, number, was = self.reports.get(at, (0, 0, False))
         if (row.life, row.incarnation) <= (life, number) or row.rank == row.by:
             return False
@@ -38,7 +38,7 @@
     def rows(self, source: int) -> list[Row]:
         """All reports of one that sends."""
         return [
-            Row(Word.LINK_DOWN if dead else Word.LINK_UP, rank, life, number, by=by)
+            Row(RowKind.LINK_DOWN if dead else RowKind.LINK_UP, rank, life, number, by=by)
             for (rank, by), (life, number, dead) in self.reports.items()
             if rank == source
         ]
--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -27,7 +27,7 @@
 DOUBTFUL = 1  # flag: the sender stood still and has not heard anything fresh since
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message asks or answers."""
 
     PING = 1  # answer this; ``about`` is the member that wants to know, often the sender
@@ -38,19 +38,19 @@
     NEWS = 6  # rows alone
 
 
-class Word(IntEnum):
+class RowKind(IntEnum):
     """What a row says."""
 
     ALIVE = 1
     SUSPECT = 2
-    GONE = 3
+    DEAD = 3
     LEFT = 4
-    HEARD = 5  # ``by`` has heard it so long ago: it was there then
+    LAST_SEEN = 5  # ``by`` has heard it so long ago: it was there then
     LINK_DOWN = 6  # nothing that ``rank`` sends reaches ``by``
     LINK_UP = 7
 
 
-AGED = (Word.SUSPECT, Word.GONE, Word.HEARD)
+AGED = (RowKind.SUSPECT, RowKind.DEAD, RowKind.LAST_SEEN)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     """News of a member: its life and incarnation that it is about, the age in microseconds of what it rests
     on, and who saw it. For links: ``by`` is the other end, ``incarnation`` the number of the report."""
 
-    word: Word
+    kind: RowKind
     rank: int
     life: int
     incarnation: int
@@ -71,7 +71,7 @@
     """One datagram. ``heard`` is the highest number of the receiver's that the sender heard directly;
     ``digest`` of the sender's view; ``probe`` a ping's number; ``report`` see ``Kind``."""
 
-    kind: Kind
+    kind: MessageKind
     sender: int
     receiver: int
     life: int
@@ -97,13 +97,13 @@
 
 def pack_row(row: Row) -> bytes:
     """One row as bytes."""
-    out = bytearray((row.word,))
+    out = bytearray((row.kind,))
     put(out, row.rank)
     out += row.life.to_bytes(LIFE_BYTES, "little")
     put(out, row.incarnation)
-    if row.word in AGED:
+    if row.kind in AGED:
         put(out, min(-(-row.age // AGE_UNIT), 0x1FFFFF))  # never younger by rounding
-    if row.word not in (Word.ALIVE, Word.LEFT):
+    if row.kind not in (RowKind.ALIVE, RowKind.LEFT):
         put(out, row.by)
     return bytes(out)
 
@@ -172,7 +172,7 @@
             raise ValueError
         rows = tuple(_rows(body, HEAD.size, ranks))
         return Message(
-            Kind(kind),
+            MessageKind(kind),
             sender,
             receiver,
             int.from_bytes(life, "little"),
@@ -192,7 +192,7 @@
 
 def _rows(body: bytes, at: int, ranks: int) -> Iterable[Row]:
     while at < len(body):
-        word = Word(body[at])
+        word = RowKind(body[at])
         rank, at = read_varint(body, at + 1)
         if at + LIFE_BYTES > len(body):
             raise ValueError("cut off")
@@ -201,7 +201,7 @@
         age = by = 0
         if word in AGED:
             age, at = read_varint(body, at)
-        if word not in (Word.ALIVE, Word.LEFT):
+        if word not in (RowKind.ALIVE, RowKind.LEFT):
             by, at = read_varint(body, at)
         if max(rank, by) >= ranks or incarnation > COUNT_MOST:
             raise ValueError("out of range")
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .member_messages import Row, Word
+from .member_messages import Row, RowKind
 
 SENT_KEPT = 16  # numbers of what was sent to a member, to know what it has not heard
 
@@ -17,12 +17,17 @@
     UNKNOWN = "unknown"  # not heard of yet
     ALIVE = "alive"
     SUSPECT = "suspect"
-    GONE = "gone"
+    DEAD = "gone"
     LEFT = "left"
 
 
 HERE = (State.ALIVE, State.SUSPECT)
-WORDS = {State.ALIVE: Word.ALIVE, State.SUSPECT: Word.SUSPECT, State.GONE: Word.GONE, State.LEFT: Word.LEFT}
+WORDS = {
+    State.ALIVE: RowKind.ALIVE,
+    State.SUSPECT: RowKind.SUSPECT,
+    State.DEAD: RowKind.DEAD,
+    State.LEFT: RowKind.LEFT,
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -18,8 +18,8 @@
 
 from . import member_messages as messages
 from .member_links import Links
-from .member_messages import Kind, Message, Row, Word
-from .member_news import HEARD, SUSPICION, News
+from .member_messages import Message, MessageKind, Row, RowKind
+from .member_news import LAST_SEEN, SUSPICION, News
 from .member_state import HERE, WORDS, Action, Member, Notice, Probe, State, Tell, View
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
@@ -129,19 +129,19 @@
         self._begin(now)
         if not self.left and not self.yielded:
             self.incarnation += 1
-            self.news.add(now, Row(Word.LEFT, self.rank, self.life, self.incarnation))
+            self.news.add(now, Row(RowKind.LEFT, self.rank, self.life, self.incarnation))
             here = [m.rank for m in self.members.values() if m.state in HERE]
             self.allowance = max(self.allowance, 2.0 * len(here[: self._log(4)]))
             for rank in self.random.sample(here, min(len(here), self._log(4))):
-                self._tell(now, rank, Kind.NEWS)
-                self._tell(now, rank, Kind.NEWS)  # twice: one may be lost
+                self._tell(now, rank, MessageKind.NEWS)
+                self._tell(now, rank, MessageKind.NEWS)  # twice: one may be lost
             self.left = True
         return self._done(now)
 
     def replaced(self, now: int, life: int) -> list[Action]:
         """A process of this life was found under our rank, by other means than ours."""
         self._begin(now)
-        self._learn_of_myself(now, Row(Word.ALIVE, self.rank, life, 0))
+        self._learn_of_myself(now, Row(RowKind.ALIVE, self.rank, life, 0))
         return self._done(now)
 
     def _begin(self, now: int) -> None:
@@ -200,7 +200,7 @@
 
     def _ping(self, now: int, rank: int) -> bool:
         probe = self.number + 1
-        told = self._tell(now, rank, Kind.PING, about=self.rank, probe=probe)
+        told = self._tell(now, rank, MessageKind.PING, about=self.rank, probe=probe)
         if told:
             self.probes[probe] = Probe(rank, now, self.health)
         return told
@@ -213,15 +213,15 @@
                 self._failed(now, probe)
             elif probe.step < 1 and age >= AGAIN_AFTER * slower:
                 probe.step = 1
-                self._tell(now, probe.rank, Kind.PING, about=self.rank, probe=number)
+                self._tell(now, probe.rank, MessageKind.PING, about=self.rank, probe=number)
             elif probe.step < 2 and age >= ASK_AFTER * slower:
                 probe.step = 2
                 for relay in self._relays(now, probe.rank):
-                    self._tell(now, relay, Kind.ASK, about=probe.rank, probe=number)
+                    self._tell(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
         for (rank, number), (due, target) in list(self.relaying.items()):
             if now >= due:
                 del self.relaying[rank, number]
-                self._tell(now, rank, Kind.NACK, about=target, probe=number)
+                self._tell(now, rank, MessageKind.NACK, about=target, probe=number)
 
     def _relays(self, now: int, target: int) -> list[int]:
         """Members that we hear, first of all one that heard the target when we did not."""
@@ -248,11 +248,13 @@
 
     # -- messages -------------------------------------------------------------------------------------------
 
-    def _tell(self, now: int, rank: int, kind: Kind, about: int = 0, probe: int = 0, report: int = 0) -> bool:
+    def _tell(
+        self, now: int, rank: int, kind: MessageKind, about: int = 0, probe: int = 0, report: int = 0
+    ) -> bool:
         """Every message passes here: what one member sends stays within its part of the room for counts."""
         self.allowance = min(self.rate, self.allowance + self.rate * (now - self.filled) / SECOND)
         self.filled = now
-        if self.allowance < (1 if kind in (Kind.PING, Kind.ACK) else RESERVE):
+        if self.allowance < (1 if kind in (MessageKind.PING, MessageKind.ACK) else RESERVE):
             self.counts["kept_back"] += 1
             return False
         self.allowance -= 1
@@ -287,7 +289,7 @@
     def _spread(self, now: int) -> None:
         """What is pressing does not wait for the next probe."""
         for rank in self._lately(now)[:PRESSING]:
-            self._tell(now, rank, Kind.NEWS)
+            self._tell(now, rank, MessageKind.NEWS)
 
     def _lately(self, now: int) -> list[int]:
         """Members that we hear, the last one first: where some directions are dead, theirs are not."""
@@ -298,7 +300,7 @@
     def _rows(self, now: int, to: Member) -> Iterable[Row]:
         """First what the receiver is taken for, then news, the least told first; where its view differs, some
         of the whole table in turn."""
-        if to.state in (State.SUSPECT, State.GONE) or to.is_former:
+        if to.state in (State.SUSPECT, State.DEAD) or to.is_former:
             to.is_former = False
             yield self._row(now, to)
         elif to.doubt:
@@ -309,7 +311,7 @@
             for step in range(self.size):
                 rank = (self.fill_at + step) % self.size
                 if rank == self.rank:
-                    yield Row(Word.ALIVE, rank, self.life, self.incarnation)
+                    yield Row(RowKind.ALIVE, rank, self.life, self.incarnation)
                 elif self.members[rank].state is not State.UNKNOWN:
                     yield self._row(now, self.members[rank])
                 links = self.links.rows(rank)  # in any order: there may be more than fit
@@ -317,7 +319,7 @@
 
     def _row(self, now: int, member: Member) -> Row:
         """What is held of it."""
-        word, aged = WORDS.get(member.state, Word.ALIVE), member.state in (State.SUSPECT, State.GONE)
+        word, aged = WORDS.get(member.state, RowKind.ALIVE), member.state in (State.SUSPECT, State.DEAD)
         by = next(iter(member.accusers), self.rank)
         return Row(word, member.rank, member.life, member.incarnation, now - member.since if aged else 0, by)
 
@@ -327,7 +329,7 @@
         if message.life < member.life:
             self.counts["dropped_former"] += 1
             member.is_former = True  # a former self, or the older one of twins: it is told of the newer one
-            self._tell(now, member.rank, Kind.NEWS)
+            self._tell(now, member.rank, MessageKind.NEWS)
             return
         if message.life > member.life:
             self._new_life(member, message.life)
@@ -347,8 +349,10 @@
             self._reported(now, member, own)
         member.differs = message.digest != self._digest()
         doubts = sum(self._learn(now, row) for row in message.rows)
-        if doubts and message.kind is not Kind.PING:  # it doubts whom we have heard since: told at once
-            self._tell(now, message.sender, Kind.NEWS)
+        if (
+            doubts and message.kind is not MessageKind.PING
+        ):  # it doubts whom we have heard since: told at once
+            self._tell(now, message.sender, MessageKind.NEWS)
         self._answer(now, message)
 
     def _is_new(self, member: Member, number: int) -> bool:
@@ -367,8 +371,8 @@
         """It spoke to us: it is there, whatever others say."""
         member.heard = member.there = self.any_heard = now
         member.clears = 0
-        member.by_relay = member.by_relay if message.kind is Kind.PING else 0
-        if member.state is State.GONE and message.incarnation <= member.incarnation:
+        member.by_relay = member.by_relay if message.kind is MessageKind.PING else 0
+        if member.state is State.DEAD and message.incarnation <= member.incarnation:
             self.urgent[member.rank] = None  # it must refute what is known of it everywhere
             return
         moved = message.incarnation > member.incarnation
@@ -392,17 +396,17 @@
     def _answer(self, now: int, message: Message) -> None:
         sender, about = message.sender, message.about
         match message.kind:
-            case Kind.PING:
+            case MessageKind.PING:
                 report = 0 if about == self.rank else self.members[about].number
-                self._tell(now, sender, Kind.ACK, about, message.probe, report)
-            case Kind.ASK if about not in (self.rank, sender):
+                self._tell(now, sender, MessageKind.ACK, about, message.probe, report)
+            case MessageKind.ASK if about not in (self.rank, sender):
                 self.relaying[sender, message.probe] = now + ASK_AFTER, about
-                self._tell(now, about, Kind.PING, sender, message.probe)
-            case Kind.ACK if about == self.rank:
+                self._tell(now, about, MessageKind.PING, sender, message.probe)
+            case MessageKind.ACK if about == self.rank:
                 self._answered(message.probe, sender)
-            case Kind.ACK if self.relaying.pop((about, message.probe), None):
-                self._tell(now, about, Kind.RELAYED, sender, message.probe, message.report)
-            case Kind.RELAYED if about != self.rank and self._answered(message.probe, about):
+            case MessageKind.ACK if self.relaying.pop((about, message.probe), None):
+                self._tell(now, about, MessageKind.RELAYED, sender, message.probe, message.report)
+            case MessageKind.RELAYED if about != self.rank and self._answered(message.probe, about):
                 target = self.members[about]
                 target.there, target.voucher = now, sender
                 target.by_relay += 1
@@ -412,7 +416,7 @@
                     self._set(now, target, State.ALIVE)
                     self._vouch(now, target)
                 self._reported(now, target, message.report if message.report <= self.number else 0)
-            case Kind.NACK:
+            case MessageKind.NACK:
                 if (probe := self.probes.get(message.probe)) and probe.rank == about:
                     probe.missed_by.add(sender)
 
@@ -449,12 +453,12 @@
 
     def _report(self, now: int, to: int, down: bool) -> None:
         self.reports += 1
-        word = Word.LINK_DOWN if down else Word.LINK_UP
+        word = RowKind.LINK_DOWN if down else RowKind.LINK_UP
         self._learn_link(now, Row(word, self.rank, self.life, self.reports, by=to))
 
     def _learn_link(self, now: int, row: Row) -> None:
         """The report of the end that sends."""
-        was, down = self.links.is_dead(row.rank, row.by), row.word is Word.LINK_DOWN
+        was, down = self.links.is_dead(row.rank, row.by), row.kind is RowKind.LINK_DOWN
         if self.links.learn(row):
             self.news.add(now, row)
             if was is not down:
@@ -465,8 +469,8 @@
     def _learn(self, now: int, row: Row) -> bool:
         """One row of another's; ages tell when what it rests on happened, by our clock. Whether it doubts
         what we know better."""
-        if row.word in (Word.LINK_DOWN, Word.LINK_UP):
-            down = row.word is Word.LINK_DOWN
+        if row.kind in (RowKind.LINK_DOWN, RowKind.LINK_UP):
+            down = row.kind is RowKind.LINK_DOWN
             if row.rank != self.rank:
                 if row.life >= self.members[row.rank].life:
                     self._learn_link(now, row)
@@ -481,13 +485,13 @@
             return False
         if row.life > member.life:
             self._new_life(member, row.life)
-        if row.word is Word.HEARD:
+        if row.kind is RowKind.LAST_SEEN:
             self._learn_heard(now, member, at, row.by)
-        elif row.word is Word.LEFT:
+        elif row.kind is RowKind.LEFT:
             member.incarnation = max(member.incarnation, row.incarnation)
             self._set(now, member, State.LEFT)
             self.news.add(now, row)
-        elif row.word is Word.ALIVE:
+        elif row.kind is RowKind.ALIVE:
             if row.incarnation > member.incarnation or member.state is State.UNKNOWN:
                 member.incarnation = row.incarnation
                 if member.state is not State.ALIVE:
@@ -517,20 +521,20 @@
         if member.there > at + MARGIN and member.state in HERE:
             if self._vouch(now, member):
                 self._spread(now)
-            if row.word is Word.GONE and member.doubt is None:  # only its own word undoes that: it is told
+            if row.kind is RowKind.DEAD and member.doubt is None:  # only its own word undoes that: it is told
                 member.doubt = row
                 self.urgent[member.rank] = None
             return True
-        if member.state is State.UNKNOWN and row.word is Word.GONE:
+        if member.state is State.UNKNOWN and row.kind is RowKind.DEAD:
             member.incarnation, member.since = row.incarnation, at
-            self._set(now, member, State.GONE)
-        elif member.state is not State.GONE or row.incarnation > member.incarnation:
+            self._set(now, member, State.DEAD)
+        elif member.state is not State.DEAD or row.incarnation > member.incarnation:
             if row.incarnation > member.incarnation:  # it has refuted in between: a suspicion of its own
                 member.incarnation = row.incarnation
                 if member.state is State.SUSPECT:
                     self._set(now, member, State.ALIVE)
             self._suspect(now, member, at, row.by)
-            member.sure = row.word is Word.GONE
+            member.sure = row.kind is RowKind.DEAD
         return False
 
     def _learn_of_myself(self, now: int, row: Row) -> None:
@@ -547,18 +551,18 @@
             self.digest ^= self._share(self.rank, self.life, State.ALIVE)
         elif (row.life, row.incarnation) < (self.life, self.incarnation):
             return
-        elif row.word not in (Word.ALIVE, Word.HEARD):
+        elif row.kind not in (RowKind.ALIVE, RowKind.LAST_SEEN):
             self.incarnation = row.incarnation + 1
             self.counts["refuted"] += 1
             self.health = min(HEALTH_MOST, self.health + 1)
         else:
             return
-        self.news.add(now, Row(Word.ALIVE, self.rank, self.life, self.incarnation))
+        self.news.add(now, Row(RowKind.ALIVE, self.rank, self.life, self.incarnation))
 
     def _vouch(self, now: int, member: Member) -> bool:
         """Tell that it was there, and when; whether that is news."""
         by = self.rank if member.heard >= member.there or member.voucher < 0 else member.voucher
-        row = Row(Word.HEARD, member.rank, member.life, member.incarnation, now - member.there, by)
+        row = Row(RowKind.LAST_SEEN, member.rank, member.life, member.incarnation, now - member.there, by)
         known = self.news.since(row)
         is_newer = known is None or known < member.there - MARGIN
         if is_newer:
@@ -576,7 +580,9 @@
             member.accusers.add(by)
             if not self.view.cut_off:  # who hears nobody has nothing to tell
                 age = now - member.since
-                self.news.add(now, Row(Word.SUSPECT, member.rank, member.life, member.incarnation, age, by))
+                self.news.add(
+                    now, Row(RowKind.SUSPECT, member.rank, member.life, member.incarnation, age, by)
+                )
 
     def _patience(self, member: Member) -> float:
         """How long a suspicion lasts: the shorter, the more members found it independently; half of the
@@ -609,7 +615,7 @@
                 if left <= FAIL_AFTER and self._ping(now, member.rank):  # not without a look of our own
                     member.checked = now
             elif left <= 0 and now - member.checked >= FAIL_AFTER:
-                self._set(now, member, State.GONE)
+                self._set(now, member, State.DEAD)
                 self.news.add(now, self._row(now, member))
                 self._spread(now)
 
@@ -627,7 +633,7 @@
         self.here += (state in HERE) - (member.state in HERE)
         for kept, kind in (
             (self.suspects, State.SUSPECT),
-            (self.gone, State.GONE),
+            (self.gone, State.DEAD),
             (self.unknown, State.UNKNOWN),
             (self.gave_up, State.LEFT),
         ):
@@ -644,9 +650,9 @@
         self._count(member, state)
         if state is not State.SUSPECT:
             self.news.drop(member.rank, SUSPICION)
-        if state in (State.GONE, State.LEFT):
+        if state in (State.DEAD, State.LEFT):
             self.links.forget(member.rank)
-            self.news.drop(member.rank, HEARD)
+            self.news.drop(member.rank, LAST_SEEN)
             member.sent.clear()
         fields |= {"life": member.life, "incarnation": member.incarnation}
         self.actions.append(Notice("member", fields))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,7 @@
 from lab import membership as virtual
 from lab.membership import World
 from orchidlane import member_messages as messages
-from orchidlane.member_messages import Kind, Message, Row, Word
+from orchidlane.member_messages import Message, MessageKind, Row, RowKind
 from orchidlane.member_state import Notice, State, Tell
 from orchidlane.membership import PERIOD, STALL, TICK, Membership
 
@@ -24,7 +24,7 @@
 LIVES = st.integers(0, 2**56 - 1)
 ROWS = st.builds(
     Row,
-    word=st.sampled_from(Word),
+    word=st.sampled_from(RowKind),
     rank=RANKS,
     life=LIVES,
     incarnation=SMALL,
@@ -35,14 +35,14 @@
 
 def told(row: Row) -> Row:
     """What of a row travels."""
-    age = row.age if row.word in messages.AGED else 0
-    by = 0 if row.word in (Word.ALIVE, Word.LEFT) else row.by
-    return Row(row.word, row.rank, row.life, row.incarnation, age, by)
+    age = row.age if row.kind in messages.AGED else 0
+    by = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.by
+    return Row(row.kind, row.rank, row.life, row.incarnation, age, by)
 
 
 MESSAGES = st.builds(
     Message,
-    kind=st.sampled_from(Kind),
+    kind=st.sampled_from(MessageKind),
     sender=RANKS,
     receiver=RANKS,
     life=LIVES,
@@ -82,7 +82,7 @@
 
 @given(st.binary(max_size=120))
 def test_rows_that_make_no_sense_are_dropped_whole(noise):
-    head = messages.pack(Message(Kind.NEWS, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
+    head = messages.pack(Message(MessageKind.NEWS, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
     body = head + noise
     data = messages.seal(KEY, body)
     try:
@@ -96,7 +96,7 @@
     return Membership(rank, size, "valley", 1_000 + rank, rank, SECOND, 100.0)
 
 
-def say(number: int, kind: Kind = Kind.NEWS, **more: object) -> Message:
+def say(number: int, kind: MessageKind = MessageKind.NEWS, **more: object) -> Message:
     fields = {"sender": 1, "receiver": 0, "life": 1_001, "incarnation": 0, "heard": 0, "digest": 0} | more
     return Message(kind=kind, number=number, **fields)
 
@@ -113,7 +113,7 @@
     "far behind": ([(1, say(100)), (1, say(30))], "replayed"),
     "of a former self": ([(1, say(1)), (1, say(5, life=1_000))], "former"),
     "after it left": (
-        [(1, say(1)), (1, say(2, rows=(Row(Word.LEFT, 1, 1_001, 0),))), (1, say(3))],
+        [(1, say(1)), (1, say(2, rows=(Row(RowKind.LEFT, 1, 1_001, 0),))), (1, say(3))],
         "left",
     ),
 }
@@ -219,7 +219,7 @@
     """A word that it is suspect, and then that it is gone, is outbid by the member itself."""
     world = ready(factory, 6, seed)
     target = world.nodes[1].core
-    for word in (Word.SUSPECT, Word.GONE):
+    for word in (RowKind.SUSPECT, RowKind.DEAD):
         was = target.incarnation
         for node in world.nodes[2:]:
             row = Row(word, 1, target.life, was, by=0)
@@ -352,7 +352,7 @@
 
 def _spoken(core: Membership, rank: int, now: int) -> bytes:
     core.actions, core.allowance = [], 20.0
-    core._tell(now, rank, Kind.PING, about=core.rank)
+    core._tell(now, rank, MessageKind.PING, about=core.rank)
     return core.actions[-1].body
 
 
