--- a/lab/defects.py
+++ b/lab/defects.py
@@ -66,7 +66,7 @@
 
     def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
         super()._learn_doubt(now, member, row, at)
-        if row.kind is RowKind.DEAD and member.state in state.HERE:
+        if row.kind is RowKind.DEAD and member.state in state.ACTIVE_STATES:
             self._set(now, member, state.State.DEAD)
         return False
 
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -21,17 +21,17 @@
         self.gone: set[int] = set()
         self.next = now
 
-    def _turn(self, rank: int, is_gone: bool, now: int) -> state.Notice:
+    def _turn(self, rank: int, is_gone: bool, now: int) -> state.LogEvent:
         (self.gone.add if is_gone else self.gone.discard)(rank)
         word = "gone" if is_gone else "alive"
-        return state.Notice("member", {"member": rank, "state": word})
+        return state.LogEvent("member", {"member": rank, "state": word})
 
     def tick(self, now: int) -> list[state.Action]:
         """Beat, and look who is late."""
         done: list[state.Action] = []
         if now >= self.next:
             self.next = max(self.next + EVERY, now)
-            done += [state.Tell(other, b"here") for other in self.others]
+            done += [state.Send(other, b"here") for other in self.others]
         for other, at in self.heard_at.items():
             if now - at > MISSED * EVERY and other not in self.gone:
                 done.append(self._turn(other, True, now))
@@ -72,7 +72,11 @@
     def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
         member.there = 0
         super()._learn_doubt(now, member, row, at)
-        if row.kind is RowKind.DEAD and member.state in state.HERE and row.incarnation >= member.incarnation:
+        if (
+            row.kind is RowKind.DEAD
+            and member.state in state.ACTIVE_STATES
+            and row.incarnation >= member.incarnation
+        ):
             self._set(now, member, state.State.DEAD)
             self.news.add(now, row)
         return False
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -41,7 +41,7 @@
 
     def holds_here(self, rank: int) -> bool:
         """Alive or suspect."""
-        return self.members[rank].state in state.HERE
+        return self.members[rank].state in state.ACTIVE_STATES
 
 
 Factory = Callable[[int, int, int, int, int], Core]  # rank, size, life, seed, now
@@ -119,7 +119,7 @@
 
     def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
-            if isinstance(action, state.Notice):
+            if isinstance(action, state.LogEvent):
                 self.changes.append(Change(self.kernel.now, node.rank, action.what, action.fields))
                 continue
             self.carried["messages"] += 1
--- a/lab/model.py
+++ b/lab/model.py
@@ -145,7 +145,7 @@
 
     def _carry(self, rank: int, actions: list[state.Action]) -> None:
         for action in actions:
-            if isinstance(action, state.Tell):
+            if isinstance(action, state.Send):
                 self.way.append((self.step + 1, rank, action.rank, action.body))
 
     def _look(self) -> None:
@@ -271,7 +271,8 @@
     if gone := world.gone():
         return f"{gone[0][0]} holds {gone[0][1]} gone for ever, which runs"
     views = [
-        sorted((m.rank, m.life, m.state in state.HERE) for m in core.members.values()) for core in world.cores
+        sorted((m.rank, m.life, m.state in state.ACTIVE_STATES) for m in core.members.values())
+        for core in world.cores
     ]
     for at, core in enumerate(world.cores):
         wanted = [(other.rank, other.life, True) for other in world.cores if other is not core]
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -21,7 +21,7 @@
     LEFT = "left"
 
 
-HERE = (State.ALIVE, State.SUSPECT)
+ACTIVE_STATES = (State.ALIVE, State.SUSPECT)
 WORDS = {
     State.ALIVE: RowKind.ALIVE,
     State.SUSPECT: RowKind.SUSPECT,
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Send:
     """Send this to one member."""
 
     rank: int
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class LogEvent:
     """Something to be logged: ``what`` is member, link, stood_still, sure_again, unheard, cut_off or twin."""
 
     what: str
     fields: dict[str, object]
 
 
-Action = Tell | Notice
+Action = Send | LogEvent
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -20,7 +20,7 @@
 from .member_links import Links
 from .member_messages import Message, MessageKind, Row, RowKind
 from .member_news import LAST_SEEN, SUSPICION, News
-from .member_state import HERE, WORDS, Action, Member, Notice, Probe, State, Tell, View
+from .member_state import ACTIVE_STATES, WORDS, Action, LogEvent, Member, Probe, Send, State, View
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
@@ -130,7 +130,7 @@
         if not self.left and not self.yielded:
             self.incarnation += 1
             self.news.add(now, Row(RowKind.LEFT, self.rank, self.life, self.incarnation))
-            here = [m.rank for m in self.members.values() if m.state in HERE]
+            here = [m.rank for m in self.members.values() if m.state in ACTIVE_STATES]
             self.allowance = max(self.allowance, 2.0 * len(here[: self._log(4)]))
             for rank in self.random.sample(here, min(len(here), self._log(4))):
                 self._tell(now, rank, MessageKind.NEWS)
@@ -160,9 +160,9 @@
         self.fresh, self.fresh_after = False, self.number + 1
         self.heard_since = set()
         self.next_probe = now
-        self.actions.append(Notice("stood_still", {"stood_still_ms": gap // MS}))
+        self.actions.append(LogEvent("stood_still", {"stood_still_ms": gap // MS}))
         self._look_at_view(now)  # the next decision, whichever it is, must know
-        here = [m.rank for m in self.members.values() if m.state in HERE]
+        here = [m.rank for m in self.members.values() if m.state in ACTIVE_STATES]
         for rank in self.random.sample(here, min(len(here), HEARD_FRESH)):
             self._ping(now, rank)
 
@@ -194,7 +194,7 @@
                 rank = self.ring[self.turn]
                 is_ours = 2 * ((rank - self.rank) % self.size) <= self.size
                 is_ours = is_ours or now - self.members[rank].heard > overdue
-                if self.members[rank].state in HERE and (is_ours or all_of_them):
+                if self.members[rank].state in ACTIVE_STATES and (is_ours or all_of_them):
                     self._ping(now, rank)
                     return
 
@@ -241,7 +241,7 @@
             self.health = min(HEALTH_MOST, self.health + 1)
         # Others hear it, we don't: that is no news each time.
         lately = member.clears > 1 and now - member.cleared < QUIET
-        if member.state in HERE and member.there <= probe.sent + MARGIN and not lately:
+        if member.state in ACTIVE_STATES and member.there <= probe.sent + MARGIN and not lately:
             for rank in (self.rank, *probe.missed_by):  # each relay has tried, too
                 self._suspect(now, member, probe.sent, rank)
             self._spread(now)
@@ -283,7 +283,7 @@
         self.counts["sent"] += 1
         body = messages.pack(message, self.key)
         self.counts["sent_bytes"] += len(body)
-        self.actions.append(Tell(rank, body))
+        self.actions.append(Send(rank, body))
         return True
 
     def _spread(self, now: int) -> None:
@@ -388,10 +388,10 @@
             self._look_at_doubt()
 
     def _look_at_doubt(self) -> None:
-        here = sum(m.state in HERE for m in self.members.values())
+        here = sum(m.state in ACTIVE_STATES for m in self.members.values())
         if self.heard_since is not None and len(self.heard_since) >= min(HEARD_FRESH, here):
             self.heard_since = None
-            self.actions.append(Notice("sure_again", {}))
+            self.actions.append(LogEvent("sure_again", {}))
 
     def _answer(self, now: int, message: Message) -> None:
         sender, about = message.sender, message.about
@@ -462,7 +462,7 @@
         if self.links.learn(row):
             self.news.add(now, row)
             if was is not down:
-                self.actions.append(Notice("link", {"from": row.rank, "to": row.by, "down": down}))
+                self.actions.append(LogEvent("link", {"from": row.rank, "to": row.by, "down": down}))
 
     # -- what is held of members ----------------------------------------------------------------------------
 
@@ -518,7 +518,7 @@
     def _learn_doubt(self, now: int, member: Member, row: Row, at: int) -> bool:
         """SUSPECT or GONE: a reason to look, and to wait no longer than the shortest suspicion where the
         other is sure. Each member concludes by its own clock. Whether we know better."""
-        if member.there > at + MARGIN and member.state in HERE:
+        if member.there > at + MARGIN and member.state in ACTIVE_STATES:
             if self._vouch(now, member):
                 self._spread(now)
             if row.kind is RowKind.DEAD and member.doubt is None:  # only its own word undoes that: it is told
@@ -544,7 +544,7 @@
         if row.life > self.life:
             if now - self.began > TWIN_AFTER:
                 self.yielded = True
-                self.actions.append(Notice("twin", {"life": self.life, "newer_life": row.life}))
+                self.actions.append(LogEvent("twin", {"life": self.life, "newer_life": row.life}))
                 return
             self.digest ^= self._share(self.rank, self.life, State.ALIVE)
             self.life, self.incarnation = row.life + 1, 0
@@ -630,7 +630,7 @@
         self._count(member, State.UNKNOWN)
 
     def _count(self, member: Member, state: State) -> None:
-        self.here += (state in HERE) - (member.state in HERE)
+        self.here += (state in ACTIVE_STATES) - (member.state in ACTIVE_STATES)
         for kept, kind in (
             (self.suspects, State.SUSPECT),
             (self.gone, State.DEAD),
@@ -655,7 +655,7 @@
             self.news.drop(member.rank, LAST_SEEN)
             member.sent.clear()
         fields |= {"life": member.life, "incarnation": member.incarnation}
-        self.actions.append(Notice("member", fields))
+        self.actions.append(LogEvent("member", fields))
 
     def _digest(self) -> int:
         """Of all that is held: who holds the same has the same."""
@@ -666,7 +666,7 @@
         """A member's part of the digest: who doubts and who does not yet hold the same."""
         if state is State.UNKNOWN:
             return 0
-        word = "here" if state in HERE else state.value
+        word = "here" if state in ACTIVE_STATES else state.value
         return zlib.crc32(f"{rank} {life} {word}".encode())
 
     # -- the view -------------------------------------------------------------------------------------------
@@ -691,4 +691,4 @@
         self.view = View(frozenset(away), cut_off, unheard, doubtful, part)
         for what, was, holds in (("cut_off", old.cut_off, cut_off), ("unheard", old.unheard, unheard)):
             if was != holds:
-                self.actions.append(Notice(what, {"holds": holds}))
+                self.actions.append(LogEvent(what, {"holds": holds}))
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -152,7 +152,7 @@
     def _do(self, actions: Iterable[state.Action]) -> api.MembersChanged | None:
         """Tell and log; what the decisions have to know, if the view has changed."""
         for action in actions:
-            if isinstance(action, state.Tell):
+            if isinstance(action, state.Send):
                 self.peers.tell(action.rank, action.body)
             else:
                 self._notice(action)
@@ -168,7 +168,7 @@
         apart = view.cut_off or view.unheard or view.doubtful or self.core.yielded
         return api.MembersChanged(view.gone | self.places.unplaced if self.places else view.gone, apart)
 
-    def _notice(self, notice: state.Notice) -> None:
+    def _notice(self, notice: state.LogEvent) -> None:
         fields = notice.fields | {"boot_ms": clock() // MS}
         match notice.what:
             case "member":
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
 from lab.membership import World
 from orchidlane import member_messages as messages
 from orchidlane.member_messages import Message, MessageKind, Row, RowKind
-from orchidlane.member_state import Notice, State, Tell
+from orchidlane.member_state import LogEvent, Send, State
 from orchidlane.membership import PERIOD, STALL, TICK, Membership
 
 SECOND = 1_000_000
@@ -130,7 +130,7 @@
     actions = core.heard(now, sender, messages.pack(message, KEY))
     assert core.counts[f"dropped_{cause}"] == 1
     assert held(core) == before
-    assert not [action for action in actions if isinstance(action, Notice)]
+    assert not [action for action in actions if isinstance(action, LogEvent)]
 
 
 def test_numbers_out_of_order_are_each_heard_once():
@@ -182,7 +182,7 @@
 def restarted(factory: virtual.Factory, seed: int) -> None:
     """From nothing, within the suspicion: told from its former self, whose late words count no more."""
     world = ready(factory, 8, seed)
-    late = next(a for a in world.nodes[3].core.tick(world.kernel.now + PERIOD) if isinstance(a, Tell))
+    late = next(a for a in world.nodes[3].core.tick(world.kernel.now + PERIOD) if isinstance(a, Send))
     was = world.nodes[3].core.life
     world.kill(3)
     world.run(0.7)
@@ -345,7 +345,7 @@
     other, now = world.nodes[4].core, world.kernel.now
     for core in (older, younger):  # the sockets share an address: each gets a part of what comes
         for action in other.heard(now, rank, _spoken(older, 4, now)):
-            if isinstance(action, Tell) and action.rank == rank:
+            if isinstance(action, Send) and action.rank == rank:
                 core.heard(now, 4, action.body)
     assert older.yielded and not younger.yielded
 
@@ -413,7 +413,7 @@
         body = _spoken(world.nodes[1].core, 0, world.kernel.now)
         actions = core.tick(now) if first == "tick" else core.heard(now, 1, body)
         assert core.view.doubtful
-        assert next(a for a in actions if isinstance(a, Notice)).what == "stood_still"
+        assert next(a for a in actions if isinstance(a, LogEvent)).what == "stood_still"
         assert all(m.state is State.ALIVE for m in core.members.values())
 
 
