--- a/lab/membership.py
+++ b/lab/membership.py
@@ -120,7 +120,7 @@
     def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
             if isinstance(action, state.LogEvent):
-                self.changes.append(Change(self.kernel.now, node.rank, action.what, action.fields))
+                self.changes.append(Change(self.kernel.now, node.rank, action.name, action.fields))
                 continue
             self.carried["messages"] += 1
             self.carried["bytes"] += len(action.body)
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something to be logged: ``what`` is member, link, stood_still, sure_again, unheard, cut_off or twin."""
+    """Something to be logged: ``name`` is member, link, stood_still, sure_again, unheard, cut_off or twin."""
 
-    what: str
+    name: str
     fields: dict[str, object]
 
 
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -170,7 +170,7 @@
 
     def _notice(self, notice: state.LogEvent) -> None:
         fields = notice.fields | {"boot_ms": clock() // MS}
-        match notice.what:
+        match notice.name:
             case "member":
                 log.info("member_changed", **fields)
             case "link":
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -413,7 +413,7 @@
         body = _spoken(world.nodes[1].core, 0, world.kernel.now)
         actions = core.tick(now) if first == "tick" else core.heard(now, 1, body)
         assert core.view.doubtful
-        assert next(a for a in actions if isinstance(a, LogEvent)).what == "stood_still"
+        assert next(a for a in actions if isinstance(a, LogEvent)).name == "stood_still"
         assert all(m.state is State.ALIVE for m in core.members.values())
 
 
