--- a/lab/defects.py
+++ b/lab/defects.py
@@ -75,7 +75,7 @@
     """Goes on beside a twin."""
 
     def _learn_of_myself(self, now: int, row: Row) -> None:
-        if row.life <= self.life or now - self.began <= membership.TWIN_AFTER:
+        if row.life <= self.life or now - self.began <= membership.TWIN_GRACE:
             super()._learn_of_myself(now, row)
 
 
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -61,7 +61,7 @@
         self.health = 0
 
     def _patience(self, member: state.Member) -> float:
-        return membership.SUSPECT_LEAST * max(membership.SIZE_LEAST, self._log(1) * 0.30103)
+        return membership.SUSPICION_MIN * max(membership.SIZE_FACTOR_MIN, self._log(1) * 0.30103)
 
     def _vouch(self, now: int, member: state.Member) -> bool:
         return False
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from orchidlane import member_state as state
-from orchidlane.membership import TICK, Membership
+from orchidlane.membership import TICK_INTERVAL, Membership
 
 from .kernel import T0, Kernel, Uniform, draws
 
@@ -90,7 +90,7 @@
         for rank in range(size):
             node = Node(rank, self._core(rank), self.lives)
             self.nodes.append(node)
-            self.kernel.after(int(self.draw() * TICK), self._tick, node, node.life)
+            self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
 
     def _core(self, rank: int) -> Core:
         self.lives += 1
@@ -115,7 +115,7 @@
             return
         if not node.paused:
             self._carry_out(node, node.core.tick(self.kernel.now))
-        self.kernel.after(TICK, self._tick, node, life)
+        self.kernel.after(TICK_INTERVAL, self._tick, node, life)
 
     def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
--- a/lab/model.py
+++ b/lab/model.py
@@ -16,7 +16,7 @@
 from typing import Protocol, TypeVar
 
 from orchidlane import member_state as state
-from orchidlane.membership import TICK, Membership
+from orchidlane.membership import TICK_INTERVAL, Membership
 
 START = 1_000_000_000
 WARM = 60  # steps until all know each other, before the window
@@ -87,7 +87,7 @@
 
     def now(self) -> int:
         """Microseconds."""
-        return START + self.step * TICK
+        return START + self.step * TICK_INTERVAL
 
     def core(self, rank: int, life: int) -> Membership:
         """A process from nothing."""
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -24,17 +24,17 @@
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
-TICK = 50 * MS  # so often ``tick`` wants to be called
-PERIOD = 150 * MS  # between two probes
-AGAIN_AFTER = 50 * MS  # a probe without an answer is sent once more: that costs less than help
-ASK_AFTER = 100 * MS  # and goes by others as well
-FAIL_AFTER = 250 * MS  # and has failed
+TICK_INTERVAL = 50 * MS  # so often ``tick`` wants to be called
+PROBE_INTERVAL = 150 * MS  # between two probes
+PROBE_RETRY_DELAY = 50 * MS  # a probe without an answer is sent once more: that costs less than help
+INDIRECT_PROBE_DELAY = 100 * MS  # and goes by others as well
+PROBE_TIMEOUT = 250 * MS  # and has failed
 RELAYS = 3  # members asked to probe for us
-STALL = 400 * MS  # a tick later than this: we stood still, and so did our view
+PAUSE_THRESHOLD = 400 * MS  # a tick later than this: we stood still, and so did our view
 HEALTH_MOST = 3  # times that our own periods may grow by
 CONFIRMATIONS = 3  # independent ones that bring a suspicion to its shortest
-SUSPECT_LEAST = 500 * MS  # times the logarithm of the fleet's size
-SIZE_LEAST = 1.5  # that logarithm, to base 10, at least: word goes round a ring of a few no faster
+SUSPICION_MIN = 500 * MS  # times the logarithm of the fleet's size
+SIZE_FACTOR_MIN = 1.5  # that logarithm, to base 10, at least: word goes round a ring of a few no faster
 SUSPECT_TIMES = 4  # the longest suspicion, in shortest ones
 PRESSING = 3  # members that are told at once of a suspicion or a death found here
 CHECKERS = 6  # members that look for themselves when they hear of a suspicion, on average
@@ -52,7 +52,7 @@
 RESERVE = 6.0  # messages that are kept for pings and their answers: help for others comes after
 HEARD_FRESH = 3  # members (or all there are) that must be heard after a standstill until doubt ends
 CUT_PATIENCE = 30 * SECOND  # so long who hears nobody calls nobody gone
-TWIN_AFTER = 2 * SECOND  # after the start: what is told of a former self until then is no twin
+TWIN_GRACE = 2 * SECOND  # after the start: what is told of a former self until then is no twin
 
 
 class Membership:
@@ -79,7 +79,7 @@
         self.actions: list[Action] = []
         self.counts: Counter[str] = Counter()
         self.last = self.began = now
-        self.next_probe = now + self.random.randrange(PERIOD)
+        self.next_probe = now + self.random.randrange(PROBE_INTERVAL)
         self.probes_made = self.fill_at = 0
         self.fresh_after = 1  # number of ours that an answer must tell of until rows are believed
         self.fresh = True
@@ -107,7 +107,7 @@
                 del self.urgent[rank]
                 self._ping(now, rank)
             if now >= self.next_probe:
-                self.next_probe = now + PERIOD * (1 + self.health)
+                self.next_probe = now + PROBE_INTERVAL * (1 + self.health)
                 self._probe(now)
         return self._done(now)
 
@@ -148,7 +148,7 @@
         """Before all else: did we stand still? Then nothing that was not answered counts against anybody."""
         self.actions = []
         gap, self.last = now - self.last, now
-        if gap <= STALL:
+        if gap <= PAUSE_THRESHOLD:
             return
         self.counts["stood_still"] += 1
         self.health = HEALTH_MOST
@@ -187,7 +187,7 @@
         if absent and (self.probes_made % GONE_EVERY == 0 or len(absent) == len(self.members)):
             self._ping(now, self.random.choice(sorted(absent)))
             return
-        overdue = ROUNDS * PERIOD * len(self.ring) // 2  # its probes of us should have come by now
+        overdue = ROUNDS * PROBE_INTERVAL * len(self.ring) // 2  # its probes of us should have come by now
         for all_of_them in (self.view.cut_off, True):  # who is deaf, or the last of its half, tries all
             for _ in self.ring:
                 self.turn = (self.turn + 1) % len(self.ring)
@@ -208,13 +208,13 @@
     def _look_at_probes(self, now: int) -> None:
         for number, probe in list(self.probes.items()):
             slower, age = 1 + probe.health, now - probe.sent
-            if age >= FAIL_AFTER * slower:
+            if age >= PROBE_TIMEOUT * slower:
                 del self.probes[number]
                 self._failed(now, probe)
-            elif probe.step < 1 and age >= AGAIN_AFTER * slower:
+            elif probe.step < 1 and age >= PROBE_RETRY_DELAY * slower:
                 probe.step = 1
                 self._tell(now, probe.rank, MessageKind.PING, about=self.rank, probe=number)
-            elif probe.step < 2 and age >= ASK_AFTER * slower:
+            elif probe.step < 2 and age >= INDIRECT_PROBE_DELAY * slower:
                 probe.step = 2
                 for relay in self._relays(now, probe.rank):
                     self._tell(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
@@ -400,7 +400,7 @@
                 report = 0 if about == self.rank else self.members[about].number
                 self._tell(now, sender, MessageKind.ACK, about, message.probe, report)
             case MessageKind.ASK if about not in (self.rank, sender):
-                self.relaying[sender, message.probe] = now + ASK_AFTER, about
+                self.relaying[sender, message.probe] = now + INDIRECT_PROBE_DELAY, about
                 self._tell(now, about, MessageKind.PING, sender, message.probe)
             case MessageKind.ACK if about == self.rank:
                 self._answered(message.probe, sender)
@@ -542,7 +542,7 @@
         if self.yielded:
             return
         if row.life > self.life:
-            if now - self.began > TWIN_AFTER:
+            if now - self.began > TWIN_GRACE:
                 self.yielded = True
                 self.actions.append(LogEvent("twin", {"life": self.life, "newer_life": row.life}))
                 return
@@ -588,7 +588,7 @@
         """How long a suspicion lasts: the shorter, the more members found it independently; half of the
         shortest where another has waited for all of it already. The longest where it is known that some hear
         it and others don't: word of who does takes its time."""
-        least = SUSPECT_LEAST * max(SIZE_LEAST, math.log10(self.size))
+        least = SUSPICION_MIN * max(SIZE_FACTOR_MIN, math.log10(self.size))
         most = SUSPECT_TIMES * least
         if 3 * len(self.suspects) > max(6, self.here):  # so many at once: rather the network than they
             return most
@@ -612,9 +612,9 @@
             if member.there > member.since + MARGIN:
                 self._set(now, member, State.ALIVE)
             elif member.checked < member.noticed:
-                if left <= FAIL_AFTER and self._ping(now, member.rank):  # not without a look of our own
+                if left <= PROBE_TIMEOUT and self._ping(now, member.rank):  # not without a look of our own
                     member.checked = now
-            elif left <= 0 and now - member.checked >= FAIL_AFTER:
+            elif left <= 0 and now - member.checked >= PROBE_TIMEOUT:
                 self._set(now, member, State.DEAD)
                 self.news.add(now, self._row(now, member))
                 self._spread(now)
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -13,7 +13,15 @@
 from ops import logs
 from orchidlane import interface as api
 from orchidlane import member_state as state
-from orchidlane.membership import AGAIN_AFTER, ASK_AFTER, FAIL_AFTER, PERIOD, STALL, TICK, Membership
+from orchidlane.membership import (
+    INDIRECT_PROBE_DELAY,
+    PAUSE_THRESHOLD,
+    PROBE_INTERVAL,
+    PROBE_RETRY_DELAY,
+    PROBE_TIMEOUT,
+    TICK_INTERVAL,
+    Membership,
+)
 
 from . import places as where
 from .config import Address, Config
@@ -25,7 +33,7 @@
 
 MS = 1_000  # microseconds
 TIMER_RESOLUTION = 5 * MS  # two times that lie nearer are one
-STEPS = (AGAIN_AFTER, ASK_AFTER, FAIL_AFTER)  # when a probe is next looked at
+STEPS = (PROBE_RETRY_DELAY, INDIRECT_PROBE_DELAY, PROBE_TIMEOUT)  # when a probe is next looked at
 LIFE_BITS = 10  # random ones below the milliseconds of a life
 
 
@@ -68,13 +76,13 @@
         """When there is something to do at the latest: a process at rest wakes for its own probes alone."""
         core = self.core
         if core.left:
-            return now + PERIOD
+            return now + PROBE_INTERVAL
         if core.suspects or core.urgent:
-            return now + TICK
+            return now + TICK_INTERVAL
         looks = [probe.sent + STEPS[probe.step] for probe in core.probes.values()]
         if self.places and self.places.busy:
             looks.append(now + where.GREETING_INTERVAL)
-        return min(core.next_probe, now + PERIOD, *looks, *(due for due, _ in core.relaying.values()))
+        return min(core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relaying.values()))
 
     def _wake(self, now: int) -> None:
         """The one timer, set anew where something is due at another time."""
@@ -111,7 +119,9 @@
     def look(self) -> api.MembersChanged | None:
         """Before a decision: did we stand still? Then it must know."""
         now = clock()
-        return self._do(self.core.tick(now)) if now - self.core.last > STALL and self.timer else None
+        return (
+            self._do(self.core.tick(now)) if now - self.core.last > PAUSE_THRESHOLD and self.timer else None
+        )
 
     def heard(self, rank: int, body: bytes) -> None:
         """A datagram of membership's kind, from this rank's address."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from orchidlane import member_messages as messages
 from orchidlane.member_messages import Message, MessageKind, Row, RowKind
 from orchidlane.member_state import LogEvent, Send, State
-from orchidlane.membership import PERIOD, STALL, TICK, Membership
+from orchidlane.membership import PAUSE_THRESHOLD, PROBE_INTERVAL, TICK_INTERVAL, Membership
 
 SECOND = 1_000_000
 KEY = messages.tag_key("valley")
@@ -182,7 +182,7 @@
 def restarted(factory: virtual.Factory, seed: int) -> None:
     """From nothing, within the suspicion: told from its former self, whose late words count no more."""
     world = ready(factory, 8, seed)
-    late = next(a for a in world.nodes[3].core.tick(world.kernel.now + PERIOD) if isinstance(a, Send))
+    late = next(a for a in world.nodes[3].core.tick(world.kernel.now + PROBE_INTERVAL) if isinstance(a, Send))
     was = world.nodes[3].core.life
     world.kill(3)
     world.run(0.7)
@@ -340,7 +340,7 @@
     world.restart(rank)
     younger = world.nodes[rank].core
     for _ in range(60):
-        world.run(TICK / SECOND)
+        world.run(TICK_INTERVAL / SECOND)
         older.tick(world.kernel.now)
     other, now = world.nodes[4].core, world.kernel.now
     for core in (older, younger):  # the sockets share an address: each gets a part of what comes
@@ -409,7 +409,7 @@
     """Whatever comes first, a datagram or a tick, the view is doubtful by then."""
     for first in ("tick", "heard"):
         world = ready(virtual.ours, 5, 1)
-        core, now = world.nodes[0].core, world.kernel.now + STALL + 2 * TICK
+        core, now = world.nodes[0].core, world.kernel.now + PAUSE_THRESHOLD + 2 * TICK_INTERVAL
         body = _spoken(world.nodes[1].core, 0, world.kernel.now)
         actions = core.tick(now) if first == "tick" else core.heard(now, 1, body)
         assert core.view.doubtful
@@ -425,7 +425,7 @@
         before = dict(world.carried)
         world.run(10)
         rates.append((world.carried["messages"] - before["messages"]) / 10 / size)
-    assert all(rate <= 2.1 * SECOND / PERIOD for rate in rates), rates
+    assert all(rate <= 2.1 * SECOND / PROBE_INTERVAL for rate in rates), rates
 
 
 def test_what_was_measured_is_drawn_whole_and_an_unknown_ending_is_told(tmp_path):
