--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -37,7 +37,7 @@
                 done.append(self._turn(other, True, now))
         return done
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[state.Action]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
         """It is there."""
         self.heard_at[sender] = now
         return [self._turn(sender, False, now)] if sender in self.gone else []
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -26,7 +26,7 @@
     def tick(self, now: int) -> list[state.Action]:
         """Time has passed."""
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[state.Action]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
         """A datagram has come."""
 
     def leave(self, now: int) -> list[state.Action]:
@@ -135,7 +135,7 @@
         if node.paused:
             node.waiting.append((sender, body))
         else:
-            self._carry_out(node, node.core.heard(self.kernel.now, sender, body))
+            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
 
     # -- what goes wrong ------------------------------------------------------------------------------------
 
@@ -169,7 +169,7 @@
         node.paused = False
         waiting, node.waiting = node.waiting, []
         for sender, body in waiting:
-            self._carry_out(node, node.core.heard(self.kernel.now, sender, body))
+            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
 
     def split(self, side: Iterable[int]) -> None:
         """Nothing passes between these and the others."""
--- a/lab/model.py
+++ b/lab/model.py
@@ -141,7 +141,7 @@
         if self.paused[rank] > self.step:
             self.waiting[rank].append((sender, body))
         else:
-            self._carry(rank, self.cores[rank].heard(now, sender, body))
+            self._carry(rank, self.cores[rank].receive(now, sender, body))
 
     def _carry(self, rank: int, actions: list[state.Action]) -> None:
         for action in actions:
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -1,6 +1,6 @@
 """Who is there among the gateways: failure detection by probes, told on by gossip, borne by self-doubt.
 
-The decisions of membership, without clock or sockets: ``heard`` and ``tick`` take the time (microseconds of a
+The decisions of membership, without clock or sockets: ``receive`` and ``tick`` take the time (microseconds of a
 clock that runs on while the machine sleeps) and give what to send. After SWIM (probes, indirect probes,
 suspicion, piggybacked news) and Lifeguard (health of oneself, suspicion that shortens with confirmations, the
 suspect told first). Added here: each message tells what of the receiver was heard last, so that a dead
@@ -111,7 +111,7 @@
                 self._probe(now)
         return self._done(now)
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[Action]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[Action]:
         """A datagram from this rank's address."""
         self._begin(now)
         try:
@@ -138,7 +138,7 @@
             self.left = True
         return self._done(now)
 
-    def replaced(self, now: int, life: int) -> list[Action]:
+    def on_newer_life(self, now: int, life: int) -> list[Action]:
         """A process of this life was found under our rank, by other means than ours."""
         self._begin(now)
         self._learn_of_myself(now, Row(RowKind.ALIVE, self.rank, life, 0))
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -126,7 +126,7 @@
     def heard(self, rank: int, body: bytes) -> None:
         """A datagram of membership's kind, from this rank's address."""
         now = clock()
-        self._carry_out(self.core.heard(now, rank, body))
+        self._carry_out(self.core.receive(now, rank, body))
         if self.timer:
             self._wake(now)
 
@@ -148,7 +148,7 @@
                 self.peers.move(action.rank, action.address)
                 self._carry_out(())
             elif not self.core.yielded:
-                self._carry_out(self.core.replaced(now, action.life))
+                self._carry_out(self.core.on_newer_life(now, action.life))
 
     def leave(self) -> None:
         """This process ends on purpose."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -124,10 +124,10 @@
     said, cause = DROPS[case]
     core, now = member(), SECOND
     for sender, message in said[:-1]:
-        core.heard(now, sender, messages.pack(message, KEY))
+        core.receive(now, sender, messages.pack(message, KEY))
     before = held(core)
     sender, message = said[-1]
-    actions = core.heard(now, sender, messages.pack(message, KEY))
+    actions = core.receive(now, sender, messages.pack(message, KEY))
     assert core.counts[f"dropped_{cause}"] == 1
     assert held(core) == before
     assert not [action for action in actions if isinstance(action, LogEvent)]
@@ -136,7 +136,7 @@
 def test_numbers_out_of_order_are_each_heard_once():
     core = member()
     for number in (5, 3, 9, 4):
-        core.heard(SECOND, 1, messages.pack(say(number), KEY))
+        core.receive(SECOND, 1, messages.pack(say(number), KEY))
     assert core.counts == {} and core.members[1].number == 9
 
 
@@ -191,7 +191,7 @@
     world.run(1)
     core = world.nodes[late.rank].core
     assert core.members[3].life == world.nodes[3].core.life > was
-    core.heard(world.kernel.now, 3, late.body)
+    core.receive(world.kernel.now, 3, late.body)
     assert core.members[3].life == world.nodes[3].core.life and core.counts["dropped_former"]
 
 
@@ -346,7 +346,7 @@
     for core in (older, younger):  # the sockets share an address: each gets a part of what comes
         for action in other.heard(now, rank, _spoken(older, 4, now)):
             if isinstance(action, Send) and action.rank == rank:
-                core.heard(now, 4, action.body)
+                core.receive(now, 4, action.body)
     assert older.yielded and not younger.yielded
 
 
@@ -407,11 +407,11 @@
 
 def test_a_decision_after_a_standstill_knows_of_it_before_any_word():
     """Whatever comes first, a datagram or a tick, the view is doubtful by then."""
-    for first in ("tick", "heard"):
+    for first in ("tick", "receive"):
         world = ready(virtual.ours, 5, 1)
         core, now = world.nodes[0].core, world.kernel.now + PAUSE_THRESHOLD + 2 * TICK_INTERVAL
         body = _spoken(world.nodes[1].core, 0, world.kernel.now)
-        actions = core.tick(now) if first == "tick" else core.heard(now, 1, body)
+        actions = core.tick(now) if first == "tick" else core.receive(now, 1, body)
         assert core.view.doubtful
         assert next(a for a in actions if isinstance(a, LogEvent)).name == "stood_still"
         assert all(m.state is State.ALIVE for m in core.members.values())
