--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -70,7 +70,7 @@
         return
 
     def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
-        member.there = 0
+        member.last_seen = 0
         super()._learn_doubt(now, member, row, at)
         if (
             row.kind is RowKind.DEAD
@@ -83,7 +83,7 @@
 
     def _look_at_suspects(self, now: int) -> None:
         for member in [self.members[rank] for rank in self.suspects]:
-            if now - member.noticed >= self._patience(member):
+            if now - member.suspected_at >= self._patience(member):
                 self._set(now, member, state.State.DEAD)
                 self.news.add(now, self._row(now, member))
 
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -52,14 +52,14 @@
 @dataclass(frozen=True, slots=True)
 class View:
     """What decisions use. ``cut_off``: nobody is heard; ``unheard``: most of those we hear don't hear us;
-    ``doubtful``: we stood still and know nothing fresh; ``part``: members that are here, of all that did not
+    ``doubtful``: we stood still and know nothing fresh; ``active_of_total``: members that are here, of all that did not
     leave, oneself in both."""
 
-    gone: frozenset[int] = frozenset()
+    absent: frozenset[int] = frozenset()
     cut_off: bool = False
     unheard: bool = False
     doubtful: bool = False
-    part: tuple[int, int] = (1, 1)
+    active_of_total: tuple[int, int] = (1, 1)
 
 
 @dataclass(slots=True)
@@ -71,13 +71,13 @@
     incarnation: int = 0
     state: State = State.UNKNOWN
     since: int = 0  # what a suspicion rests on: when the probe that failed was sent
-    noticed: int = 0  # when its suspicion became known here
+    suspected_at: int = 0  # when its suspicion became known here
     checked: int = 0  # when we looked ourselves during that suspicion
     by_relay: int = 0  # probes in a row that only relays got answered
     cleared: int = 0  # when others' word ended our suspicion last
     clears: int = 0  # and how often since it spoke to us
-    heard: int = 0  # it spoke to us
-    there: int = 0  # it was there by anybody's word
+    last_received: int = 0  # it spoke to us
+    last_seen: int = 0  # it was there by anybody's word
     voucher: int = -1  # who heard it when we did not
     accusers: set[int] = field(default_factory=set)
     sure: bool = False  # another has held it gone after its whole suspicion
@@ -96,7 +96,7 @@
     """A ping that is out."""
 
     rank: int
-    sent: int
+    sent_at: int
     health: int
-    step: int = 0  # 1: sent once more, 2: others were asked
+    stage: int = 0  # 1: sent once more, 2: others were asked
     missed_by: set[int] = field(default_factory=set)  # relays that are here and had no answer either
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -93,7 +93,7 @@
         self.unknown = set(self.members)
         self.gave_up: set[int] = set()  # that left
         self.digest = self._share(rank, life, State.ALIVE)
-        self.view = View(part=(1, size))
+        self.view = View(active_of_total=(1, size))
 
     # -- what happens ---------------------------------------------------------------------------------------
 
@@ -155,7 +155,7 @@
         self.probes.clear()
         self.relaying.clear()
         for member in self.members.values():
-            member.noticed += gap if member.state is State.SUSPECT else 0
+            member.suspected_at += gap if member.state is State.SUSPECT else 0
             member.sent.clear()
         self.fresh, self.fresh_after = False, self.number + 1
         self.heard_since = set()
@@ -193,7 +193,7 @@
                 self.turn = (self.turn + 1) % len(self.ring)
                 rank = self.ring[self.turn]
                 is_ours = 2 * ((rank - self.rank) % self.size) <= self.size
-                is_ours = is_ours or now - self.members[rank].heard > overdue
+                is_ours = is_ours or now - self.members[rank].last_received > overdue
                 if self.members[rank].state in ACTIVE_STATES and (is_ours or all_of_them):
                     self._ping(now, rank)
                     return
@@ -207,15 +207,15 @@
 
     def _look_at_probes(self, now: int) -> None:
         for number, probe in list(self.probes.items()):
-            slower, age = 1 + probe.health, now - probe.sent
+            slower, age = 1 + probe.health, now - probe.sent_at
             if age >= PROBE_TIMEOUT * slower:
                 del self.probes[number]
                 self._failed(now, probe)
-            elif probe.step < 1 and age >= PROBE_RETRY_DELAY * slower:
-                probe.step = 1
+            elif probe.stage < 1 and age >= PROBE_RETRY_DELAY * slower:
+                probe.stage = 1
                 self._tell(now, probe.rank, MessageKind.PING, about=self.rank, probe=number)
-            elif probe.step < 2 and age >= INDIRECT_PROBE_DELAY * slower:
-                probe.step = 2
+            elif probe.stage < 2 and age >= INDIRECT_PROBE_DELAY * slower:
+                probe.stage = 2
                 for relay in self._relays(now, probe.rank):
                     self._tell(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
         for (rank, number), (due, target) in list(self.relaying.items()):
@@ -235,15 +235,15 @@
     def _failed(self, now: int, probe: Probe) -> None:
         """Neither it nor anybody for it has answered. Where no relay did either, the fault may be ours."""
         member = self.members[probe.rank]
-        relays = sum(now - m.heard < HEARD_LATELY for m in self.members.values())
+        relays = sum(now - m.last_received < HEARD_LATELY for m in self.members.values())
         self.counts["probes_failed"] += 1
         if not probe.missed_by and relays:
             self.health = min(HEALTH_MOST, self.health + 1)
         # Others hear it, we don't: that is no news each time.
         lately = member.clears > 1 and now - member.cleared < QUIET
-        if member.state in ACTIVE_STATES and member.there <= probe.sent + MARGIN and not lately:
+        if member.state in ACTIVE_STATES and member.last_seen <= probe.sent_at + MARGIN and not lately:
             for rank in (self.rank, *probe.missed_by):  # each relay has tried, too
-                self._suspect(now, member, probe.sent, rank)
+                self._suspect(now, member, probe.sent_at, rank)
             self._spread(now)
 
     # -- messages -------------------------------------------------------------------------------------------
@@ -294,7 +294,7 @@
     def _lately(self, now: int) -> list[int]:
         """Members that we hear, the last one first: where some directions are dead, theirs are not."""
         members = (m for m in self.members.values() if m.state is not State.LEFT)
-        heard = [(-m.heard, m.rank) for m in members if now - m.heard < HEARD_LATELY]
+        heard = [(-m.last_received, m.rank) for m in members if now - m.last_received < HEARD_LATELY]
         return [rank for _, rank in sorted(heard)]
 
     def _rows(self, now: int, to: Member) -> Iterable[Row]:
@@ -369,7 +369,7 @@
 
     def _hear(self, now: int, member: Member, message: Message) -> None:
         """It spoke to us: it is there, whatever others say."""
-        member.heard = member.there = self.any_heard = now
+        member.last_received = member.last_seen = self.any_heard = now
         member.clears = 0
         member.by_relay = member.by_relay if message.kind is MessageKind.PING else 0
         if member.state is State.DEAD and message.incarnation <= member.incarnation:
@@ -408,7 +408,7 @@
                 self._tell(now, about, MessageKind.RELAYED, sender, message.probe, message.report)
             case MessageKind.RELAYED if about != self.rank and self._answered(message.probe, about):
                 target = self.members[about]
-                target.there, target.voucher = now, sender
+                target.last_seen, target.voucher = now, sender
                 target.by_relay += 1
                 if target.by_relay < LINK_MISSES:  # one direction may be dead: which, shows by more of it
                     self.urgent[about] = None
@@ -503,9 +503,9 @@
 
     def _learn_heard(self, now: int, member: Member, at: int, by: int) -> None:
         """Somebody heard it, at this time."""
-        if at <= member.there:
+        if at <= member.last_seen:
             return
-        member.there, member.voucher = at, by if by != self.rank else member.voucher
+        member.last_seen, member.voucher = at, by if by != self.rank else member.voucher
         cleared = member.state is State.SUSPECT and at > member.since + MARGIN
         if member.state is State.UNKNOWN:
             self._set(now, member, State.ALIVE)
@@ -518,7 +518,7 @@
     def _learn_doubt(self, now: int, member: Member, row: Row, at: int) -> bool:
         """SUSPECT or GONE: a reason to look, and to wait no longer than the shortest suspicion where the
         other is sure. Each member concludes by its own clock. Whether we know better."""
-        if member.there > at + MARGIN and member.state in ACTIVE_STATES:
+        if member.last_seen > at + MARGIN and member.state in ACTIVE_STATES:
             if self._vouch(now, member):
                 self._spread(now)
             if row.kind is RowKind.DEAD and member.doubt is None:  # only its own word undoes that: it is told
@@ -561,17 +561,17 @@
 
     def _vouch(self, now: int, member: Member) -> bool:
         """Tell that it was there, and when; whether that is news."""
-        by = self.rank if member.heard >= member.there or member.voucher < 0 else member.voucher
-        row = Row(RowKind.LAST_SEEN, member.rank, member.life, member.incarnation, now - member.there, by)
+        by = self.rank if member.last_received >= member.last_seen or member.voucher < 0 else member.voucher
+        row = Row(RowKind.LAST_SEEN, member.rank, member.life, member.incarnation, now - member.last_seen, by)
         known = self.news.since(row)
-        is_newer = known is None or known < member.there - MARGIN
+        is_newer = known is None or known < member.last_seen - MARGIN
         if is_newer:
             self.news.add(now, row)
         return is_newer
 
     def _suspect(self, now: int, member: Member, since: int, by: int) -> None:
         if member.state is not State.SUSPECT:
-            member.since, member.noticed = since, now
+            member.since, member.suspected_at = since, now
             member.accusers, member.sure = set(), False
             self._set(now, member, State.SUSPECT)
             if by != self.rank and self.random.random() * self.size < CHECKERS:
@@ -608,10 +608,10 @@
         if not self.suspects or self.heard_since is not None or deaf:
             return
         for member in [self.members[rank] for rank in self.suspects]:
-            left = member.noticed + self._patience(member) - now
-            if member.there > member.since + MARGIN:
+            left = member.suspected_at + self._patience(member) - now
+            if member.last_seen > member.since + MARGIN:
                 self._set(now, member, State.ALIVE)
-            elif member.checked < member.noticed:
+            elif member.checked < member.suspected_at:
                 if left <= PROBE_TIMEOUT and self._ping(now, member.rank):  # not without a look of our own
                     member.checked = now
             elif left <= 0 and now - member.checked >= PROBE_TIMEOUT:
@@ -623,7 +623,7 @@
         """A restarted process: nothing of its former self holds."""
         self.digest ^= self._share(member.rank, member.life, member.state)
         member.life, member.incarnation, member.number, member.window = life, 0, 0, 0
-        member.heard = member.there = member.reported = 0
+        member.last_received = member.last_seen = member.reported = 0
         member.sent.clear()
         self.links.forget(member.rank)
         # Its former self's state stays to be told from until the new one's is known: UNKNOWN counts nowhere.
@@ -678,15 +678,18 @@
         unheard = False
         downs = [to for rank, to in self.links.dead() if rank == self.rank]
         if downs:
-            lately = {m.rank for m in self.members.values() if now - m.heard < HEARD_LATELY}
+            lately = {m.rank for m in self.members.values() if now - m.last_received < HEARD_LATELY}
             unheard = 2 * len(lately.intersection(downs)) > len(lately)
         part = self.here + 1, self.size - len(self.gave_up)
         doubtful = self.heard_since is not None
         away = self.gone | self.gave_up
         old = self.view
-        if (old.cut_off, old.unheard, old.doubtful, old.part) == (cut_off, unheard, doubtful, part) and (
-            old.gone == away
-        ):
+        if (old.cut_off, old.unheard, old.doubtful, old.active_of_total) == (
+            cut_off,
+            unheard,
+            doubtful,
+            part,
+        ) and (old.absent == away):
             return
         self.view = View(frozenset(away), cut_off, unheard, doubtful, part)
         for what, was, holds in (("cut_off", old.cut_off, cut_off), ("unheard", old.unheard, unheard)):
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -79,7 +79,7 @@
             return now + PROBE_INTERVAL
         if core.suspects or core.urgent:
             return now + TICK_INTERVAL
-        looks = [probe.sent + STEPS[probe.step] for probe in core.probes.values()]
+        looks = [probe.sent_at + STEPS[probe.stage] for probe in core.probes.values()]
         if self.places and self.places.busy:
             looks.append(now + where.GREETING_INTERVAL)
         return min(core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relaying.values()))
@@ -176,7 +176,7 @@
         """What the decisions are told: who has no place yet is away, too."""
         view = self.core.view
         apart = view.cut_off or view.unheard or view.doubtful or self.core.yielded
-        return api.MembersChanged(view.gone | self.places.unplaced if self.places else view.gone, apart)
+        return api.MembersChanged(view.absent | self.places.unplaced if self.places else view.absent, apart)
 
     def _notice(self, notice: state.LogEvent) -> None:
         fields = notice.fields | {"boot_ms": clock() // MS}
@@ -206,12 +206,16 @@
     def doubts(self) -> tuple[str, ...]:
         """What is wrong with this process's own sight."""
         view, core = self.core.view, self.core
-        others = f"{view.part[0] - 1} of {view.part[1] - 1} gateways are here"
+        others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} gateways are here"
         return (
             *((f"nobody is heard, {others}",) if view.cut_off else ()),
             *(("most of those heard don't hear us",) if view.unheard else ()),
             *(("it stood still and knows nothing fresh yet",) if view.doubtful else ()),
-            *((f"only {others}",) if 2 * view.part[0] <= view.part[1] and not view.cut_off else ()),
+            *(
+                (f"only {others}",)
+                if 2 * view.active_of_total[0] <= view.active_of_total[1] and not view.cut_off
+                else ()
+            ),
             *((f"{len(down)} links are dead",) if (down := core.links.dead()) else ()),
         )
 
@@ -220,7 +224,12 @@
         heard; dead links as pairs (from, to)."""
         core, now = self.core, clock()
         rows = {
-            m.rank: [m.state.value, m.life, m.incarnation, (now - m.heard) // MS if m.heard else None]
+            m.rank: [
+                m.state.value,
+                m.life,
+                m.incarnation,
+                (now - m.last_received) // MS if m.last_received else None,
+            ]
             for m in core.members.values()
         }
         return {
@@ -232,7 +241,7 @@
             "unheard": core.view.unheard,
             "doubtful": core.view.doubtful,
             "health": core.health,
-            "part": list(core.view.part),
+            "part": list(core.view.active_of_total),
             "members": rows,
             "unplaced": sorted(self.places.unplaced) if self.places else [],
             "links_down": core.links.dead(),
@@ -242,8 +251,8 @@
         """For the log's figures and the metrics."""
         view = self.core.view
         return {
-            "members_here": view.part[0],
-            "members_missing": view.part[1] - view.part[0],
+            "members_here": view.active_of_total[0],
+            "members_missing": view.active_of_total[1] - view.active_of_total[0],
             "member_links_down": len(self.core.links.dead()),
             "member_apart": int(view.cut_off or view.unheard or view.doubtful),
         }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -103,7 +103,7 @@
 
 def held(core: Membership) -> list[tuple[object, ...]]:
     """What it holds of the others."""
-    return [(m.state, m.life, m.incarnation, m.heard, m.there) for m in core.members.values()]
+    return [(m.state, m.life, m.incarnation, m.last_received, m.last_seen) for m in core.members.values()]
 
 
 DROPS = {
@@ -285,11 +285,11 @@
     world.cuts = {(3, other) for other in range(8) if other != 3}
     world.run(5)
     view = world.nodes[3].core.view
-    assert view.unheard and not view.cut_off and view.gone == frozenset()
+    assert view.unheard and not view.cut_off and view.absent == frozenset()
     world.cuts = {(other, 3) for other in range(8) if other != 3}
     world.run(8)
     view = world.nodes[3].core.view
-    assert view.cut_off and view.gone == frozenset()  # silence is all it knows
+    assert view.cut_off and view.absent == frozenset()  # silence is all it knows
     world.cuts = set()
     world.run_until(world.agreed, 5)
     world.run(1)
@@ -303,8 +303,8 @@
         world.split(range(4))
         world.run(span)
         if span >= 7:
-            assert {node.core.view.part for node in world.nodes[:4]} == {(4, 12)}
-            assert {node.core.view.part for node in world.nodes[4:]} == {(8, 12)}
+            assert {node.core.view.active_of_total for node in world.nodes[:4]} == {(4, 12)}
+            assert {node.core.view.active_of_total for node in world.nodes[4:]} == {(8, 12)}
         before = world.carried["messages"]
         world.cuts = set()
         took = world.run_until(world.agreed, 5)
