--- a/lab/defects.py
+++ b/lab/defects.py
@@ -31,7 +31,7 @@
         super()._learn_of_myself(now, row)
         if row.life == self.life:
             self.incarnation = was
-            self.news.drop(self.rank, MEMBER)
+            self.gossip.drop(self.rank, MEMBER)
 
 
 class NoRefutation(Membership):
@@ -47,7 +47,7 @@
     the others'."""
 
     def _begin(self, now: int) -> None:
-        self.last = now
+        self.last_called = now
         super()._begin(now)
 
 
@@ -75,7 +75,7 @@
     """Goes on beside a twin."""
 
     def _learn_of_myself(self, now: int, row: Row) -> None:
-        if row.life <= self.life or now - self.began <= membership.TWIN_GRACE:
+        if row.life <= self.life or now - self.started_at <= membership.TWIN_GRACE:
             super()._learn_of_myself(now, row)
 
 
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -56,7 +56,7 @@
     of one's own before the end, no evidence but the suspect's word, a GONE is believed, nothing of links."""
 
     def _begin(self, now: int) -> None:
-        self.last = now
+        self.last_called = now
         super()._begin(now)
         self.health = 0
 
@@ -78,17 +78,17 @@
             and row.incarnation >= member.incarnation
         ):
             self._set(now, member, state.State.DEAD)
-            self.news.add(now, row)
+            self.gossip.add(now, row)
         return False
 
     def _look_at_suspects(self, now: int) -> None:
         for member in [self.members[rank] for rank in self.suspects]:
             if now - member.suspected_at >= self._patience(member):
                 self._set(now, member, state.State.DEAD)
-                self.news.add(now, self._row(now, member))
+                self.gossip.add(now, self._row(now, member))
 
     def _take(self, now: int, message: Message) -> None:
-        self.fresh = True
+        self.has_fresh_answer = True
         super()._take(now, message)
 
 
--- a/orchidlane/member_links.py
+++ b/orchidlane/member_links.py
@@ -14,7 +14,7 @@
         self.reports: dict[tuple[int, int], tuple[int, int, bool]] = {}  # (from, to): life, number, dead
         self.digest = 0  # of the dead ones: who holds the same has the same
 
-    def is_dead(self, source: int, target: int) -> bool:
+    def is_down(self, source: int, target: int) -> bool:
         """Whether nothing is told to arrive; a direction nobody spoke of works."""
         return self.reports.get((source, target), (0, 0, False))[2]
 
@@ -43,7 +43,7 @@
             if rank == source
         ]
 
-    def dead(self) -> list[tuple[int, int]]:
+    def down_links(self) -> list[tuple[int, int]]:
         """Directions on which nothing arrives, as (from, to)."""
         return sorted(at for at, (_, _, dead) in self.reports.items() if dead)
 
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -70,22 +70,22 @@
         self.reports = 0
         self.probes: dict[int, Probe] = {}
         # (who asked, its probe): when a NACK is due, and for whom
-        self.relaying: dict[tuple[int, int], tuple[int, int]] = {}
-        self.news = News(self._log(RESENDS))
+        self.relayed_probes: dict[tuple[int, int], tuple[int, int]] = {}
+        self.gossip = News(self._log(RESENDS))
         # Always in the same order, so that no pair waits for two rounds.
         self.ring = self.random.sample(sorted(self.members), len(self.members))
         self.turn = 0
-        self.urgent: dict[int, None] = {}
+        self.urgent_pings: dict[int, None] = {}
         self.actions: list[Action] = []
         self.counts: Counter[str] = Counter()
-        self.last = self.began = now
+        self.last_called = self.started_at = now
         self.next_probe = now + self.random.randrange(PROBE_INTERVAL)
         self.probes_made = self.fill_at = 0
         self.fresh_after = 1  # number of ours that an answer must tell of until rows are believed
-        self.fresh = True
+        self.has_fresh_answer = True
         self.heard_since: set[int] | None = None  # after a standstill, until doubt ends
         self.rate = max(RATE_LEAST, ROOM_PART * intake)
-        self.allowance, self.filled = self.rate, now
+        self.send_tokens, self.filled = self.rate, now
         self.left = self.yielded = False
         self.here, self.any_heard = 0, 0
         self.suspects: set[int] = set()
@@ -103,8 +103,8 @@
         if not self.left and not self.yielded:
             self._look_at_probes(now)
             self._look_at_suspects(now)
-            for rank in list(self.urgent)[:1]:
-                del self.urgent[rank]
+            for rank in list(self.urgent_pings)[:1]:
+                del self.urgent_pings[rank]
                 self._ping(now, rank)
             if now >= self.next_probe:
                 self.next_probe = now + PROBE_INTERVAL * (1 + self.health)
@@ -129,9 +129,9 @@
         self._begin(now)
         if not self.left and not self.yielded:
             self.incarnation += 1
-            self.news.add(now, Row(RowKind.LEFT, self.rank, self.life, self.incarnation))
+            self.gossip.add(now, Row(RowKind.LEFT, self.rank, self.life, self.incarnation))
             here = [m.rank for m in self.members.values() if m.state in ACTIVE_STATES]
-            self.allowance = max(self.allowance, 2.0 * len(here[: self._log(4)]))
+            self.send_tokens = max(self.send_tokens, 2.0 * len(here[: self._log(4)]))
             for rank in self.random.sample(here, min(len(here), self._log(4))):
                 self._tell(now, rank, MessageKind.NEWS)
                 self._tell(now, rank, MessageKind.NEWS)  # twice: one may be lost
@@ -147,17 +147,17 @@
     def _begin(self, now: int) -> None:
         """Before all else: did we stand still? Then nothing that was not answered counts against anybody."""
         self.actions = []
-        gap, self.last = now - self.last, now
+        gap, self.last_called = now - self.last_called, now
         if gap <= PAUSE_THRESHOLD:
             return
         self.counts["stood_still"] += 1
         self.health = HEALTH_MOST
         self.probes.clear()
-        self.relaying.clear()
+        self.relayed_probes.clear()
         for member in self.members.values():
             member.suspected_at += gap if member.state is State.SUSPECT else 0
             member.sent.clear()
-        self.fresh, self.fresh_after = False, self.number + 1
+        self.has_fresh_answer, self.fresh_after = False, self.number + 1
         self.heard_since = set()
         self.next_probe = now
         self.actions.append(LogEvent("stood_still", {"stood_still_ms": gap // MS}))
@@ -218,9 +218,9 @@
                 probe.stage = 2
                 for relay in self._relays(now, probe.rank):
                     self._tell(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
-        for (rank, number), (due, target) in list(self.relaying.items()):
+        for (rank, number), (due, target) in list(self.relayed_probes.items()):
             if now >= due:
-                del self.relaying[rank, number]
+                del self.relayed_probes[rank, number]
                 self._tell(now, rank, MessageKind.NACK, about=target, probe=number)
 
     def _relays(self, now: int, target: int) -> list[int]:
@@ -252,18 +252,18 @@
         self, now: int, rank: int, kind: MessageKind, about: int = 0, probe: int = 0, report: int = 0
     ) -> bool:
         """Every message passes here: what one member sends stays within its part of the room for counts."""
-        self.allowance = min(self.rate, self.allowance + self.rate * (now - self.filled) / SECOND)
+        self.send_tokens = min(self.rate, self.send_tokens + self.rate * (now - self.filled) / SECOND)
         self.filled = now
-        if self.allowance < (1 if kind in (MessageKind.PING, MessageKind.ACK) else RESERVE):
+        if self.send_tokens < (1 if kind in (MessageKind.PING, MessageKind.ACK) else RESERVE):
             self.counts["kept_back"] += 1
             return False
-        self.allowance -= 1
+        self.send_tokens -= 1
         self.number += 1
         member = self.members[rank]
         member.sent.append((self.number, now))
         rows = messages.fit(self._rows(now, member))
         for row in rows:
-            if not self.news.told(row):
+            if not self.gossip.told(row):
                 self.fill_at = (row.rank + 1) % self.size
         message = Message(
             kind,
@@ -306,7 +306,7 @@
         elif to.doubt:
             yield to.doubt
             to.doubt = None
-        yield from self.news.rows(now, to.rank)
+        yield from self.gossip.rows(now, to.rank)
         if to.differs:
             for step in range(self.size):
                 rank = (self.fill_at + step) % self.size
@@ -340,8 +340,8 @@
             self.counts["dropped_replayed"] += 1
             return
         own = message.heard if message.heard <= self.number else 0  # else our former self's numbers
-        self.fresh = self.fresh or own >= self.fresh_after
-        if not self.fresh:  # it waited in the socket while we stood still
+        self.has_fresh_answer = self.has_fresh_answer or own >= self.fresh_after
+        if not self.has_fresh_answer:  # it waited in the socket while we stood still
             self.counts["dropped_stale"] += 1
             return
         self._hear(now, member, message)
@@ -373,7 +373,7 @@
         member.clears = 0
         member.by_relay = member.by_relay if message.kind is MessageKind.PING else 0
         if member.state is State.DEAD and message.incarnation <= member.incarnation:
-            self.urgent[member.rank] = None  # it must refute what is known of it everywhere
+            self.urgent_pings[member.rank] = None  # it must refute what is known of it everywhere
             return
         moved = message.incarnation > member.incarnation
         member.incarnation = max(member.incarnation, message.incarnation)
@@ -382,7 +382,7 @@
             self._vouch(now, member)
         elif member.state is not State.ALIVE:
             self._set(now, member, State.ALIVE)
-            self.news.add(now, self._row(now, member))
+            self.gossip.add(now, self._row(now, member))
         if self.heard_since is not None:
             self.heard_since.add(member.rank)
             self._look_at_doubt()
@@ -400,18 +400,18 @@
                 report = 0 if about == self.rank else self.members[about].number
                 self._tell(now, sender, MessageKind.ACK, about, message.probe, report)
             case MessageKind.ASK if about not in (self.rank, sender):
-                self.relaying[sender, message.probe] = now + INDIRECT_PROBE_DELAY, about
+                self.relayed_probes[sender, message.probe] = now + INDIRECT_PROBE_DELAY, about
                 self._tell(now, about, MessageKind.PING, sender, message.probe)
             case MessageKind.ACK if about == self.rank:
                 self._answered(message.probe, sender)
-            case MessageKind.ACK if self.relaying.pop((about, message.probe), None):
+            case MessageKind.ACK if self.relayed_probes.pop((about, message.probe), None):
                 self._tell(now, about, MessageKind.RELAYED, sender, message.probe, message.report)
             case MessageKind.RELAYED if about != self.rank and self._answered(message.probe, about):
                 target = self.members[about]
                 target.last_seen, target.voucher = now, sender
                 target.by_relay += 1
                 if target.by_relay < LINK_MISSES:  # one direction may be dead: which, shows by more of it
-                    self.urgent[about] = None
+                    self.urgent_pings[about] = None
                 if target.state is State.SUSPECT:
                     self._set(now, target, State.ALIVE)
                     self._vouch(now, target)
@@ -445,10 +445,10 @@
         if len(missed) >= LINK_MISSES and missed[-1] > member.missing:
             self._link(now, member.rank, True)
         elif missed:
-            self.urgent[member.rank] = None
+            self.urgent_pings[member.rank] = None
 
     def _link(self, now: int, to: int, down: bool) -> None:
-        if self.links.is_dead(self.rank, to) is not down:
+        if self.links.is_down(self.rank, to) is not down:
             self._report(now, to, down)
 
     def _report(self, now: int, to: int, down: bool) -> None:
@@ -458,9 +458,9 @@
 
     def _learn_link(self, now: int, row: Row) -> None:
         """The report of the end that sends."""
-        was, down = self.links.is_dead(row.rank, row.by), row.kind is RowKind.LINK_DOWN
+        was, down = self.links.is_down(row.rank, row.by), row.kind is RowKind.LINK_DOWN
         if self.links.learn(row):
-            self.news.add(now, row)
+            self.gossip.add(now, row)
             if was is not down:
                 self.actions.append(LogEvent("link", {"from": row.rank, "to": row.by, "down": down}))
 
@@ -474,7 +474,7 @@
             if row.rank != self.rank:
                 if row.life >= self.members[row.rank].life:
                     self._learn_link(now, row)
-            elif row.life == self.life and self.links.is_dead(self.rank, row.by) is not down:
+            elif row.life == self.life and self.links.is_down(self.rank, row.by) is not down:
                 self._report(now, row.by, not down)  # an old word of ours that others still hold
             return False
         if row.rank == self.rank:
@@ -490,13 +490,13 @@
         elif row.kind is RowKind.LEFT:
             member.incarnation = max(member.incarnation, row.incarnation)
             self._set(now, member, State.LEFT)
-            self.news.add(now, row)
+            self.gossip.add(now, row)
         elif row.kind is RowKind.ALIVE:
             if row.incarnation > member.incarnation or member.state is State.UNKNOWN:
                 member.incarnation = row.incarnation
                 if member.state is not State.ALIVE:
                     self._set(now, member, State.ALIVE)
-                self.news.add(now, row)
+                self.gossip.add(now, row)
         elif row.incarnation >= member.incarnation:
             return self._learn_doubt(now, member, row, at)
         return False
@@ -523,7 +523,7 @@
                 self._spread(now)
             if row.kind is RowKind.DEAD and member.doubt is None:  # only its own word undoes that: it is told
                 member.doubt = row
-                self.urgent[member.rank] = None
+                self.urgent_pings[member.rank] = None
             return True
         if member.state is State.UNKNOWN and row.kind is RowKind.DEAD:
             member.incarnation, member.since = row.incarnation, at
@@ -542,7 +542,7 @@
         if self.yielded:
             return
         if row.life > self.life:
-            if now - self.began > TWIN_GRACE:
+            if now - self.started_at > TWIN_GRACE:
                 self.yielded = True
                 self.actions.append(LogEvent("twin", {"life": self.life, "newer_life": row.life}))
                 return
@@ -557,16 +557,16 @@
             self.health = min(HEALTH_MOST, self.health + 1)
         else:
             return
-        self.news.add(now, Row(RowKind.ALIVE, self.rank, self.life, self.incarnation))
+        self.gossip.add(now, Row(RowKind.ALIVE, self.rank, self.life, self.incarnation))
 
     def _vouch(self, now: int, member: Member) -> bool:
         """Tell that it was there, and when; whether that is news."""
         by = self.rank if member.last_received >= member.last_seen or member.voucher < 0 else member.voucher
         row = Row(RowKind.LAST_SEEN, member.rank, member.life, member.incarnation, now - member.last_seen, by)
-        known = self.news.since(row)
+        known = self.gossip.since(row)
         is_newer = known is None or known < member.last_seen - MARGIN
         if is_newer:
-            self.news.add(now, row)
+            self.gossip.add(now, row)
         return is_newer
 
     def _suspect(self, now: int, member: Member, since: int, by: int) -> None:
@@ -575,12 +575,12 @@
             member.accusers, member.sure = set(), False
             self._set(now, member, State.SUSPECT)
             if by != self.rank and self.random.random() * self.size < CHECKERS:
-                self.urgent[member.rank] = None
+                self.urgent_pings[member.rank] = None
         if by not in member.accusers and by != member.rank:
             member.accusers.add(by)
             if not self.view.cut_off:  # who hears nobody has nothing to tell
                 age = now - member.since
-                self.news.add(
+                self.gossip.add(
                     now, Row(RowKind.SUSPECT, member.rank, member.life, member.incarnation, age, by)
                 )
 
@@ -592,7 +592,7 @@
         most = SUSPECT_TIMES * least
         if 3 * len(self.suspects) > max(6, self.here):  # so many at once: rather the network than they
             return most
-        if member.clears > 1 or any(member.rank in at for at in self.links.dead()):
+        if member.clears > 1 or any(member.rank in at for at in self.links.down_links()):
             return most
         if member.sure:
             return least / 2
@@ -616,7 +616,7 @@
                     member.checked = now
             elif left <= 0 and now - member.checked >= PROBE_TIMEOUT:
                 self._set(now, member, State.DEAD)
-                self.news.add(now, self._row(now, member))
+                self.gossip.add(now, self._row(now, member))
                 self._spread(now)
 
     def _new_life(self, member: Member, life: int) -> None:
@@ -649,10 +649,10 @@
         fields = {"member": member.rank, "state": state.value, "was": member.state.value}
         self._count(member, state)
         if state is not State.SUSPECT:
-            self.news.drop(member.rank, SUSPICION)
+            self.gossip.drop(member.rank, SUSPICION)
         if state in (State.DEAD, State.LEFT):
             self.links.forget(member.rank)
-            self.news.drop(member.rank, LAST_SEEN)
+            self.gossip.drop(member.rank, LAST_SEEN)
             member.sent.clear()
         fields |= {"life": member.life, "incarnation": member.incarnation}
         self.actions.append(LogEvent("member", fields))
@@ -673,10 +673,10 @@
 
     def _look_at_view(self, now: int) -> None:
         """What decisions use, as of now."""
-        lost = now - max(self.any_heard, self.began) > HEARD_LATELY
+        lost = now - max(self.any_heard, self.started_at) > HEARD_LATELY
         cut_off = lost and len(self.gave_up) < len(self.members)
         unheard = False
-        downs = [to for rank, to in self.links.dead() if rank == self.rank]
+        downs = [to for rank, to in self.links.down_links() if rank == self.rank]
         if downs:
             lately = {m.rank for m in self.members.values() if now - m.last_received < HEARD_LATELY}
             unheard = 2 * len(lately.intersection(downs)) > len(lately)
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -77,12 +77,14 @@
         core = self.core
         if core.left:
             return now + PROBE_INTERVAL
-        if core.suspects or core.urgent:
+        if core.suspects or core.urgent_pings:
             return now + TICK_INTERVAL
         looks = [probe.sent_at + STEPS[probe.stage] for probe in core.probes.values()]
         if self.places and self.places.busy:
             looks.append(now + where.GREETING_INTERVAL)
-        return min(core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relaying.values()))
+        return min(
+            core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relayed_probes.values())
+        )
 
     def _wake(self, now: int) -> None:
         """The one timer, set anew where something is due at another time."""
@@ -120,7 +122,9 @@
         """Before a decision: did we stand still? Then it must know."""
         now = clock()
         return (
-            self._do(self.core.tick(now)) if now - self.core.last > PAUSE_THRESHOLD and self.timer else None
+            self._do(self.core.tick(now))
+            if now - self.core.last_called > PAUSE_THRESHOLD and self.timer
+            else None
         )
 
     def heard(self, rank: int, body: bytes) -> None:
@@ -216,7 +220,7 @@
                 if 2 * view.active_of_total[0] <= view.active_of_total[1] and not view.cut_off
                 else ()
             ),
-            *((f"{len(down)} links are dead",) if (down := core.links.dead()) else ()),
+            *((f"{len(down)} links are dead",) if (down := core.links.down_links()) else ()),
         )
 
     def table(self) -> dict[str, object]:
@@ -244,7 +248,7 @@
             "part": list(core.view.active_of_total),
             "members": rows,
             "unplaced": sorted(self.places.unplaced) if self.places else [],
-            "links_down": core.links.dead(),
+            "links_down": core.links.down_links(),
         }
 
     def gauges(self) -> dict[str, int]:
@@ -253,6 +257,6 @@
         return {
             "members_here": view.active_of_total[0],
             "members_missing": view.active_of_total[1] - view.active_of_total[0],
-            "member_links_down": len(self.core.links.dead()),
+            "member_links_down": len(self.core.links.down_links()),
             "member_apart": int(view.cut_off or view.unheard or view.doubtful),
         }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -260,9 +260,9 @@
         named = {"from": a, "to": b, "down": True}
         world.run_until(lambda named=named: any(c.fields == named for c in world.changes), 3)
         world.run(4)
-        assert all(node.core.links.dead() == [(a, b)] for node in world.nodes)
+        assert all(node.core.links.down_links() == [(a, b)] for node in world.nodes)
         world.cuts.clear()
-        world.run_until(lambda: not any(node.core.links.dead() for node in world.nodes), 6)
+        world.run_until(lambda: not any(node.core.links.down_links() for node in world.nodes), 6)
         assert gone(world) == []
 
 
@@ -325,12 +325,12 @@
         assert not any(c.what == "link" and c.fields["down"] for c in world.changes)
     world = ready(factory, 5, seed)
     world.cuts = {(0, 1)}
-    world.run_until(lambda: all(node.core.links.dead() == [(0, 1)] for node in world.nodes), 6)
+    world.run_until(lambda: all(node.core.links.down_links() == [(0, 1)] for node in world.nodes), 6)
     world.split([1])
     world.run(8)
     assert gone(world)
     world.cuts = set()
-    world.run_until(lambda: world.agreed() and not any(n.core.links.dead() for n in world.nodes), 6)
+    world.run_until(lambda: world.agreed() and not any(n.core.links.down_links() for n in world.nodes), 6)
 
 
 def twins(factory: virtual.Factory, seed: int) -> None:
@@ -351,7 +351,7 @@
 
 
 def _spoken(core: Membership, rank: int, now: int) -> bytes:
-    core.actions, core.allowance = [], 20.0
+    core.actions, core.send_tokens = [], 20.0
     core._tell(now, rank, MessageKind.PING, about=core.rank)
     return core.actions[-1].body
 
