--- a/lab/defects.py
+++ b/lab/defects.py
@@ -26,9 +26,9 @@
 class NoIncarnation(Membership):
     """Refutes without a new incarnation: nobody has a reason to believe it."""
 
-    def _learn_of_myself(self, now: int, row: Row) -> None:
+    def _apply_row_about_self(self, now: int, row: Row) -> None:
         was = self.incarnation
-        super()._learn_of_myself(now, row)
+        super()._apply_row_about_self(now, row)
         if row.life == self.life:
             self.incarnation = was
             self.gossip.drop(self.rank, MEMBER)
@@ -37,56 +37,56 @@
 class NoRefutation(Membership):
     """Lets others say of it what they like."""
 
-    def _learn_of_myself(self, now: int, row: Row) -> None:
+    def _apply_row_about_self(self, now: int, row: Row) -> None:
         if row.life != self.life:
-            super()._learn_of_myself(now, row)
+            super()._apply_row_about_self(now, row)
 
 
 class NoSelfDoubt(Membership):
     """Goes on after a standstill as if nothing had been: what waits in its socket is news, and silence is
     the others'."""
 
-    def _begin(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         self.last_called = now
-        super()._begin(now)
+        super()._detect_pause(now)
 
 
 class NoLinkReport(Membership):
     """Does not look at what others heard of it."""
 
-    def _reported(self, now: int, member: state.Member, heard: int) -> None:
+    def _handle_acknowledged(self, now: int, member: state.Member, heard: int) -> None:
         return
 
 
 class NoVouching(Membership):
     """Keeps to itself whom it heard, and takes a GONE for the truth."""
 
-    def _vouch(self, now: int, member: state.Member) -> bool:
+    def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
-        super()._learn_doubt(now, member, row, at)
+    def _apply_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
+        super()._apply_doubt(now, member, row, at)
         if row.kind is RowKind.DEAD and member.state in state.ACTIVE_STATES:
-            self._set(now, member, state.State.DEAD)
+            self._set_state(now, member, state.State.DEAD)
         return False
 
 
 class NoYielding(Membership):
     """Goes on beside a twin."""
 
-    def _learn_of_myself(self, now: int, row: Row) -> None:
+    def _apply_row_about_self(self, now: int, row: Row) -> None:
         if row.life <= self.life or now - self.started_at <= membership.TWIN_GRACE:
-            super()._learn_of_myself(now, row)
+            super()._apply_row_about_self(now, row)
 
 
 class OldLivesCount(Membership):
     """Takes a former self's late datagrams for the member's own."""
 
-    def _take(self, now: int, message: Message) -> None:
+    def _process(self, now: int, message: Message) -> None:
         member = self.members[message.sender]
         if message.life < member.life:
-            self._new_life(member, message.life)
-        super()._take(now, message)
+            self._reset_for_life(member, message.life)
+        super()._process(now, message)
 
 
 class DoesNotPassOn(Places):
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -55,41 +55,41 @@
     """SWIM as published: probes, relays, suspicion of one length, refutation. No health of its own, no look
     of one's own before the end, no evidence but the suspect's word, a GONE is believed, nothing of links."""
 
-    def _begin(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         self.last_called = now
-        super()._begin(now)
+        super()._detect_pause(now)
         self.health = 0
 
-    def _patience(self, member: state.Member) -> float:
-        return membership.SUSPICION_MIN * max(membership.SIZE_FACTOR_MIN, self._log(1) * 0.30103)
+    def _suspicion_timeout(self, member: state.Member) -> float:
+        return membership.SUSPICION_MIN * max(membership.SIZE_FACTOR_MIN, self._log_scaled(1) * 0.30103)
 
-    def _vouch(self, now: int, member: state.Member) -> bool:
+    def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _reported(self, now: int, member: state.Member, heard: int) -> None:
+    def _handle_acknowledged(self, now: int, member: state.Member, heard: int) -> None:
         return
 
-    def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
+    def _apply_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
         member.last_seen = 0
-        super()._learn_doubt(now, member, row, at)
+        super()._apply_doubt(now, member, row, at)
         if (
             row.kind is RowKind.DEAD
             and member.state in state.ACTIVE_STATES
             and row.incarnation >= member.incarnation
         ):
-            self._set(now, member, state.State.DEAD)
+            self._set_state(now, member, state.State.DEAD)
             self.gossip.add(now, row)
         return False
 
-    def _look_at_suspects(self, now: int) -> None:
+    def _check_suspects(self, now: int) -> None:
         for member in [self.members[rank] for rank in self.suspects]:
-            if now - member.suspected_at >= self._patience(member):
-                self._set(now, member, state.State.DEAD)
-                self.gossip.add(now, self._row(now, member))
+            if now - member.suspected_at >= self._suspicion_timeout(member):
+                self._set_state(now, member, state.State.DEAD)
+                self.gossip.add(now, self._member_row(now, member))
 
-    def _take(self, now: int, message: Message) -> None:
+    def _process(self, now: int, message: Message) -> None:
         self.has_fresh_answer = True
-        super()._take(now, message)
+        super()._process(now, message)
 
 
 def heartbeats(rank: int, size: int, life: int, seed: int, now: int) -> Core:
--- a/orchidlane/member_links.py
+++ b/orchidlane/member_links.py
@@ -26,14 +26,14 @@
             return False
         self.reports[at] = row.life, row.incarnation, dead
         if was is not dead:
-            self.digest ^= self._share(at)
+            self.digest ^= self._digest_part(at)
         return True
 
     def forget(self, rank: int) -> None:
         """Of who is not there nothing holds."""
         for at in [at for at in self.reports if rank in at]:
             if self.reports.pop(at)[2]:
-                self.digest ^= self._share(at)
+                self.digest ^= self._digest_part(at)
 
     def rows(self, source: int) -> list[Row]:
         """All reports of one that sends."""
@@ -48,5 +48,5 @@
         return sorted(at for at, (_, _, dead) in self.reports.items() if dead)
 
     @staticmethod
-    def _share(at: tuple[int, int]) -> int:
+    def _digest_part(at: tuple[int, int]) -> int:
         return zlib.crc32(b"%d %d" % at)
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -71,7 +71,7 @@
         self.probes: dict[int, Probe] = {}
         # (who asked, its probe): when a NACK is due, and for whom
         self.relayed_probes: dict[tuple[int, int], tuple[int, int]] = {}
-        self.gossip = News(self._log(RESENDS))
+        self.gossip = News(self._log_scaled(RESENDS))
         # Always in the same order, so that no pair waits for two rounds.
         self.ring = self.random.sample(sorted(self.members), len(self.members))
         self.turn = 0
@@ -92,17 +92,17 @@
         self.gone: set[int] = set()
         self.unknown = set(self.members)
         self.gave_up: set[int] = set()  # that left
-        self.digest = self._share(rank, life, State.ALIVE)
+        self.digest = self._digest_part(rank, life, State.ALIVE)
         self.view = View(active_of_total=(1, size))
 
     # -- what happens ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Action]:
         """Time has passed; wants to be called every TICK."""
-        self._begin(now)
+        self._detect_pause(now)
         if not self.left and not self.yielded:
             self._look_at_probes(now)
-            self._look_at_suspects(now)
+            self._check_suspects(now)
             for rank in list(self.urgent_pings)[:1]:
                 del self.urgent_pings[rank]
                 self._ping(now, rank)
@@ -113,38 +113,38 @@
 
     def receive(self, now: int, sender: int, data: bytes) -> list[Action]:
         """A datagram from this rank's address."""
-        self._begin(now)
+        self._detect_pause(now)
         try:
             message = messages.unpack(data, self.key, self.size)
             if message.sender != sender or message.receiver != self.rank or sender == self.rank:
                 raise messages.InvalidMessage("forged")
             if not self.left and not self.yielded:
-                self._take(now, message)
+                self._process(now, message)
         except messages.InvalidMessage as odd:
             self.counts[f"dropped_{odd}"] += 1
         return self._done(now)
 
     def leave(self, now: int) -> list[Action]:
         """On purpose: told to many at once, so that it is known faster than a death."""
-        self._begin(now)
+        self._detect_pause(now)
         if not self.left and not self.yielded:
             self.incarnation += 1
             self.gossip.add(now, Row(RowKind.LEFT, self.rank, self.life, self.incarnation))
             here = [m.rank for m in self.members.values() if m.state in ACTIVE_STATES]
-            self.send_tokens = max(self.send_tokens, 2.0 * len(here[: self._log(4)]))
-            for rank in self.random.sample(here, min(len(here), self._log(4))):
-                self._tell(now, rank, MessageKind.NEWS)
-                self._tell(now, rank, MessageKind.NEWS)  # twice: one may be lost
+            self.send_tokens = max(self.send_tokens, 2.0 * len(here[: self._log_scaled(4)]))
+            for rank in self.random.sample(here, min(len(here), self._log_scaled(4))):
+                self._send(now, rank, MessageKind.NEWS)
+                self._send(now, rank, MessageKind.NEWS)  # twice: one may be lost
             self.left = True
         return self._done(now)
 
     def on_newer_life(self, now: int, life: int) -> list[Action]:
         """A process of this life was found under our rank, by other means than ours."""
-        self._begin(now)
-        self._learn_of_myself(now, Row(RowKind.ALIVE, self.rank, life, 0))
+        self._detect_pause(now)
+        self._apply_row_about_self(now, Row(RowKind.ALIVE, self.rank, life, 0))
         return self._done(now)
 
-    def _begin(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         """Before all else: did we stand still? Then nothing that was not answered counts against anybody."""
         self.actions = []
         gap, self.last_called = now - self.last_called, now
@@ -173,7 +173,7 @@
 
     # -- probes ---------------------------------------------------------------------------------------------
 
-    def _log(self, times: int) -> int:
+    def _log_scaled(self, times: int) -> int:
         """So many times the logarithm of the fleet's size."""
         return math.ceil(times * math.log2(self.size + 1))
 
@@ -200,7 +200,7 @@
 
     def _ping(self, now: int, rank: int) -> bool:
         probe = self.number + 1
-        told = self._tell(now, rank, MessageKind.PING, about=self.rank, probe=probe)
+        told = self._send(now, rank, MessageKind.PING, about=self.rank, probe=probe)
         if told:
             self.probes[probe] = Probe(rank, now, self.health)
         return told
@@ -213,15 +213,15 @@
                 self._failed(now, probe)
             elif probe.stage < 1 and age >= PROBE_RETRY_DELAY * slower:
                 probe.stage = 1
-                self._tell(now, probe.rank, MessageKind.PING, about=self.rank, probe=number)
+                self._send(now, probe.rank, MessageKind.PING, about=self.rank, probe=number)
             elif probe.stage < 2 and age >= INDIRECT_PROBE_DELAY * slower:
                 probe.stage = 2
                 for relay in self._relays(now, probe.rank):
-                    self._tell(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
+                    self._send(now, relay, MessageKind.ASK, about=probe.rank, probe=number)
         for (rank, number), (due, target) in list(self.relayed_probes.items()):
             if now >= due:
                 del self.relayed_probes[rank, number]
-                self._tell(now, rank, MessageKind.NACK, about=target, probe=number)
+                self._send(now, rank, MessageKind.NACK, about=target, probe=number)
 
     def _relays(self, now: int, target: int) -> list[int]:
         """Members that we hear, first of all one that heard the target when we did not."""
@@ -248,7 +248,7 @@
 
     # -- messages -------------------------------------------------------------------------------------------
 
-    def _tell(
+    def _send(
         self, now: int, rank: int, kind: MessageKind, about: int = 0, probe: int = 0, report: int = 0
     ) -> bool:
         """Every message passes here: what one member sends stays within its part of the room for counts."""
@@ -289,7 +289,7 @@
     def _spread(self, now: int) -> None:
         """What is pressing does not wait for the next probe."""
         for rank in self._lately(now)[:PRESSING]:
-            self._tell(now, rank, MessageKind.NEWS)
+            self._send(now, rank, MessageKind.NEWS)
 
     def _lately(self, now: int) -> list[int]:
         """Members that we hear, the last one first: where some directions are dead, theirs are not."""
@@ -302,7 +302,7 @@
         of the whole table in turn."""
         if to.state in (State.SUSPECT, State.DEAD) or to.is_former:
             to.is_former = False
-            yield self._row(now, to)
+            yield self._member_row(now, to)
         elif to.doubt:
             yield to.doubt
             to.doubt = None
@@ -313,26 +313,26 @@
                 if rank == self.rank:
                     yield Row(RowKind.ALIVE, rank, self.life, self.incarnation)
                 elif self.members[rank].state is not State.UNKNOWN:
-                    yield self._row(now, self.members[rank])
+                    yield self._member_row(now, self.members[rank])
                 links = self.links.rows(rank)  # in any order: there may be more than fit
                 yield from self.random.sample(links, len(links))
 
-    def _row(self, now: int, member: Member) -> Row:
+    def _member_row(self, now: int, member: Member) -> Row:
         """What is held of it."""
         word, aged = WORDS.get(member.state, RowKind.ALIVE), member.state in (State.SUSPECT, State.DEAD)
         by = next(iter(member.accusers), self.rank)
         return Row(word, member.rank, member.life, member.incarnation, now - member.since if aged else 0, by)
 
-    def _take(self, now: int, message: Message) -> None:
+    def _process(self, now: int, message: Message) -> None:
         """A whole message of this cluster, from the address of its sender."""
         member = self.members[message.sender]
         if message.life < member.life:
             self.counts["dropped_former"] += 1
             member.is_former = True  # a former self, or the older one of twins: it is told of the newer one
-            self._tell(now, member.rank, MessageKind.NEWS)
+            self._send(now, member.rank, MessageKind.NEWS)
             return
         if message.life > member.life:
-            self._new_life(member, message.life)
+            self._reset_for_life(member, message.life)
         elif member.state is State.LEFT:
             self.counts["dropped_left"] += 1
             return
@@ -346,13 +346,13 @@
             return
         self._hear(now, member, message)
         if not message.doubtful:
-            self._reported(now, member, own)
+            self._handle_acknowledged(now, member, own)
         member.differs = message.digest != self._digest()
-        doubts = sum(self._learn(now, row) for row in message.rows)
+        doubts = sum(self._apply_row(now, row) for row in message.rows)
         if (
             doubts and message.kind is not MessageKind.PING
         ):  # it doubts whom we have heard since: told at once
-            self._tell(now, message.sender, MessageKind.NEWS)
+            self._send(now, message.sender, MessageKind.NEWS)
         self._answer(now, message)
 
     def _is_new(self, member: Member, number: int) -> bool:
@@ -378,11 +378,11 @@
         moved = message.incarnation > member.incarnation
         member.incarnation = max(member.incarnation, message.incarnation)
         if member.state is State.SUSPECT and not moved:
-            self._set(now, member, State.ALIVE)
-            self._vouch(now, member)
+            self._set_state(now, member, State.ALIVE)
+            self._gossip_last_seen(now, member)
         elif member.state is not State.ALIVE:
-            self._set(now, member, State.ALIVE)
-            self.gossip.add(now, self._row(now, member))
+            self._set_state(now, member, State.ALIVE)
+            self.gossip.add(now, self._member_row(now, member))
         if self.heard_since is not None:
             self.heard_since.add(member.rank)
             self._look_at_doubt()
@@ -398,14 +398,14 @@
         match message.kind:
             case MessageKind.PING:
                 report = 0 if about == self.rank else self.members[about].number
-                self._tell(now, sender, MessageKind.ACK, about, message.probe, report)
+                self._send(now, sender, MessageKind.ACK, about, message.probe, report)
             case MessageKind.ASK if about not in (self.rank, sender):
                 self.relayed_probes[sender, message.probe] = now + INDIRECT_PROBE_DELAY, about
-                self._tell(now, about, MessageKind.PING, sender, message.probe)
+                self._send(now, about, MessageKind.PING, sender, message.probe)
             case MessageKind.ACK if about == self.rank:
                 self._answered(message.probe, sender)
             case MessageKind.ACK if self.relayed_probes.pop((about, message.probe), None):
-                self._tell(now, about, MessageKind.RELAYED, sender, message.probe, message.report)
+                self._send(now, about, MessageKind.RELAYED, sender, message.probe, message.report)
             case MessageKind.RELAYED if about != self.rank and self._answered(message.probe, about):
                 target = self.members[about]
                 target.last_seen, target.voucher = now, sender
@@ -413,9 +413,9 @@
                 if target.by_relay < LINK_MISSES:  # one direction may be dead: which, shows by more of it
                     self.urgent_pings[about] = None
                 if target.state is State.SUSPECT:
-                    self._set(now, target, State.ALIVE)
-                    self._vouch(now, target)
-                self._reported(now, target, message.report if message.report <= self.number else 0)
+                    self._set_state(now, target, State.ALIVE)
+                    self._gossip_last_seen(now, target)
+                self._handle_acknowledged(now, target, message.report if message.report <= self.number else 0)
             case MessageKind.NACK:
                 if (probe := self.probes.get(message.probe)) and probe.rank == about:
                     probe.missed_by.add(sender)
@@ -431,7 +431,7 @@
 
     # -- links ----------------------------------------------------------------------------------------------
 
-    def _reported(self, now: int, member: Member, heard: int) -> None:
+    def _handle_acknowledged(self, now: int, member: Member, heard: int) -> None:
         """It tells the highest number of ours that it heard: what it missed shows whether our way there is
         dead."""
         while member.sent and member.sent[0][0] <= heard:
@@ -466,7 +466,7 @@
 
     # -- what is held of members ----------------------------------------------------------------------------
 
-    def _learn(self, now: int, row: Row) -> bool:
+    def _apply_row(self, now: int, row: Row) -> bool:
         """One row of another's; ages tell when what it rests on happened, by our clock. Whether it doubts
         what we know better."""
         if row.kind in (RowKind.LINK_DOWN, RowKind.LINK_UP):
@@ -478,27 +478,27 @@
                 self._report(now, row.by, not down)  # an old word of ours that others still hold
             return False
         if row.rank == self.rank:
-            self._learn_of_myself(now, row)
+            self._apply_row_about_self(now, row)
             return False
         member, at = self.members[row.rank], now - row.age
         if row.life < member.life or (row.life == member.life and member.state is State.LEFT):
             return False
         if row.life > member.life:
-            self._new_life(member, row.life)
+            self._reset_for_life(member, row.life)
         if row.kind is RowKind.LAST_SEEN:
             self._learn_heard(now, member, at, row.by)
         elif row.kind is RowKind.LEFT:
             member.incarnation = max(member.incarnation, row.incarnation)
-            self._set(now, member, State.LEFT)
+            self._set_state(now, member, State.LEFT)
             self.gossip.add(now, row)
         elif row.kind is RowKind.ALIVE:
             if row.incarnation > member.incarnation or member.state is State.UNKNOWN:
                 member.incarnation = row.incarnation
                 if member.state is not State.ALIVE:
-                    self._set(now, member, State.ALIVE)
+                    self._set_state(now, member, State.ALIVE)
                 self.gossip.add(now, row)
         elif row.incarnation >= member.incarnation:
-            return self._learn_doubt(now, member, row, at)
+            return self._apply_doubt(now, member, row, at)
         return False
 
     def _learn_heard(self, now: int, member: Member, at: int, by: int) -> None:
@@ -508,18 +508,18 @@
         member.last_seen, member.voucher = at, by if by != self.rank else member.voucher
         cleared = member.state is State.SUSPECT and at > member.since + MARGIN
         if member.state is State.UNKNOWN:
-            self._set(now, member, State.ALIVE)
+            self._set_state(now, member, State.ALIVE)
         if cleared:
             member.cleared, member.clears = now, member.clears + 1
-            self._set(now, member, State.ALIVE)
-        if self._vouch(now, member) and cleared:
+            self._set_state(now, member, State.ALIVE)
+        if self._gossip_last_seen(now, member) and cleared:
             self._spread(now)
 
-    def _learn_doubt(self, now: int, member: Member, row: Row, at: int) -> bool:
+    def _apply_doubt(self, now: int, member: Member, row: Row, at: int) -> bool:
         """SUSPECT or GONE: a reason to look, and to wait no longer than the shortest suspicion where the
         other is sure. Each member concludes by its own clock. Whether we know better."""
         if member.last_seen > at + MARGIN and member.state in ACTIVE_STATES:
-            if self._vouch(now, member):
+            if self._gossip_last_seen(now, member):
                 self._spread(now)
             if row.kind is RowKind.DEAD and member.doubt is None:  # only its own word undoes that: it is told
                 member.doubt = row
@@ -527,17 +527,17 @@
             return True
         if member.state is State.UNKNOWN and row.kind is RowKind.DEAD:
             member.incarnation, member.since = row.incarnation, at
-            self._set(now, member, State.DEAD)
+            self._set_state(now, member, State.DEAD)
         elif member.state is not State.DEAD or row.incarnation > member.incarnation:
             if row.incarnation > member.incarnation:  # it has refuted in between: a suspicion of its own
                 member.incarnation = row.incarnation
                 if member.state is State.SUSPECT:
-                    self._set(now, member, State.ALIVE)
+                    self._set_state(now, member, State.ALIVE)
             self._suspect(now, member, at, row.by)
             member.sure = row.kind is RowKind.DEAD
         return False
 
-    def _learn_of_myself(self, now: int, row: Row) -> None:
+    def _apply_row_about_self(self, now: int, row: Row) -> None:
         """What others hold of us: a former self's traces are outbid, a twin's are not, doubts are refuted."""
         if self.yielded:
             return
@@ -546,9 +546,9 @@
                 self.yielded = True
                 self.actions.append(LogEvent("twin", {"life": self.life, "newer_life": row.life}))
                 return
-            self.digest ^= self._share(self.rank, self.life, State.ALIVE)
+            self.digest ^= self._digest_part(self.rank, self.life, State.ALIVE)
             self.life, self.incarnation = row.life + 1, 0
-            self.digest ^= self._share(self.rank, self.life, State.ALIVE)
+            self.digest ^= self._digest_part(self.rank, self.life, State.ALIVE)
         elif (row.life, row.incarnation) < (self.life, self.incarnation):
             return
         elif row.kind not in (RowKind.ALIVE, RowKind.LAST_SEEN):
@@ -559,7 +559,7 @@
             return
         self.gossip.add(now, Row(RowKind.ALIVE, self.rank, self.life, self.incarnation))
 
-    def _vouch(self, now: int, member: Member) -> bool:
+    def _gossip_last_seen(self, now: int, member: Member) -> bool:
         """Tell that it was there, and when; whether that is news."""
         by = self.rank if member.last_received >= member.last_seen or member.voucher < 0 else member.voucher
         row = Row(RowKind.LAST_SEEN, member.rank, member.life, member.incarnation, now - member.last_seen, by)
@@ -573,7 +573,7 @@
         if member.state is not State.SUSPECT:
             member.since, member.suspected_at = since, now
             member.accusers, member.sure = set(), False
-            self._set(now, member, State.SUSPECT)
+            self._set_state(now, member, State.SUSPECT)
             if by != self.rank and self.random.random() * self.size < CHECKERS:
                 self.urgent_pings[member.rank] = None
         if by not in member.accusers and by != member.rank:
@@ -584,7 +584,7 @@
                     now, Row(RowKind.SUSPECT, member.rank, member.life, member.incarnation, age, by)
                 )
 
-    def _patience(self, member: Member) -> float:
+    def _suspicion_timeout(self, member: Member) -> float:
         """How long a suspicion lasts: the shorter, the more members found it independently; half of the
         shortest where another has waited for all of it already. The longest where it is known that some hear
         it and others don't: word of who does takes its time."""
@@ -602,26 +602,26 @@
         found = min(needed, len(member.accusers) - 1)
         return max(least, most - (most - least) * math.log(found + 1) / math.log(needed + 1))
 
-    def _look_at_suspects(self, now: int) -> None:
+    def _check_suspects(self, now: int) -> None:
         """Nobody is gone by the word of one who stood still, or who hears nobody himself."""
         deaf = self.view.cut_off and len(self.members) > 1 and now - self.any_heard < CUT_PATIENCE
         if not self.suspects or self.heard_since is not None or deaf:
             return
         for member in [self.members[rank] for rank in self.suspects]:
-            left = member.suspected_at + self._patience(member) - now
+            left = member.suspected_at + self._suspicion_timeout(member) - now
             if member.last_seen > member.since + MARGIN:
-                self._set(now, member, State.ALIVE)
+                self._set_state(now, member, State.ALIVE)
             elif member.checked < member.suspected_at:
                 if left <= PROBE_TIMEOUT and self._ping(now, member.rank):  # not without a look of our own
                     member.checked = now
             elif left <= 0 and now - member.checked >= PROBE_TIMEOUT:
-                self._set(now, member, State.DEAD)
-                self.gossip.add(now, self._row(now, member))
+                self._set_state(now, member, State.DEAD)
+                self.gossip.add(now, self._member_row(now, member))
                 self._spread(now)
 
-    def _new_life(self, member: Member, life: int) -> None:
+    def _reset_for_life(self, member: Member, life: int) -> None:
         """A restarted process: nothing of its former self holds."""
-        self.digest ^= self._share(member.rank, member.life, member.state)
+        self.digest ^= self._digest_part(member.rank, member.life, member.state)
         member.life, member.incarnation, member.number, member.window = life, 0, 0, 0
         member.last_received = member.last_seen = member.reported = 0
         member.sent.clear()
@@ -642,10 +642,10 @@
                 kept.add(member.rank)
         member.state = state
 
-    def _set(self, now: int, member: Member, state: State) -> None:
+    def _set_state(self, now: int, member: Member, state: State) -> None:
         """Every change of a member's state passes here."""
-        self.digest ^= self._share(member.rank, member.life, member.state)
-        self.digest ^= self._share(member.rank, member.life, state)
+        self.digest ^= self._digest_part(member.rank, member.life, member.state)
+        self.digest ^= self._digest_part(member.rank, member.life, state)
         fields = {"member": member.rank, "state": state.value, "was": member.state.value}
         self._count(member, state)
         if state is not State.SUSPECT:
@@ -662,7 +662,7 @@
         return self.digest ^ self.links.digest
 
     @staticmethod
-    def _share(rank: int, life: int, state: State) -> int:
+    def _digest_part(rank: int, life: int, state: State) -> int:
         """A member's part of the digest: who doubts and who does not yet hold the same."""
         if state is State.UNKNOWN:
             return 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -202,9 +202,9 @@
     world.run(4)
     world.restart(2)
     core = world.nodes[2].core
-    core.digest ^= core._share(2, core.life, State.ALIVE)
+    core.digest ^= core._digest_part(2, core.life, State.ALIVE)
     core.life = was - 100 * 1024
-    core.digest ^= core._share(2, core.life, State.ALIVE)
+    core.digest ^= core._digest_part(2, core.life, State.ALIVE)
     world.run_until(world.agreed, 6)
     assert world.nodes[2].core.life > was
 
@@ -223,7 +223,7 @@
         was = target.incarnation
         for node in world.nodes[2:]:
             row = Row(word, 1, target.life, was, by=0)
-            node.core._learn(world.kernel.now, row)
+            node.core._apply_row(world.kernel.now, row)
         world.run(2.0)
         assert target.incarnation > was
         assert all(
@@ -352,7 +352,7 @@
 
 def _spoken(core: Membership, rank: int, now: int) -> bytes:
     core.actions, core.send_tokens = [], 20.0
-    core._tell(now, rank, MessageKind.PING, about=core.rank)
+    core._send(now, rank, MessageKind.PING, about=core.rank)
     return core.actions[-1].body
 
 
