--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -344,7 +344,7 @@
         older.tick(world.kernel.now)
     other, now = world.nodes[4].core, world.kernel.now
     for core in (older, younger):  # the sockets share an address: each gets a part of what comes
-        for action in other.heard(now, rank, _spoken(older, 4, now)):
+        for action in other.receive(now, rank, _spoken(older, 4, now)):
             if isinstance(action, Send) and action.rank == rank:
                 core.receive(now, 4, action.body)
     assert older.yielded and not younger.yielded
