--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -133,7 +133,7 @@
 
     def _tick(self, node: Node) -> None:
         if node.paused <= self.kernel.now and node.core.due(self._now(node)):
-            self._send(node, node.core.ask(self._now(node)), to_source=True)
+            self._send(node, node.core.make_request(self._now(node)), to_source=True)
         self.kernel.after(TICK, self._tick, node)
 
     def _send(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
@@ -160,13 +160,13 @@
             self._told(node, body)
 
     def _told(self, node: Node, body: dict[str, Any]) -> None:
-        if node.core.told(self._now(node), body) and node.core.version:
+        if node.core.apply_answer(self._now(node), body) and node.core.version:
             self.held_at[node.core.version] = max(
                 self.held_at.get(node.core.version, 0), self._first_held(node, node.core.version)
             )
         # What it is ready for is said at once.
         if node.core.due(self._now(node)):
-            self._send(node, node.core.ask(self._now(node)), to_source=True)
+            self._send(node, node.core.make_request(self._now(node)), to_source=True)
 
     def _first_held(self, node: Node, version: int) -> int:
         """When this process took the version first."""
@@ -178,16 +178,16 @@
         self.kernel.after(DECIDE // 2 + int(self.draw() * DECIDE), self._decide, node)
         if node.paused > now:
             return
-        acting = node.core.acting(self._now(node))
+        effective = node.core.effective(self._now(node))
         self.counts["decisions"] += 1
-        self.counts["lapsed"] += acting.lapsed
-        self.counts["narrow"] += acting.narrow and not acting.lapsed
-        if acting.version is None:
+        self.counts["lapsed"] += effective.lapsed
+        self.counts["narrow"] += effective.restricted and not effective.lapsed
+        if effective.version is None:
             return
-        never, within = self.values[acting.version]
-        if not acting.narrow:
+        never, within = self.values[effective.version]
+        if not effective.restricted:
             self._note(NEVER, never, node.name, now)
-        if not acting.lapsed:
+        if not effective.lapsed:
             self._note(WITHIN, within, node.name, now)
 
     def _note(self, key: str, value: int, name: str, now: int) -> None:
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -98,9 +98,9 @@
                 continue
             waited, self.waiting[rank] = self.waiting[rank], []
             for body in waited:
-                core.told(self.now(), body)
+                core.apply_answer(self.now(), body)
             if core.due(self.now()):
-                self.way.append((self.step + 1, rank, True, core.ask(self.now())))
+                self.way.append((self.step + 1, rank, True, core.make_request(self.now())))
         while self.puts and self.puts[0][0] <= self.step and not self.source.kept.pending:
             _, version, rule = self.puts.pop(0)
             self.source.put(self.now(), version, rule)
@@ -117,19 +117,19 @@
         elif self.paused[rank] > self.step:
             self.waiting[rank].append(body)
         else:
-            self.cores[rank].told(self.now(), body)
+            self.cores[rank].apply_answer(self.now(), body)
 
     def _decide(self) -> None:
         """Each that runs decides by what it holds; by which value of each key, and when, is kept."""
         for rank, core in enumerate(self.cores):
             if self.paused[rank] > self.step:
                 continue
-            acting = core.acting(self.now())
-            if acting.version is not None:
-                if not acting.narrow:
-                    self._note(NEVER, int(acting.version >= 2))
-                if not acting.lapsed:
-                    self._note(WITHIN, int(acting.version >= 3))
+            effective = core.effective(self.now())
+            if effective.version is not None:
+                if not effective.restricted:
+                    self._note(NEVER, int(effective.version >= 2))
+                if not effective.lapsed:
+                    self._note(WITHIN, int(effective.version >= 3))
         for key, most in ((NEVER, 0), (WITHIN, -(-bound(LEASE_MS) // STEP))):
             first, last = self.acted.get((key, 1)), self.acted.get((key, 0))
             if first and last and last[1] - first[0] > most:
@@ -163,8 +163,8 @@
         world.go()
     if world.wrong:
         return world.wrong
-    held = [core.acting(world.now()) for core in world.cores]
-    if any(acting.version != PUTS[-1][1] or acting.narrow for acting in held):
+    held = [core.effective(world.now()) for core in world.cores]
+    if any(effective.version != PUTS[-1][1] or effective.restricted for effective in held):
         return f"the last version is not held by all: {held}"
     return ""
 
--- a/orchidlane/agreed.py
+++ b/orchidlane/agreed.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acting:
+class EffectiveSettings:
     """What holds for one decision. ``version``: all of it is as in there; None: nothing was ever heard.
     ``narrow``: another version, too, may hold elsewhere, so what may never contradict is refused, and of the
     rest the narrower counts. ``lapsed``: because the lease is over."""
 
     version: int | None
-    narrow: bool = False
+    restricted: bool = False
     lapsed: bool = False
 
 
@@ -42,10 +42,10 @@
         self.source = 0  # life of the source that was heard
         self.version: int | None = None
         self.prepared = 0  # version that we said we are ready for
-        self.narrow = False  # since then what it changes is at no one's
+        self.restricted = False  # since then what it changes is at no one's
         self.refused: str | None = None
-        self.until = 0  # the end of the lease
-        self.lease = 0  # its length, microseconds
+        self.lease_end = 0  # the end of the lease
+        self.lease_duration = 0  # its length, microseconds
         self.number = 0
         self.taken = 0  # number of the question whose answer was taken last
         self.asked: OrderedDict[int, int] = OrderedDict()  # number: when it was sent
@@ -55,13 +55,13 @@
         """Whether to ask again."""
         return now >= self.next
 
-    def ask(self, now: int) -> dict[str, Any]:
+    def make_request(self, now: int) -> dict[str, Any]:
         """The next question: that we are here, what we hold and what we are ready for."""
         self.number += 1
         self.asked[self.number] = now
         if len(self.asked) > ASKED_MOST:
             self.asked.popitem(last=False)
-        self.next = now + max(PACE, int(PATIENCE * self.lease / RENEW))
+        self.next = now + max(PACE, int(PATIENCE * self.lease_duration / RENEW))
         return {
             "holder": self.name,
             "life": self.life,
@@ -72,7 +72,7 @@
             "refused": self.refused,
         }
 
-    def told(self, now: int, answer: Mapping[str, Any]) -> bool:
+    def apply_answer(self, now: int, answer: Mapping[str, Any]) -> bool:
         """An answer. False: it is older than what we know, answers nothing that we asked, or names a version
         that can't be taken."""
         if answer["life"] != self.life:
@@ -87,22 +87,22 @@
             self.refused = why  # and what we hold runs out
             return False
         self.source, self.version = source
-        self.lease = answer["lease_ms"] * MS
-        self.until = max(self.until, sent + int(self.lease * (1 - DRIFT)))
+        self.lease_duration = answer["lease_ms"] * MS
+        self.lease_end = max(self.lease_end, sent + int(self.lease_duration * (1 - DRIFT)))
         wanted = answer["prepare"]
         if wanted and wanted > self.version and wanted != self.prepared:
             self.refused = self._unable(wanted)
             self.prepared = 0 if self.refused else wanted
         elif not wanted:
             self.prepared, self.refused = 0, None
-        self.next = now if self.lease else now + PACE  # the answer waits there for news
-        self.narrow = bool(self.prepared) and answer["rule"] == NEVER
+        self.next = now if self.lease_duration else now + PACE  # the answer waits there for news
+        self.restricted = bool(self.prepared) and answer["rule"] == NEVER
         return True
 
     def _unable(self, version: int) -> str | None:
         return self.able(version) if self.able else None
 
-    def acting(self, now: int) -> Acting:
+    def effective(self, now: int) -> EffectiveSettings:
         """What this decision goes by."""
-        lapsed = now >= self.until
-        return Acting(self.version, self.narrow or lapsed, lapsed)
+        lapsed = now >= self.lease_end
+        return EffectiveSettings(self.version, self.restricted or lapsed, lapsed)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -6,7 +6,7 @@
 
 from lab import agreement_model
 from lab.agreement import DRIFT, KINDS, World
-from orchidlane.agreed import Acting, Holder
+from orchidlane.agreed import EffectiveSettings, Holder
 from registry.agreement import LEASE_MS, NEVER, TOGETHER, WITHIN, Conflict, Kept, Source, bound
 
 MS, SECOND = 1_000, 1_000_000
@@ -16,33 +16,35 @@
 class NoLeaseCheck(Holder):
     """Goes on by what it holds."""
 
-    def acting(self, now: int) -> Acting:
-        return Acting(self.version, self.narrow)
+    def effective(self, now: int) -> EffectiveSettings:
+        return EffectiveSettings(self.version, self.restricted)
 
 
 class RenewsByStaleNews(Holder):
     """Counts its lease from when the answer came."""
 
-    def told(self, now: int, answer) -> bool:
-        taken = super().told(now, answer)
+    def apply_answer(self, now: int, answer) -> bool:
+        taken = super().apply_answer(now, answer)
         if taken:
-            self.until = now + self.lease
+            self.lease_end = now + self.lease_duration
         return taken
 
 
 class NoPauseCheck(Holder):
     """Looks at its lease when it asks, not when it decides."""
 
-    held = Acting(None, True, True)
+    held = EffectiveSettings(None, True, True)
 
-    def ask(self, now: int):
-        self.held = super().acting(now)
-        return super().ask(now)
+    def make_request(self, now: int):
+        self.held = super().effective(now)
+        return super().make_request(now)
 
-    def acting(self, now: int) -> Acting:
-        held = super().acting(now)
+    def effective(self, now: int) -> EffectiveSettings:
+        held = super().effective(now)
         return (
-            held if held.lapsed is self.held.lapsed else Acting(held.version, self.narrow, self.held.lapsed)
+            held
+            if held.lapsed is self.held.lapsed
+            else EffectiveSettings(held.version, self.restricted, self.held.lapsed)
         )
 
 
@@ -112,8 +114,8 @@
 
 def question(holder: Holder, made: Source, now: int) -> bool:
     """One question, answered at once or as soon as it has waited long enough."""
-    answer = made.heard(now, holder.ask(now))
-    return holder.told(now, answer) if answer else False
+    answer = made.heard(now, holder.make_request(now))
+    return holder.apply_answer(now, answer) if answer else False
 
 
 def test_a_change_that_may_never_contradict_waits_for_each_who_holds_a_lease():
@@ -121,16 +123,16 @@
     assert question(a, made, T0) and question(b, made, T0)
     made.put(T0, 2, NEVER)
     question(a, made, T0 + MS)
-    assert a.acting(T0 + MS) == Acting(1, narrow=True)  # ready, and by neither from now on
+    assert a.effective(T0 + MS) == EffectiveSettings(1, restricted=True)  # ready, and by neither from now on
     question(a, made, T0 + 2 * MS)
     assert made.kept.version == 1 and made.waited_for(T0 + 2 * MS) == {"b": "has not answered yet"}
-    assert b.acting(T0 + 2 * MS) == Acting(1)
+    assert b.effective(T0 + 2 * MS) == EffectiveSettings(1)
     question(b, made, T0 + 3 * MS)
     question(b, made, T0 + 4 * MS)
-    assert made.kept.version == 2 and b.acting(T0 + 4 * MS) == Acting(2)
-    assert a.acting(T0 + 4 * MS) == Acting(1, narrow=True)
+    assert made.kept.version == 2 and b.effective(T0 + 4 * MS) == EffectiveSettings(2)
+    assert a.effective(T0 + 4 * MS) == EffectiveSettings(1, restricted=True)
     question(a, made, T0 + 5 * MS)
-    assert a.acting(T0 + 5 * MS) == Acting(2)
+    assert a.effective(T0 + 5 * MS) == EffectiveSettings(2)
 
 
 def test_who_left_or_ran_out_is_waited_for_no_longer_and_who_refuses_loses_its_lease():
@@ -148,8 +150,8 @@
         question(able, made, now)
         question(unable, made, now)
     assert length < now - T0 < 2.2 * length
-    assert unable.acting(now) == Acting(1, narrow=True, lapsed=True)
-    assert silent.acting(now).lapsed and not able.acting(now).lapsed
+    assert unable.effective(now) == EffectiveSettings(1, restricted=True, lapsed=True)
+    assert silent.effective(now).lapsed and not able.effective(now).lapsed
 
 
 @pytest.mark.parametrize(("rule", "version", "told"), [(TOGETHER, 1, "was there"), (WITHIN, 3, "on its way")])
@@ -170,27 +172,29 @@
     question(holder, made, T0)
     made.put(T0, 2, TOGETHER)
     assert made.kept == Kept(1, 2, last=2)
-    assert holder.acting(T0 + MS) == Acting(1)
+    assert holder.effective(T0 + MS) == EffectiveSettings(1)
     question(holder, made, T0 + MS)
-    assert holder.acting(T0 + MS) == Acting(2)
+    assert holder.effective(T0 + MS) == EffectiveSettings(2)
 
 
 def test_answers_that_are_older_doubled_unasked_or_of_a_former_source_change_nothing():
     made, holder = source(), Holder("a", 1)
-    first, second = holder.ask(T0), holder.ask(T0 + MS)
+    first, second = holder.make_request(T0), holder.make_request(T0 + MS)
     early, late = made.heard(T0, first), made.heard(T0 + MS, second)
-    assert holder.told(T0 + 2 * MS, late)
-    until = holder.until
+    assert holder.apply_answer(T0 + 2 * MS, late)
+    until = holder.lease_end
     for answer in (late, early, dict(late, asked=99)):
-        assert not holder.told(T0 + 900 * MS, answer)
-    assert holder.until == until == T0 + MS + int(LEASE_MS * MS * (1 - DRIFT))
-    assert made.heard(T0 + SECOND, holder.ask(T0 + SECOND)) is None  # it knows all: it waits for news
+        assert not holder.apply_answer(T0 + 900 * MS, answer)
+    assert holder.lease_end == until == T0 + MS + int(LEASE_MS * MS * (1 - DRIFT))
+    assert (
+        made.heard(T0 + SECOND, holder.make_request(T0 + SECOND)) is None
+    )  # it knows all: it waits for news
     made.put(T0 + SECOND, 2, TOGETHER)
     [news] = made.news(T0 + SECOND)
-    assert not holder.told(T0 + SECOND, dict(news, source=0))  # of a life before
-    assert not holder.told(T0 + SECOND, dict(news, life=0))  # to a former self
+    assert not holder.apply_answer(T0 + SECOND, dict(news, source=0))  # of a life before
+    assert not holder.apply_answer(T0 + SECOND, dict(news, life=0))  # to a former self
     assert made.news(T0 + SECOND) == []
-    assert holder.acting(until - 1) == Acting(1) and holder.acting(until).lapsed
+    assert holder.effective(until - 1) == EffectiveSettings(1) and holder.effective(until).lapsed
 
 
 def test_a_restored_source_gives_no_lease_until_those_of_its_former_self_are_over():
@@ -199,11 +203,11 @@
     question(holder, made, T0)
     again = source(Kept(2, 3, last=3), restored=True)
     other = Holder("b", 1)
-    assert question(other, again, T0 + MS) and other.acting(T0 + MS).lapsed
+    assert question(other, again, T0 + MS) and other.effective(T0 + MS).lapsed
     now = again.quiet_until
-    assert holder.acting(now).lapsed
-    assert question(other, again, now) and other.acting(now) == Acting(3)
-    assert question(holder, again, now) and holder.acting(now) == Acting(3)
+    assert holder.effective(now).lapsed
+    assert question(other, again, now) and other.effective(now) == EffectiveSettings(3)
+    assert question(holder, again, now) and holder.effective(now) == EffectiveSettings(3)
 
 
 def test_the_bound_is_a_little_more_than_the_lease():
