--- a/orchidlane/agreed.py
+++ b/orchidlane/agreed.py
@@ -1,8 +1,9 @@
-"""What a gateway may act by: the version of the settings that it holds, and for how long.
+"""A gateway's lease on a version of the settings: which version it may apply, and until when.
 
-Knows neither clock nor socket: microseconds of a clock that runs on while the machine sleeps are handed in.
-``registry/agreement.py`` is the other side and has the rules. The lease begins when the question was sent,
-not when its answer came, and is looked at in each decision: who stood still finds it over before it acts.
+Uses neither clock nor sockets; callers pass the time in microseconds of a clock that keeps running while the
+machine sleeps. ``registry/agreement.py`` is the other side of the protocol and explains its rules. A lease is
+counted from the moment the request was sent, not from the arrival of the answer, and is checked at each
+decision: a process that was paused finds its lease expired before it acts.
 """
 
 from __future__ import annotations
@@ -13,19 +14,22 @@
 from typing import Any
 
 MS = 1_000  # microseconds
-DRIFT = 0.001  # a clock runs no more than this part too fast or too slow
-ASKED_MOST = 64  # questions whose answers may still come
-RENEW = 3  # questions in a lease: an answer may wait so long for news, and two may be lost
-PATIENCE = 1.2  # times as long until a question is asked again
-PACE = 200 * MS  # between two, where no lease is given
-NEVER = "never"  # the rule of a change whose old and new may never hold side by side
+CLOCK_DRIFT_MAX = 0.001  # as a fraction, too fast or too slow
+PENDING_REQUESTS_MAX = 64  # requests whose answers are still accepted
+REQUESTS_PER_LEASE = 3  # an answer may be held back this long by the long poll, and two may be lost
+RETRY_DELAY_FACTOR = 1.2  # delay of a repeated request, in parts of a lease that each request has
+REQUEST_INTERVAL_MIN = 200 * MS  # while no lease is granted
+NEVER = "never"  # rule of a change whose old and new value must never be in force side by side
 
 
 @dataclass(frozen=True, slots=True)
 class EffectiveSettings:
-    """What holds for one decision. ``version``: all of it is as in there; None: nothing was ever heard.
-    ``narrow``: another version, too, may hold elsewhere, so what may never contradict is refused, and of the
-    rest the narrower counts. ``lapsed``: because the lease is over."""
+    """What applies to one decision.
+
+    ``version``: the settings version that was granted, None before the first. ``restricted``: another version
+    may be in force elsewhere, so whatever must never contradict is refused, and of all other limits the
+    stricter applies. ``lapsed``: restricted because the lease has expired.
+    """
 
     version: int | None
     restricted: bool = False
@@ -33,76 +37,85 @@
 
 
 class Holder:
-    """One gateway's side."""
+    """The gateway's side of the settings lease."""
 
-    def __init__(self, name: str, life: int, able: Callable[[int], str | None] | None = None) -> None:
-        """``life`` tells this process from its former self; ``able`` says why a version can't be taken, None
-        where it can."""
-        self.name, self.life, self.able = name, life, able
-        self.source = 0  # life of the source that was heard
+    def __init__(
+        self, name: str, life: int, check_version: Callable[[int], str | None] | None = None
+    ) -> None:
+        """``life`` distinguishes this process from an earlier one of the same name; ``check_version`` returns
+        why a version cannot be applied, or None where it can."""
+        self.name, self.life, self.check_version = name, life, check_version
+        self.source_life = 0  # life of the source that answered last
         self.version: int | None = None
-        self.prepared = 0  # version that we said we are ready for
-        self.restricted = False  # since then what it changes is at no one's
+        self.prepared = 0  # version that we declared ourselves ready for
+        self.restricted = False  # from that declaration on, what the version changes must not be used
         self.refused: str | None = None
-        self.lease_end = 0  # the end of the lease
-        self.lease_duration = 0  # its length, microseconds
-        self.number = 0
-        self.taken = 0  # number of the question whose answer was taken last
-        self.asked: OrderedDict[int, int] = OrderedDict()  # number: when it was sent
-        self.next = 0
+        self.lease_end = 0
+        self.lease_duration = 0  # microseconds
+        self.last_request = 0
+        self.last_answered = 0  # the request whose answer was applied last
+        self.pending_requests: OrderedDict[int, int] = OrderedDict()  # request number: time sent
+        self.next_request_at = 0
 
     def due(self, now: int) -> bool:
-        """Whether to ask again."""
-        return now >= self.next
+        """Whether the next request should be sent."""
+        return now >= self.next_request_at
 
     def make_request(self, now: int) -> dict[str, Any]:
-        """The next question: that we are here, what we hold and what we are ready for."""
-        self.number += 1
-        self.asked[self.number] = now
-        if len(self.asked) > ASKED_MOST:
-            self.asked.popitem(last=False)
-        self.next = now + max(PACE, int(PATIENCE * self.lease_duration / RENEW))
+        """The next lease request, with the version held and the version prepared for."""
+        self.last_request += 1
+        self.pending_requests[self.last_request] = now
+        if len(self.pending_requests) > PENDING_REQUESTS_MAX:
+            self.pending_requests.popitem(last=False)
+        self.next_request_at = now + max(
+            REQUEST_INTERVAL_MIN, int(RETRY_DELAY_FACTOR * self.lease_duration / REQUESTS_PER_LEASE)
+        )
         return {
             "holder": self.name,
             "life": self.life,
-            "asked": self.number,
-            "had": self.taken,
+            "asked": self.last_request,
+            "had": self.last_answered,
             "version": self.version or 0,
             "prepared": self.prepared,
             "refused": self.refused,
         }
 
     def apply_answer(self, now: int, answer: Mapping[str, Any]) -> bool:
-        """An answer. False: it is older than what we know, answers nothing that we asked, or names a version
-        that can't be taken."""
+        """Apply the source's answer. False if it is outdated, belongs to no pending request, or names a
+        version that cannot be applied."""
         if answer["life"] != self.life:
-            return False  # to our former self, whose numbers were the same
-        sent = self.asked.pop(answer["asked"], None)
+            return False  # addressed to an earlier process, whose request numbers were the same
+        sent = self.pending_requests.pop(answer["asked"], None)
         source = answer["source"], answer["version"]
-        if sent is None or answer["asked"] <= self.taken or source < (self.source, self.version or 0):
+        if (
+            sent is None
+            or answer["asked"] <= self.last_answered
+            or source < (self.source_life, self.version or 0)
+        ):
             return False
-        self.taken = answer["asked"]
-        self.next = now + PACE
-        if answer["version"] != self.version and (why := self._unable(answer["version"])):
-            self.refused = why  # and what we hold runs out
+        self.last_answered = answer["asked"]
+        self.next_request_at = now + REQUEST_INTERVAL_MIN
+        if answer["version"] != self.version and (reason := self._rejection_reason(answer["version"])):
+            self.refused = reason  # the lease on the current version is left to expire
             return False
-        self.source, self.version = source
+        self.source_life, self.version = source
         self.lease_duration = answer["lease_ms"] * MS
-        self.lease_end = max(self.lease_end, sent + int(self.lease_duration * (1 - DRIFT)))
-        wanted = answer["prepare"]
-        if wanted and wanted > self.version and wanted != self.prepared:
-            self.refused = self._unable(wanted)
-            self.prepared = 0 if self.refused else wanted
-        elif not wanted:
+        self.lease_end = max(self.lease_end, sent + int(self.lease_duration * (1 - CLOCK_DRIFT_MAX)))
+        pending = answer["prepare"]
+        if pending and pending > self.version and pending != self.prepared:
+            self.refused = self._rejection_reason(pending)
+            self.prepared = 0 if self.refused else pending
+        elif not pending:
             self.prepared, self.refused = 0, None
-        self.next = now if self.lease_duration else now + PACE  # the answer waits there for news
+        # With a lease, request at once: the source holds the next answer back until there is a change.
+        self.next_request_at = now if self.lease_duration else now + REQUEST_INTERVAL_MIN
         self.restricted = bool(self.prepared) and answer["rule"] == NEVER
         return True
 
-    def _unable(self, version: int) -> str | None:
-        return self.able(version) if self.able else None
+    def _rejection_reason(self, version: int) -> str | None:
+        return self.check_version(version) if self.check_version else None
 
     def effective(self, now: int) -> EffectiveSettings:
-        """What this decision goes by."""
+        """The settings that a decision made now has to use."""
         lapsed = now >= self.lease_end
         return EffectiveSettings(self.version, self.restricted or lapsed, lapsed)
