--- a/orchidlane/member_links.py
+++ b/orchidlane/member_links.py
@@ -1,4 +1,4 @@
-"""Membership's book of links: which directions are told to be dead, by the end that sends."""
+"""Which directions between members are down, as reported by the member at the sending end."""
 
 from __future__ import annotations
 
@@ -8,45 +8,47 @@
 
 
 class Links:
-    """What is held of each direction; the sender's latest report stands."""
+    """The latest report on each direction."""
 
     def __init__(self) -> None:
-        self.reports: dict[tuple[int, int], tuple[int, int, bool]] = {}  # (from, to): life, number, dead
-        self.digest = 0  # of the dead ones: who holds the same has the same
+        self.reports: dict[
+            tuple[int, int], tuple[int, int, bool]
+        ] = {}  # (from, to): life, report number, down
+        self.digest = 0  # over all directions that are down; equal sets have equal digests
 
     def is_down(self, source: int, target: int) -> bool:
-        """Whether nothing is told to arrive; a direction nobody spoke of works."""
+        """Whether messages are reported not to arrive; a direction without a report counts as up."""
         return self.reports.get((source, target), (0, 0, False))[2]
 
-    def learn(self, row: Row) -> bool:
-        """A report; whether it is news."""
-        at, dead = (row.rank, row.by), row.kind is RowKind.LINK_DOWN
-        life, number, was = self.reports.get(at, (0, 0, False))
-        if (row.life, row.incarnation) <= (life, number) or row.rank == row.by:
+    def apply(self, row: Row) -> bool:
+        """Apply a report; whether it is newer than the one held."""
+        direction, down = (row.rank, row.observer), row.kind is RowKind.LINK_DOWN
+        life, number, was_down = self.reports.get(direction, (0, 0, False))
+        if (row.life, row.incarnation) <= (life, number) or row.rank == row.observer:
             return False
-        self.reports[at] = row.life, row.incarnation, dead
-        if was is not dead:
-            self.digest ^= self._digest_part(at)
+        self.reports[direction] = row.life, row.incarnation, down
+        if was_down is not down:
+            self.digest ^= self._digest_part(direction)
         return True
 
     def forget(self, rank: int) -> None:
-        """Of who is not there nothing holds."""
-        for at in [at for at in self.reports if rank in at]:
-            if self.reports.pop(at)[2]:
-                self.digest ^= self._digest_part(at)
+        """Drop all reports from and about a member that is dead, has left or was restarted."""
+        for direction in [direction for direction in self.reports if rank in direction]:
+            if self.reports.pop(direction)[2]:
+                self.digest ^= self._digest_part(direction)
 
     def rows(self, source: int) -> list[Row]:
-        """All reports of one that sends."""
+        """All reports of one sending member."""
         return [
-            Row(RowKind.LINK_DOWN if dead else RowKind.LINK_UP, rank, life, number, by=by)
-            for (rank, by), (life, number, dead) in self.reports.items()
+            Row(RowKind.LINK_DOWN if down else RowKind.LINK_UP, rank, life, number, observer=observer)
+            for (rank, observer), (life, number, down) in self.reports.items()
             if rank == source
         ]
 
     def down_links(self) -> list[tuple[int, int]]:
-        """Directions on which nothing arrives, as (from, to)."""
-        return sorted(at for at, (_, _, dead) in self.reports.items() if dead)
+        """Directions that are down, as sorted pairs (from, to)."""
+        return sorted(direction for direction, (_, _, down) in self.reports.items() if down)
 
     @staticmethod
-    def _digest_part(at: tuple[int, int]) -> int:
-        return zlib.crc32(b"%d %d" % at)
+    def _digest_part(direction: tuple[int, int]) -> int:
+        return zlib.crc32(b"%d %d" % direction)
--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -1,9 +1,13 @@
-"""Byte layout of the membership kind of message between gateways: no decision, only packing.
+"""Encoding and decoding of membership datagrams between gateways.
 
-A message is a tag, a head and rows. It shares the datagrams' 256 bytes with ``messages.py`` and is told from
-its kind by the first byte; a gateway that does not know it drops it. The tag (BLAKE2s, 8 bytes, keyed by the
-cluster's name) fails for what is garbled or of another cluster; sender, receiver, life and number in the head
-let the reader drop what is forged by rank, misdirected or replayed.
+A message consists of an authentication tag, a header and rows. It has the same limit of 256 bytes as the
+messages of ``messages.py`` and is distinguished from them by its first byte; gateways that do not know the
+format drop it. Verification of the tag (BLAKE2s, 8 bytes, keyed by the cluster's name) fails for corrupted
+messages and for those of another cluster. Sender, receiver, life and sequence number in the header let the
+receiver drop messages with a forged rank, misdirected ones and replays.
+
+A *life* identifies one process that runs under a rank: a process started later has a greater one. Within a
+life, the *incarnation* is raised by the member itself to refute suspicions.
 """
 
 from __future__ import annotations
@@ -17,119 +21,128 @@
 from .messages import SIZE_MOST, put, read_varint
 
 FORMAT, VERSION = 3, 1
-TAG = 8  # bytes
-HEAD = struct.Struct("<BHH7sIIIIBHII")
-HEADER_OFFSET = 2 + TAG  # bytes before the head
-ROOM = SIZE_MOST - HEADER_OFFSET - HEAD.size  # bytes for rows
+TAG_BYTES = 8
+HEADER = struct.Struct("<BHH7sIIIIBHII")
+HEADER_OFFSET = 2 + TAG_BYTES  # format, version, tag
+ROWS_BYTES_MAX = SIZE_MOST - HEADER_OFFSET - HEADER.size
 LIFE_BYTES = 7
 AGE_UNIT = 10_000  # microseconds
-COUNT_MOST = 0xFFFF_FFFF  # of incarnations and message numbers
-DOUBTFUL = 1  # flag: the sender stood still and has not heard anything fresh since
+COUNTER_MAX = 0xFFFF_FFFF  # incarnations and sequence numbers
+FLAG_DOUBTFUL = 1  # the sender was paused and has not yet received fresh answers
 
 
 class MessageKind(IntEnum):
-    """What a message asks or answers."""
+    """Purpose of a message."""
 
-    PING = 1  # answer this; ``about`` is the member that wants to know, often the sender
-    ACK = 2  # the answer; ``report`` tells what of ``about`` was heard directly
-    ASK = 3  # ping ``about`` for me
-    RELAYED = 4  # ``about`` answered the ping that was asked for
-    NACK = 5  # it did not, but I am here
-    NEWS = 6  # rows alone
+    PING = 1  # probe; ``subject`` is the member it is sent for: the sender, or one that asked for help
+    ACK = 2  # answer to PING, with its ``subject``; see ``subject_received``
+    PING_REQUEST = 3  # ask the receiver to ping ``subject`` for the sender
+    INDIRECT_ACK = 4  # ``subject`` answered the requested ping
+    NACK = 5  # ``subject`` did not answer it, but the relay is reachable
+    GOSSIP = 6  # carries rows only
 
 
 class RowKind(IntEnum):
-    """What a row says."""
+    """What a row states of its member."""
 
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
     LEFT = 4
-    LAST_SEEN = 5  # ``by`` has heard it so long ago: it was there then
-    LINK_DOWN = 6  # nothing that ``rank`` sends reaches ``by``
+    LAST_SEEN = 5  # ``observer`` received a message from it ``age`` ago
+    LINK_DOWN = 6  # nothing that ``rank`` sends reaches ``observer``
     LINK_UP = 7
 
 
-AGED = (RowKind.SUSPECT, RowKind.DEAD, RowKind.LAST_SEEN)
+KINDS_WITH_AGE = (RowKind.SUSPECT, RowKind.DEAD, RowKind.LAST_SEEN)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """News of a member: its life and incarnation that it is about, the age in microseconds of what it rests
-    on, and who saw it. For links: ``by`` is the other end, ``incarnation`` the number of the report."""
+    """One update about a member, valid for a life and incarnation of it.
+
+    ``age``: microseconds since the evidence for it was observed; ``observer``: the member that observed it.
+    For links: ``observer`` is the receiving end, ``incarnation`` the number of the sending end's report.
+    """
 
     kind: RowKind
     rank: int
     life: int
     incarnation: int
     age: int = 0
-    by: int = 0
+    observer: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram. ``heard`` is the highest number of the receiver's that the sender heard directly;
-    ``digest`` of the sender's view; ``probe`` a ping's number; ``report`` see ``Kind``."""
+    """One datagram.
+
+    ``acknowledged``: highest sequence number that the sender received directly from the receiver;
+    ``digest``: hash of the sender's member table; ``probe``: number of the ping; ``subject_received``, in ACK
+    and INDIRECT_ACK: highest sequence number that the answering member received directly from ``subject``.
+    """
 
     kind: MessageKind
     sender: int
     receiver: int
     life: int
     incarnation: int
-    number: int
-    heard: int
+    sequence: int
+    acknowledged: int
     digest: int
-    about: int = 0
+    subject: int = 0
     probe: int = 0
-    report: int = 0
+    subject_received: int = 0
     doubtful: bool = False
     rows: tuple[Row, ...] = ()
 
 
 class InvalidMessage(Exception):
-    """Bytes that are no message of this cluster; the text is the name that they are counted by."""
+    """The bytes are not a valid message of this cluster; the text is the reason that they are counted by."""
 
 
 def tag_key(cluster: str) -> bytes:
-    """The tag's key of a cluster's name."""
+    """Key of the authentication tag, derived from the cluster's name."""
     return hashlib.blake2s(cluster.encode()).digest()
 
 
 def pack_row(row: Row) -> bytes:
-    """One row as bytes."""
-    out = bytearray((row.kind,))
-    put(out, row.rank)
-    out += row.life.to_bytes(LIFE_BYTES, "little")
-    put(out, row.incarnation)
-    if row.kind in AGED:
-        put(out, min(-(-row.age // AGE_UNIT), 0x1FFFFF))  # never younger by rounding
+    """Encode one row."""
+    encoded = bytearray((row.kind,))
+    put(encoded, row.rank)
+    encoded += row.life.to_bytes(LIFE_BYTES, "little")
+    put(encoded, row.incarnation)
+    if row.kind in KINDS_WITH_AGE:
+        # Rounded up, so that evidence never appears more recent than it is.
+        put(encoded, min(-(-row.age // AGE_UNIT), 0x1FFFFF))
     if row.kind not in (RowKind.ALIVE, RowKind.LEFT):
-        put(out, row.by)
-    return bytes(out)
+        put(encoded, row.observer)
+    return bytes(encoded)
 
 
-def fit(rows: Iterable[Row]) -> tuple[Row, ...]:
-    """As many of the rows, from the first on, as one message holds."""
-    taken, room = [], ROOM
+def fit_rows(rows: Iterable[Row]) -> tuple[Row, ...]:
+    """The leading rows that fit into one message."""
+    fitting, remaining = [], ROWS_BYTES_MAX
     for row in rows:
-        room -= len(pack_row(row))
-        if room < 0:
+        remaining -= len(pack_row(row))
+        if remaining < 0:
             break
-        taken.append(row)
-    return tuple(taken)
+        fitting.append(row)
+    return tuple(fitting)
 
 
 def _tag(key: bytes, version: int, body: bytes) -> bytes:
-    return hashlib.blake2s(bytes((FORMAT, version)) + body, key=key, digest_size=TAG).digest()
+    return hashlib.blake2s(bytes((FORMAT, version)) + body, key=key, digest_size=TAG_BYTES).digest()
 
 
 def seal(key: bytes, body: bytes, version: int = VERSION) -> bytes:
-    """A body of a version of this kind as a datagram."""
+    """Wrap a message body in format, version and tag."""
     return bytes((FORMAT, version)) + _tag(key, version, body) + body
 
 
 def unseal(data: bytes, key: bytes, version: int = VERSION) -> bytes:
-    """A datagram's body; raises Odd: ``malformed``, ``version``, or ``foreign`` where its tag fails."""
+    """The body of a datagram. Raises InvalidMessage: ``malformed``, ``version``, or ``foreign`` if the tag is
+    wrong."""
     if not HEADER_OFFSET < len(data) <= SIZE_MOST or data[0] != FORMAT:
         raise InvalidMessage("malformed")
     if data[1] != version:
@@ -141,68 +154,69 @@
 
 
 def pack(message: Message, key: bytes) -> bytes:
-    """A whole message; its rows have to fit."""
+    """Encode a message, whose rows must fit (see ``fit_rows``)."""
     m = message
-    body = HEAD.pack(
+    body = HEADER.pack(
         m.kind,
         m.sender,
         m.receiver,
         m.life.to_bytes(LIFE_BYTES, "little"),
         m.incarnation,
-        m.number,
-        m.heard,
+        m.sequence,
+        m.acknowledged,
         m.digest,
-        DOUBTFUL * m.doubtful,
-        m.about,
+        FLAG_DOUBTFUL * m.doubtful,
+        m.subject,
         m.probe,
-        m.report,
+        m.subject_received,
     ) + b"".join(map(pack_row, m.rows))
     return seal(key, body)
 
 
 def unpack(data: bytes, key: bytes, ranks: int) -> Message:
-    """The message; raises Odd: ``version``, ``foreign`` (garbled, or of another cluster) or ``malformed``."""
-    if len(data) < HEADER_OFFSET + HEAD.size:
+    """Decode a message. Raises InvalidMessage: ``version``, ``foreign`` (corrupted, or of another cluster) or
+    ``malformed``."""
+    if len(data) < HEADER_OFFSET + HEADER.size:
         raise InvalidMessage("malformed")
     body = unseal(data, key)
     try:
-        kind, sender, receiver, life, *rest = HEAD.unpack_from(body)
-        incarnation, number, heard, digest, flags, about, probe, report = rest
-        if max(sender, receiver, about) >= ranks:
+        kind, sender, receiver, life, *rest = HEADER.unpack_from(body)
+        incarnation, sequence, acknowledged, digest, flags, subject, probe, subject_received = rest
+        if max(sender, receiver, subject) >= ranks:
             raise ValueError
-        rows = tuple(_rows(body, HEAD.size, ranks))
+        rows = tuple(_rows(body, HEADER.size, ranks))
         return Message(
             MessageKind(kind),
             sender,
             receiver,
             int.from_bytes(life, "little"),
             incarnation,
-            number,
-            heard,
+            sequence,
+            acknowledged,
             digest,
-            about,
+            subject,
             probe,
-            report,
-            flags & DOUBTFUL == DOUBTFUL,
+            subject_received,
+            flags & FLAG_DOUBTFUL == FLAG_DOUBTFUL,
             rows,
         )
     except (ValueError, IndexError):
         raise InvalidMessage("malformed") from None
 
 
-def _rows(body: bytes, at: int, ranks: int) -> Iterable[Row]:
-    while at < len(body):
-        word = RowKind(body[at])
-        rank, at = read_varint(body, at + 1)
-        if at + LIFE_BYTES > len(body):
-            raise ValueError("cut off")
-        life, at = int.from_bytes(body[at : at + LIFE_BYTES], "little"), at + LIFE_BYTES
-        incarnation, at = read_varint(body, at)
-        age = by = 0
-        if word in AGED:
-            age, at = read_varint(body, at)
-        if word not in (RowKind.ALIVE, RowKind.LEFT):
-            by, at = read_varint(body, at)
-        if max(rank, by) >= ranks or incarnation > COUNT_MOST:
-            raise ValueError("out of range")
-        yield Row(word, rank, life, incarnation, age * AGE_UNIT, by)
+def _rows(body: bytes, offset: int, ranks: int) -> Iterable[Row]:
+    while offset < len(body):
+        kind = RowKind(body[offset])
+        rank, offset = read_varint(body, offset + 1)
+        if offset + LIFE_BYTES > len(body):
+            raise ValueError("row truncated")
+        life, offset = int.from_bytes(body[offset : offset + LIFE_BYTES], "little"), offset + LIFE_BYTES
+        incarnation, offset = read_varint(body, offset)
+        age = observer = 0
+        if kind in KINDS_WITH_AGE:
+            age, offset = read_varint(body, offset)
+        if kind not in (RowKind.ALIVE, RowKind.LEFT):
+            observer, offset = read_varint(body, offset)
+        if max(rank, observer) >= ranks or incarnation > COUNTER_MAX:
+            raise ValueError("rank or incarnation out of range")
+        yield Row(kind, rank, life, incarnation, age * AGE_UNIT, observer)
--- a/orchidlane/member_news.py
+++ b/orchidlane/member_news.py
@@ -1,4 +1,4 @@
-"""Membership's news: rows that ride in datagrams a bounded number of times each, the least told first."""
+"""Gossip queue of membership: each row is piggybacked on a bounded number of datagrams, least sent first."""
 
 from __future__ import annotations
 
@@ -7,67 +7,68 @@
 from . import member_messages as messages
 from .member_messages import Row, RowKind
 
-HOP = 25_000  # microseconds: who was heard must not seem heard later by each one that tells it
+HOP_DELAY = 25_000  # microseconds added per hop: forwarding must not make a member appear seen more recently
 URGENCY = {RowKind.SUSPECT: 0, RowKind.LEFT: 0, RowKind.DEAD: 1, RowKind.ALIVE: 1, RowKind.LAST_SEEN: 2}
 MEMBER, SUSPICION, LINK, LAST_SEEN = range(4)
-KINDS = {
+TOPICS = {
     RowKind.SUSPECT: SUSPICION,
     RowKind.LINK_DOWN: LINK,
     RowKind.LINK_UP: LINK,
     RowKind.LAST_SEEN: LAST_SEEN,
 }
 
-Key = tuple[int, int, int]  # rank, kind, and for suspicions and links the other
+Key = tuple[int, int, int]  # rank, topic, and for suspicions and links the observer
 
 
 def key_of(row: Row) -> Key:
-    """What replaces what: each accuser's word stands for itself."""
-    kind = KINDS.get(row.kind, MEMBER)
-    return row.rank, kind, row.by if kind in (SUSPICION, LINK) else 0
+    """Rows with equal keys replace each other; the suspicions of different accusers are kept apart."""
+    topic = TOPICS.get(row.kind, MEMBER)
+    return row.rank, topic, row.observer if topic in (SUSPICION, LINK) else 0
 
 
-class News:
-    """What is still to be told."""
+class GossipQueue:
+    """Rows that are still to be disseminated."""
 
-    def __init__(self, most: int) -> None:
-        """Each row is told ``most`` times."""
-        self.most = most
-        self.items: dict[Key, tuple[int, int, Row, int]] = {}  # times told, urgency, row, when it was put in
+    def __init__(self, transmissions_max: int) -> None:
+        """Each row is sent ``transmissions_max`` times."""
+        self.transmissions_max = transmissions_max
+        self.items: dict[Key, tuple[int, int, Row, int]] = {}  # transmissions, urgency, row, time queued
 
     def add(self, now: int, row: Row) -> None:
-        """In place of what it replaces, told never."""
+        """Queue a row in place of the one with the same key; its transmissions are counted anew."""
         self.items[key_of(row)] = 0, URGENCY.get(row.kind, 3), row, now
 
-    def since(self, row: Row) -> int | None:
-        """When what is told in this row's place happened; None: nothing is."""
+    def evidence_time(self, row: Row) -> int | None:
+        """Time of the evidence for the queued row with this row's key; None if there is none."""
         item = self.items.get(key_of(row))
         return item[3] - item[2].age if item else None
 
-    def rows(self, now: int, to: int) -> Iterator[Row]:
-        """As of now, for one member: its own doubts are told to it apart."""
-        for _, _, row, put in sorted(self.items.values(), key=lambda item: item[:2]):
-            if row.kind not in messages.AGED:
+    def rows(self, now: int, receiver: int) -> Iterator[Row]:
+        """All queued rows with their current age. Aged rows about the receiver itself are left out: it gets
+        what is claimed of it separately."""
+        for _, _, row, queued_at in sorted(self.items.values(), key=lambda item: item[:2]):
+            if row.kind not in messages.KINDS_WITH_AGE:
                 yield row
-            elif row.rank != to:
-                age = row.age + now - put + HOP * (row.kind is RowKind.LAST_SEEN)
-                yield Row(row.kind, row.rank, row.life, row.incarnation, age, row.by)
+            elif row.rank != receiver:
+                age = row.age + now - queued_at + HOP_DELAY * (row.kind is RowKind.LAST_SEEN)
+                yield Row(row.kind, row.rank, row.life, row.incarnation, age, row.observer)
 
-    def told(self, row: Row) -> bool:
-        """Once more; what was told often enough is none. Whether it was news."""
+    def mark_sent(self, row: Row) -> bool:
+        """Count a transmission, and drop the row after the last one. Whether the row was queued."""
         key = key_of(row)
-        times, urgency, known, put = self.items.get(key, (0, 0, None, 0))
-        if known is None or (known.kind, known.life, known.incarnation) != (
+        transmissions, urgency, queued, queued_at = self.items.get(key, (0, 0, None, 0))
+        if queued is None or (queued.kind, queued.life, queued.incarnation) != (
             row.kind,
             row.life,
             row.incarnation,
         ):
             return False
-        self.items[key] = times + 1, urgency, known, put
-        if times + 1 >= self.most:
+        self.items[key] = transmissions + 1, urgency, queued, queued_at
+        if transmissions + 1 >= self.transmissions_max:
             del self.items[key]
         return True
 
-    def drop(self, rank: int, kind: int) -> None:
-        """Nothing of this kind about it is true any more."""
-        for key in [key for key in self.items if key[:2] == (rank, kind)]:
+    def drop(self, rank: int, topic: int) -> None:
+        """Drop all rows of one topic about a member, which no longer hold."""
+        for key in [key for key in self.items if key[:2] == (rank, topic)]:
             del self.items[key]
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -1,4 +1,7 @@
-"""What membership remembers and gives, as plain records. Nothing here decides: ``membership.py`` does."""
+"""Records of the membership protocol: states, actions, the view, members and probes.
+
+The protocol itself is in ``membership.py``.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 
 from .member_messages import Row, RowKind
 
-SENT_KEPT = 16  # numbers of what was sent to a member, to know what it has not heard
+UNACKNOWLEDGED_MAX = 16  # messages to a member that are remembered, to detect which it did not receive
 
 
 class State(Enum):
-    """What a member is taken to be."""
+    """State of a member, as seen by this gateway."""
 
-    UNKNOWN = "unknown"  # not heard of yet
+    UNKNOWN = "unknown"  # no message from it or about it yet
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "gone"
@@ -22,7 +25,7 @@
 
 
 ACTIVE_STATES = (State.ALIVE, State.SUSPECT)
-WORDS = {
+ROW_KINDS = {
     State.ALIVE: RowKind.ALIVE,
     State.SUSPECT: RowKind.SUSPECT,
     State.DEAD: RowKind.DEAD,
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send this to one member."""
+    """Send this datagram to the member with this rank."""
 
     rank: int
     body: bytes
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something to be logged: ``name`` is member, link, stood_still, sure_again, unheard, cut_off or twin."""
+    """An event to be logged: ``name`` is member, link, stood_still, sure_again, unheard, cut_off or twin."""
 
     name: str
     fields: dict[str, object]
@@ -51,9 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What decisions use. ``cut_off``: nobody is heard; ``unheard``: most of those we hear don't hear us;
-    ``doubtful``: we stood still and know nothing fresh; ``active_of_total``: members that are here, of all that did not
-    leave, oneself in both."""
+    """The part of the membership state that the gateway's decisions depend on.
+
+    ``absent``: members that are dead or have left; ``cut_off``: no messages are received from anyone;
+    ``unheard``: most members that we receive from do not receive our messages; ``doubtful``: this process was
+    paused and has not yet received fresh messages from enough members; ``active_of_total``: number of active
+    members, and of all that have not left, this gateway included in both.
+    """
 
     absent: frozenset[int] = frozenset()
     cut_off: bool = False
@@ -64,39 +71,39 @@
 
 @dataclass(slots=True)
 class Member:
-    """One rank as it is known here; times by our clock, 0: never."""
+    """What is known of another member; times by the local clock, 0: never."""
 
     rank: int
     life: int = 0
     incarnation: int = 0
     state: State = State.UNKNOWN
-    since: int = 0  # what a suspicion rests on: when the probe that failed was sent
-    suspected_at: int = 0  # when its suspicion became known here
-    checked: int = 0  # when we looked ourselves during that suspicion
-    by_relay: int = 0  # probes in a row that only relays got answered
-    cleared: int = 0  # when others' word ended our suspicion last
-    clears: int = 0  # and how often since it spoke to us
-    last_received: int = 0  # it spoke to us
-    last_seen: int = 0  # it was there by anybody's word
-    voucher: int = -1  # who heard it when we did not
+    evidence_at: int = 0  # time of the evidence for a suspicion: when the failed probe was sent
+    suspected_at: int = 0  # when the suspicion became known here
+    last_checked: int = 0  # when we probed it ourselves during that suspicion
+    indirect_acks: int = 0  # consecutive probes that were answered through relays only
+    cleared_at: int = 0  # when evidence from others last ended our suspicion
+    clear_count: int = 0  # how often they did since the last message received from it
+    last_received: int = 0  # last message received from it directly
+    last_seen: int = 0  # last time that any member received a message from it
+    witness: int = -1  # member that received from it when we did not
     accusers: set[int] = field(default_factory=set)
-    sure: bool = False  # another has held it gone after its whole suspicion
-    number: int = 0  # highest number heard directly in this life
-    window: int = 0  # bits of the numbers below it that were heard
-    sent: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=SENT_KEPT))
-    missing: int = 0  # since when it tells that it misses some of ours
-    reported: int = 0  # highest number of ours that it told to have heard
-    differs: bool = False  # its digest was not ours
-    doubt: Row | None = None  # what others hold of it and we don't, to be told to it
-    is_former: bool = False  # it spoke as a former self, and must be told
+    reported_dead: bool = False  # another member has declared it dead after a full suspicion timeout
+    highest_received: int = 0  # highest sequence number received directly in this life
+    received_window: int = 0  # bitmap of the sequence numbers below that were received
+    unacknowledged: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=UNACKNOWLEDGED_MAX))
+    missing_since: int = 0  # since when it reports that some of our messages are missing
+    acknowledged: int = 0  # highest of our sequence numbers that it reported as received
+    digest_differs: bool = False  # the digest in its last message was not ours
+    rumor: Row | None = None  # a claim of others that we do not share, to be sent to it for refutation
+    has_old_life: bool = False  # it sent a message with an outdated life, and must be told the newer one
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping that is out."""
+    """A ping that has not been answered yet."""
 
     rank: int
     sent_at: int
     health: int
-    stage: int = 0  # 1: sent once more, 2: others were asked
-    missed_by: set[int] = field(default_factory=set)  # relays that are here and had no answer either
+    stage: int = 0  # 1: ping repeated, 2: relays were asked
+    nacked_by: set[int] = field(default_factory=set)  # reachable relays that got no answer either
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,14 +29,14 @@
     life=LIVES,
     incarnation=SMALL,
     age=st.integers(0, 10_000).map(lambda n: n * messages.AGE_UNIT),
-    by=RANKS,
+    observer=RANKS,
 )
 
 
 def told(row: Row) -> Row:
     """What of a row travels."""
-    age = row.age if row.kind in messages.AGED else 0
-    by = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.by
+    age = row.age if row.kind in messages.KINDS_WITH_AGE else 0
+    by = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.observer
     return Row(row.kind, row.rank, row.life, row.incarnation, age, by)
 
 
@@ -47,14 +47,14 @@
     receiver=RANKS,
     life=LIVES,
     incarnation=SMALL,
-    number=SMALL,
-    heard=SMALL,
+    sequence=SMALL,
+    acknowledged=SMALL,
     digest=SMALL,
-    about=RANKS,
+    subject=RANKS,
     probe=SMALL,
-    report=SMALL,
+    subject_received=SMALL,
     doubtful=st.booleans(),
-    rows=st.lists(ROWS, max_size=12).map(lambda rows: messages.fit(map(told, rows))),
+    rows=st.lists(ROWS, max_size=12).map(lambda rows: messages.fit_rows(map(told, rows))),
 )
 
 
@@ -82,23 +82,30 @@
 
 @given(st.binary(max_size=120))
 def test_rows_that_make_no_sense_are_dropped_whole(noise):
-    head = messages.pack(Message(MessageKind.NEWS, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
+    head = messages.pack(Message(MessageKind.GOSSIP, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
     body = head + noise
     data = messages.seal(KEY, body)
     try:
         message = messages.unpack(data, KEY, 200)
     except messages.InvalidMessage:
         return
-    assert all(row.rank < 200 and row.by < 200 for row in message.rows)
+    assert all(row.rank < 200 and row.observer < 200 for row in message.rows)
 
 
 def member(rank: int = 0, size: int = 3) -> Membership:
     return Membership(rank, size, "valley", 1_000 + rank, rank, SECOND, 100.0)
 
 
-def say(number: int, kind: MessageKind = MessageKind.NEWS, **more: object) -> Message:
-    fields = {"sender": 1, "receiver": 0, "life": 1_001, "incarnation": 0, "heard": 0, "digest": 0} | more
-    return Message(kind=kind, number=number, **fields)
+def say(number: int, kind: MessageKind = MessageKind.GOSSIP, **more: object) -> Message:
+    fields = {
+        "sender": 1,
+        "receiver": 0,
+        "life": 1_001,
+        "incarnation": 0,
+        "acknowledged": 0,
+        "digest": 0,
+    } | more
+    return Message(kind=kind, sequence=number, **fields)
 
 
 def held(core: Membership) -> list[tuple[object, ...]]:
@@ -222,7 +229,7 @@
     for word in (RowKind.SUSPECT, RowKind.DEAD):
         was = target.incarnation
         for node in world.nodes[2:]:
-            row = Row(word, 1, target.life, was, by=0)
+            row = Row(word, 1, target.life, was, observer=0)
             node.core._apply_row(world.kernel.now, row)
         world.run(2.0)
         assert target.incarnation > was
@@ -352,7 +359,7 @@
 
 def _spoken(core: Membership, rank: int, now: int) -> bytes:
     core.actions, core.send_tokens = [], 20.0
-    core._send(now, rank, MessageKind.PING, about=core.rank)
+    core._send(now, rank, MessageKind.PING, subject=core.rank)
     return core.actions[-1].body
 
 
