--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,7 @@
-"""Membership's core: many of them on a virtual clock, under what goes wrong; each defect planted is found."""
+"""Membership core: encoding, rejected messages, and fleets on a virtual clock with faults.
+
+Each planted defect (``lab/defects.py``) must be detected by the check that is meant for it.
+"""
 
 from __future__ import annotations
 
@@ -20,24 +23,24 @@
 SECOND = 1_000_000
 KEY = messages.tag_key("valley")
 RANKS = st.integers(0, 199)
-SMALL = st.integers(0, 2**32 - 1)
+COUNTERS = st.integers(0, 2**32 - 1)
 LIVES = st.integers(0, 2**56 - 1)
 ROWS = st.builds(
     Row,
-    word=st.sampled_from(RowKind),
+    kind=st.sampled_from(RowKind),
     rank=RANKS,
     life=LIVES,
-    incarnation=SMALL,
+    incarnation=COUNTERS,
     age=st.integers(0, 10_000).map(lambda n: n * messages.AGE_UNIT),
     observer=RANKS,
 )
 
 
-def told(row: Row) -> Row:
-    """What of a row travels."""
+def as_encoded(row: Row) -> Row:
+    """The row with only the fields that its kind transmits."""
     age = row.age if row.kind in messages.KINDS_WITH_AGE else 0
-    by = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.observer
-    return Row(row.kind, row.rank, row.life, row.incarnation, age, by)
+    observer = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.observer
+    return Row(row.kind, row.rank, row.life, row.incarnation, age, observer)
 
 
 MESSAGES = st.builds(
@@ -46,27 +49,27 @@
     sender=RANKS,
     receiver=RANKS,
     life=LIVES,
-    incarnation=SMALL,
-    sequence=SMALL,
-    acknowledged=SMALL,
-    digest=SMALL,
+    incarnation=COUNTERS,
+    sequence=COUNTERS,
+    acknowledged=COUNTERS,
+    digest=COUNTERS,
     subject=RANKS,
-    probe=SMALL,
-    subject_received=SMALL,
+    probe=COUNTERS,
+    subject_received=COUNTERS,
     doubtful=st.booleans(),
-    rows=st.lists(ROWS, max_size=12).map(lambda rows: messages.fit_rows(map(told, rows))),
+    rows=st.lists(ROWS, max_size=12).map(lambda rows: messages.fit_rows(map(as_encoded, rows))),
 )
 
 
 @given(MESSAGES)
-def test_a_message_comes_back_as_it_was_in_one_datagram(message):
+def test_messages_survive_encoding_and_fit_one_datagram(message):
     body = messages.pack(message, KEY)
     assert len(body) <= messages.SIZE_MOST
     assert messages.unpack(body, KEY, 200) == message
 
 
 @given(MESSAGES, st.integers(0, 255), st.integers(1, 255), st.binary(max_size=300))
-def test_what_is_garbled_foreign_or_noise_is_dropped(message, at, flip, noise):
+def test_corrupted_foreign_or_random_datagrams_are_rejected(message, offset, flip, noise):
     body = bytearray(messages.pack(message, KEY))
     for other in (noise, bytes((messages.FORMAT, messages.VERSION)) + noise):
         with pytest.raises(messages.InvalidMessage):
@@ -75,15 +78,15 @@
         messages.unpack(bytes(body), messages.tag_key("other valley"), 200)
     with pytest.raises(messages.InvalidMessage, match="version"):
         messages.unpack(bytes(body[:1]) + b"\x09" + bytes(body[2:]), KEY, 200)
-    body[at % len(body)] ^= flip
+    body[offset % len(body)] ^= flip
     with pytest.raises(messages.InvalidMessage):
         messages.unpack(bytes(body), KEY, 200)
 
 
 @given(st.binary(max_size=120))
-def test_rows_that_make_no_sense_are_dropped_whole(noise):
-    head = messages.pack(Message(MessageKind.GOSSIP, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
-    body = head + noise
+def test_messages_with_invalid_rows_are_rejected_whole(noise):
+    header = messages.pack(Message(MessageKind.GOSSIP, 1, 0, 1, 0, 1, 0, 0), KEY)[messages.HEADER_OFFSET :]
+    body = header + noise
     data = messages.seal(KEY, body)
     try:
         message = messages.unpack(data, KEY, 200)
@@ -92,11 +95,11 @@
     assert all(row.rank < 200 and row.observer < 200 for row in message.rows)
 
 
-def member(rank: int = 0, size: int = 3) -> Membership:
+def make_core(rank: int = 0, size: int = 3) -> Membership:
     return Membership(rank, size, "valley", 1_000 + rank, rank, SECOND, 100.0)
 
 
-def say(number: int, kind: MessageKind = MessageKind.GOSSIP, **more: object) -> Message:
+def make_message(sequence: int, kind: MessageKind = MessageKind.GOSSIP, **more: object) -> Message:
     fields = {
         "sender": 1,
         "receiver": 0,
@@ -105,62 +108,66 @@
         "acknowledged": 0,
         "digest": 0,
     } | more
-    return Message(kind=kind, sequence=number, **fields)
+    return Message(kind=kind, sequence=sequence, **fields)
 
 
-def held(core: Membership) -> list[tuple[object, ...]]:
-    """What it holds of the others."""
+def member_table(core: Membership) -> list[tuple[object, ...]]:
+    """State of all other members."""
     return [(m.state, m.life, m.incarnation, m.last_received, m.last_seen) for m in core.members.values()]
 
 
-DROPS = {
-    "forged sender": ([(2, say(1))], "forged"),
-    "for another": ([(1, say(1, receiver=2))], "forged"),
-    "said twice": ([(1, say(1)), (1, say(1))], "replayed"),
-    "far behind": ([(1, say(100)), (1, say(30))], "replayed"),
-    "of a former self": ([(1, say(1)), (1, say(5, life=1_000))], "former"),
-    "after it left": (
-        [(1, say(1)), (1, say(2, rows=(Row(RowKind.LEFT, 1, 1_001, 0),))), (1, say(3))],
+REJECTED = {
+    "forged sender": ([(2, make_message(1))], "forged"),
+    "other receiver": ([(1, make_message(1, receiver=2))], "forged"),
+    "repeated": ([(1, make_message(1)), (1, make_message(1))], "replayed"),
+    "below the replay window": ([(1, make_message(100)), (1, make_message(30))], "replayed"),
+    "earlier life": ([(1, make_message(1)), (1, make_message(5, life=1_000))], "former"),
+    "after leaving": (
+        [
+            (1, make_message(1)),
+            (1, make_message(2, rows=(Row(RowKind.LEFT, 1, 1_001, 0),))),
+            (1, make_message(3)),
+        ],
         "left",
     ),
 }
 
 
-@pytest.mark.parametrize("case", DROPS)
-def test_what_must_not_count_is_counted_and_dropped(case):
-    said, cause = DROPS[case]
-    core, now = member(), SECOND
-    for sender, message in said[:-1]:
+@pytest.mark.parametrize("case", REJECTED)
+def test_rejected_messages_are_counted_and_change_nothing(case):
+    received, cause = REJECTED[case]
+    core, now = make_core(), SECOND
+    for sender, message in received[:-1]:
         core.receive(now, sender, messages.pack(message, KEY))
-    before = held(core)
-    sender, message = said[-1]
+    before = member_table(core)
+    sender, message = received[-1]
     actions = core.receive(now, sender, messages.pack(message, KEY))
     assert core.counts[f"dropped_{cause}"] == 1
-    assert held(core) == before
+    assert member_table(core) == before
     assert not [action for action in actions if isinstance(action, LogEvent)]
 
 
-def test_numbers_out_of_order_are_each_heard_once():
-    core = member()
-    for number in (5, 3, 9, 4):
-        core.receive(SECOND, 1, messages.pack(say(number), KEY))
+def test_reordered_messages_are_accepted_once():
+    core = make_core()
+    for sequence in (5, 3, 9, 4):
+        core.receive(SECOND, 1, messages.pack(make_message(sequence), KEY))
     assert core.counts == {} and core.members[1].number == 9
 
 
-# -- many of them -----------------------------------------------------------------------------------------
+# -- fleets with faults -----------------------------------------------------------------------------------
 
 
-def of(kind: type[Membership]) -> virtual.Factory:
-    """A world's factory of another core."""
+def factory_of(core_class: type[Membership]) -> virtual.Factory:
+    """Factory for a world whose members run this variant of the core."""
 
-    class Core(kind):
+    class Core(core_class):
         def holds_here(self, rank: int) -> bool:
             return self.members[rank].state.value in ("alive", "suspect")
 
     return lambda rank, size, life, seed, now: Core(rank, size, "lab", life, seed, now, 100.0)
 
 
-def ready(factory: virtual.Factory, size: int, seed: int, loss: float = 0.0) -> World:
+def converged_world(factory: virtual.Factory, size: int, seed: int, loss: float = 0.0) -> World:
     world = World(size, seed, factory, loss)
     world.run_until(world.agreed, 20)
     world.run(2)
@@ -168,82 +175,85 @@
     return world
 
 
-def gone(world: World) -> list[int]:
+def declared_dead(world: World) -> list[int]:
     return [change.fields["member"] for change in world.gone_words()]
 
 
-def killed(factory: virtual.Factory, seed: int) -> None:
-    world = ready(factory, 12, seed)
+def detects_kill(factory: virtual.Factory, seed: int) -> None:
+    world = converged_world(factory, 12, seed)
     world.kill(3)
     assert world.run_until(lambda: world.all_hold(3, False), 4) < 3
-    assert set(gone(world)) == {3}
+    assert set(declared_dead(world)) == {3}
 
 
-def left(factory: virtual.Factory, seed: int) -> None:
-    world = ready(factory, 12, seed)
+def announces_leave(factory: virtual.Factory, seed: int) -> None:
+    world = converged_world(factory, 12, seed)
     world.leave(3)
     assert world.run_until(lambda: world.all_hold(3, False), 4) < 0.8
-    assert gone(world) == []
+    assert declared_dead(world) == []
 
 
-def restarted(factory: virtual.Factory, seed: int) -> None:
-    """From nothing, within the suspicion: told from its former self, whose late words count no more."""
-    world = ready(factory, 8, seed)
-    late = next(a for a in world.nodes[3].core.tick(world.kernel.now + PROBE_INTERVAL) if isinstance(a, Send))
-    was = world.nodes[3].core.life
+def accepts_restart(factory: virtual.Factory, seed: int) -> None:
+    """Restart within the suspicion timeout. A late datagram of the earlier process must not be accepted."""
+    world = converged_world(factory, 8, seed)
+    late_datagram = next(
+        a for a in world.nodes[3].core.tick(world.kernel.now + PROBE_INTERVAL) if isinstance(a, Send)
+    )
+    old_life = world.nodes[3].core.life
     world.kill(3)
     world.run(0.7)
     world.restart(3)
     world.run_until(world.agreed, 4)
     world.run(1)
-    core = world.nodes[late.rank].core
-    assert core.members[3].life == world.nodes[3].core.life > was
-    core.receive(world.kernel.now, 3, late.body)
+    core = world.nodes[late_datagram.rank].core
+    assert core.members[3].life == world.nodes[3].core.life > old_life
+    core.receive(world.kernel.now, 3, late_datagram.body)
     assert core.members[3].life == world.nodes[3].core.life and core.counts["dropped_former"]
 
 
-def clock_back(factory: virtual.Factory, seed: int) -> None:
-    """Started again with a clock an hour behind: others' memory of its former self is outbid."""
-    world = ready(factory, 6, seed)
-    was, world.nodes[2].dead = world.nodes[2].core.life, True
+def restarts_with_slow_clock(factory: virtual.Factory, seed: int) -> None:
+    """Restart with a clock that went back: the new process must take a greater life than the one that the
+    others remember."""
+    world = converged_world(factory, 6, seed)
+    old_life, world.nodes[2].dead = world.nodes[2].core.life, True
     world.run(4)
     world.restart(2)
     core = world.nodes[2].core
     core.digest ^= core._digest_part(2, core.life, State.ALIVE)
-    core.life = was - 100 * 1024
+    core.life = old_life - 100 * 1024
     core.digest ^= core._digest_part(2, core.life, State.ALIVE)
     world.run_until(world.agreed, 6)
-    assert world.nodes[2].core.life > was
+    assert world.nodes[2].core.life > old_life
 
 
-def lossy(factory: virtual.Factory, seed: int) -> None:
-    world = ready(factory, 15, seed, loss=0.2)
+def tolerates_loss(factory: virtual.Factory, seed: int) -> None:
+    world = converged_world(factory, 15, seed, loss=0.2)
     world.run(60)
-    assert gone(world) == []
+    assert declared_dead(world) == []
 
 
-def doubted(factory: virtual.Factory, seed: int) -> None:
-    """A word that it is suspect, and then that it is gone, is outbid by the member itself."""
-    world = ready(factory, 6, seed)
+def refutes_doubt(factory: virtual.Factory, seed: int) -> None:
+    """A member refutes with a higher incarnation that it is suspect, and then that it is dead."""
+    world = converged_world(factory, 6, seed)
     target = world.nodes[1].core
-    for word in (RowKind.SUSPECT, RowKind.DEAD):
-        was = target.incarnation
+    for kind in (RowKind.SUSPECT, RowKind.DEAD):
+        incarnation = target.incarnation
         for node in world.nodes[2:]:
-            row = Row(word, 1, target.life, was, observer=0)
+            row = Row(kind, 1, target.life, incarnation, observer=0)
             node.core._apply_row(world.kernel.now, row)
         world.run(2.0)
-        assert target.incarnation > was
+        assert target.incarnation > incarnation
         assert all(
             node.core.members[1].incarnation == target.incarnation for node in world.nodes if node.rank != 1
         )
     assert world.agreed()
 
 
-def paused(factory: virtual.Factory, seed: int) -> None:
-    """Who stood still for 0.5 to 20 s tells nobody gone who is there, and says first that it stood still.
-    While it did, another was started anew: what waited in its socket about that one's former self is old."""
+def survives_pause(factory: virtual.Factory, seed: int) -> None:
+    """A process that was paused for 0.6 to 20 s declares no running member dead, and logs its pause before
+    anything else: the datagrams that waited in its socket buffer meanwhile are stale."""
     for span in (0.6, 1.5, 4.0, 20.0):
-        world = ready(factory, 10, seed)
+        world = converged_world(factory, 10, seed)
         world.pause(4, span)
         world.run(span - 0.01)
         world.changes.clear()
@@ -258,37 +268,38 @@
         assert "sure_again" in [change.what for change in own]
 
 
-def one_way(factory: virtual.Factory, seed: int) -> None:
-    """Each end of a dead direction runs: it is named, by whichever end, and nobody is gone."""
-    world = ready(factory, 10, seed)
+def reports_one_way_link(factory: virtual.Factory, seed: int) -> None:
+    """A link that fails in one direction is reported as down, and neither end is declared dead."""
+    world = converged_world(factory, 10, seed)
     for a, b in ((2, 7), (7, 2), (0, 5), (9, 0)):
         world.changes.clear()
         world.cuts.add((a, b))
-        named = {"from": a, "to": b, "down": True}
-        world.run_until(lambda named=named: any(c.fields == named for c in world.changes), 3)
+        expected = {"from": a, "to": b, "down": True}
+        world.run_until(lambda expected=expected: any(c.fields == expected for c in world.changes), 3)
         world.run(4)
         assert all(node.core.links.down_links() == [(a, b)] for node in world.nodes)
         world.cuts.clear()
         world.run_until(lambda: not any(node.core.links.down_links() for node in world.nodes), 6)
-        assert gone(world) == []
+        assert declared_dead(world) == []
 
 
-def partial(factory: virtual.Factory, seed: int) -> None:
-    """Star and ring: who is heard by anybody is there for all, the whole time."""
+def tolerates_partial_links(factory: virtual.Factory, seed: int) -> None:
+    """Star and ring topologies: a member that any other receives from is never declared dead."""
     size = 8
     star = {(a, b) for a in range(1, size) for b in range(1, size) if a != b}
     near = {(a, (a + step) % size) for a in range(size) for step in (1, size - 1)}
     ring = {(a, b) for a in range(size) for b in range(size) if a != b} - near
     for cuts in (star, ring):
-        world = ready(factory, size, seed)
+        world = converged_world(factory, size, seed)
         world.cuts = cuts
         world.run(15)
-        assert gone(world) == [] and world.agreed()
+        assert declared_dead(world) == [] and world.agreed()
 
 
-def unheard(factory: virtual.Factory, seed: int) -> None:
-    """Whom nobody hears learns it from those that it hears; who hears nobody knows that it is cut off."""
-    world = ready(factory, 8, seed)
+def notices_isolation(factory: virtual.Factory, seed: int) -> None:
+    """A member that nobody receives from learns it from those it receives from; one that receives nothing
+    knows that it is cut off, and declares nobody dead."""
+    world = converged_world(factory, 8, seed)
     world.cuts = {(3, other) for other in range(8) if other != 3}
     world.run(5)
     view = world.nodes[3].core.view
@@ -296,17 +307,18 @@
     world.cuts = {(other, 3) for other in range(8) if other != 3}
     world.run(8)
     view = world.nodes[3].core.view
-    assert view.cut_off and view.absent == frozenset()  # silence is all it knows
+    assert view.cut_off and view.absent == frozenset()  # without messages it has no evidence against others
     world.cuts = set()
     world.run_until(world.agreed, 5)
     world.run(1)
     assert not world.nodes[3].core.view.cut_off
 
 
-def split(factory: virtual.Factory, seed: int) -> None:
-    """Cut in two, for each number of seconds: two views that know they are a part; joined again in time."""
+def heals_partition(factory: virtual.Factory, seed: int) -> None:
+    """Partitions of several lengths: both sides know their part of the fleet, and converge after the heal
+    without a message storm."""
     for span in (1, 2, 3, 4, 7):
-        world = ready(factory, 12, seed)
+        world = converged_world(factory, 12, seed)
         world.split(range(4))
         world.run(span)
         if span >= 7:
@@ -315,13 +327,13 @@
         before = world.carried["messages"]
         world.cuts = set()
         took = world.run_until(world.agreed, 5)
-        assert world.carried["messages"] - before < 12 * 40 * max(1.0, took)  # no storm
+        assert world.carried["messages"] - before < 12 * 40 * max(1.0, took)
 
 
-def healed(factory: virtual.Factory, seed: int) -> None:
-    """What was lost in a cut of both directions names no direction dead once it is over; and a dead one that
-    some forgot, as they held its end gone, is not remembered by the others for ever."""
-    world = ready(factory, 30, seed)
+def forgets_healed_links(factory: virtual.Factory, seed: int) -> None:
+    """Messages lost in a partition must not be taken for a one-way failure after the heal. And a link that is
+    down, which some members forgot when they declared its end dead, must not stay down at the others."""
+    world = converged_world(factory, 30, seed)
     for span in (1, 2, 3):
         world.run(4)
         world.split(range(15))
@@ -330,19 +342,19 @@
         world.cuts = set()
         world.run(5)
         assert not any(c.what == "link" and c.fields["down"] for c in world.changes)
-    world = ready(factory, 5, seed)
+    world = converged_world(factory, 5, seed)
     world.cuts = {(0, 1)}
     world.run_until(lambda: all(node.core.links.down_links() == [(0, 1)] for node in world.nodes), 6)
     world.split([1])
     world.run(8)
-    assert gone(world)
+    assert declared_dead(world)
     world.cuts = set()
     world.run_until(lambda: world.agreed() and not any(n.core.links.down_links() for n in world.nodes), 6)
 
 
-def twins(factory: virtual.Factory, seed: int) -> None:
-    """A second process under one rank: the older yields, and says so."""
-    world = ready(factory, 6, seed)
+def yields_to_twin(factory: virtual.Factory, seed: int) -> None:
+    """Two processes under one rank: the older one yields."""
+    world = converged_world(factory, 6, seed)
     older, rank = world.nodes[2].core, 2
     world.restart(rank)
     younger = world.nodes[rank].core
@@ -350,14 +362,14 @@
         world.run(TICK_INTERVAL / SECOND)
         older.tick(world.kernel.now)
     other, now = world.nodes[4].core, world.kernel.now
-    for core in (older, younger):  # the sockets share an address: each gets a part of what comes
-        for action in other.receive(now, rank, _spoken(older, 4, now)):
+    for core in (older, younger):  # they share an address, so either may receive a datagram
+        for action in other.receive(now, rank, _ping_datagram(older, 4, now)):
             if isinstance(action, Send) and action.rank == rank:
                 core.receive(now, 4, action.body)
     assert older.yielded and not younger.yielded
 
 
-def _spoken(core: Membership, rank: int, now: int) -> bytes:
+def _ping_datagram(core: Membership, rank: int, now: int) -> bytes:
     core.actions, core.send_tokens = [], 20.0
     core._send(now, rank, MessageKind.PING, subject=core.rank)
     return core.actions[-1].body
@@ -366,84 +378,84 @@
 CHECKS: dict[str, Callable[[virtual.Factory, int], None]] = {
     check.__name__: check
     for check in (
-        killed,
-        left,
-        restarted,
-        clock_back,
-        lossy,
-        doubted,
-        paused,
-        one_way,
-        partial,
-        unheard,
-        split,
-        healed,
-        twins,
+        detects_kill,
+        announces_leave,
+        accepts_restart,
+        restarts_with_slow_clock,
+        tolerates_loss,
+        refutes_doubt,
+        survives_pause,
+        reports_one_way_link,
+        tolerates_partial_links,
+        notices_isolation,
+        heals_partition,
+        forgets_healed_links,
+        yields_to_twin,
     )
 }
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("check", CHECKS)
-def test_membership_bears(check, seed):
+def test_membership_under_faults(check, seed):
     CHECKS[check](virtual.ours, seed)
 
 
-FOUND_BY = {
-    "no-incarnation": "doubted",
-    "no-refutation": "doubted",
-    "no-self-doubt": "paused",
-    "no-link-report": "one_way",
-    "no-vouching": "partial",
-    "no-yielding": "twins",
-    "old-lives-count": "restarted",
+DETECTED_BY = {
+    "no-incarnation": "refutes_doubt",
+    "no-refutation": "refutes_doubt",
+    "no-self-doubt": "survives_pause",
+    "no-link-report": "reports_one_way_link",
+    "no-vouching": "tolerates_partial_links",
+    "no-yielding": "yields_to_twin",
+    "old-lives-count": "accepts_restart",
 }
 
 
 @pytest.mark.parametrize("defect", defects.DEFECTS)
-def test_each_planted_defect_is_found(defect):
-    """By the assertion of its check, on one seed of three at least."""
-    found = 0
+def test_each_planted_defect_is_detected(defect):
+    """By its check, on at least one of three seeds."""
+    detections = 0
     for seed in (1, 2, 3):
         try:
-            CHECKS[FOUND_BY[defect]](of(defects.DEFECTS[defect]), seed)
+            CHECKS[DETECTED_BY[defect]](factory_of(defects.DEFECTS[defect]), seed)
         except (AssertionError, TimeoutError):
-            found += 1
-    assert found
+            detections += 1
+    assert detections
 
 
-def test_a_decision_after_a_standstill_knows_of_it_before_any_word():
-    """Whatever comes first, a datagram or a tick, the view is doubtful by then."""
+def test_the_view_is_doubtful_in_the_first_call_after_a_pause():
+    """Whether that is a datagram or a tick: a decision right after it must not use the old view."""
     for first in ("tick", "receive"):
-        world = ready(virtual.ours, 5, 1)
+        world = converged_world(virtual.ours, 5, 1)
         core, now = world.nodes[0].core, world.kernel.now + PAUSE_THRESHOLD + 2 * TICK_INTERVAL
-        body = _spoken(world.nodes[1].core, 0, world.kernel.now)
+        body = _ping_datagram(world.nodes[1].core, 0, world.kernel.now)
         actions = core.tick(now) if first == "tick" else core.receive(now, 1, body)
         assert core.view.doubtful
         assert next(a for a in actions if isinstance(a, LogEvent)).name == "stood_still"
         assert all(m.state is State.ALIVE for m in core.members.values())
 
 
-def test_costs_do_not_grow_with_the_fleet():
+def test_the_message_rate_does_not_grow_with_the_fleet():
     rates = []
     for size in (8, 64):
-        world = ready(virtual.ours, size, 1)
-        world.run(40)  # what is new at the start is told on for a while
+        world = converged_world(virtual.ours, size, 1)
+        world.run(40)  # gossip about the start dies down
         before = dict(world.carried)
         world.run(10)
         rates.append((world.carried["messages"] - before["messages"]) / 10 / size)
     assert all(rate <= 2.1 * SECOND / PROBE_INTERVAL for rate in rates), rates
 
 
-def test_what_was_measured_is_drawn_whole_and_an_unknown_ending_is_told(tmp_path):
-    """Every panel that there are results for, and nothing of a panel without."""
-    whats = [word for what in ("rest", "kill", "name") for word in ("--what", what)]
-    words = ["lab", "members", *whats, "--size", "4", "--seeds", "1", "--out", tmp_path / "kept"]
+def test_plots_show_all_measured_panels_and_unknown_file_formats_are_refused(tmp_path):
+    """One panel for each measurement with results, and none for the others."""
+    whats = [argument for what in ("rest", "kill", "name") for argument in ("--what", what)]
+    arguments = ["lab", "members", *whats, "--size", "4", "--seeds", "1", "--out", tmp_path / "kept"]
     for name in ("all.svg", "again.png"):
-        ended = run(*words, "--plot", tmp_path / name, within=120)
-        assert ended.returncode == 0, ended.stderr
-    picture = (tmp_path / "all.svg").read_text()
-    assert picture.count('id="axes_') == 3
+        result = run(*arguments, "--plot", tmp_path / name, within=120)
+        assert result.returncode == 0, result.stderr
+    svg = (tmp_path / "all.svg").read_text()
+    assert svg.count('id="axes_') == 3
     assert (tmp_path / "again.png").read_bytes().startswith(b"\x89PNG")
-    [line] = refused(*words, "--plot", tmp_path / "all.bmp")
+    [line] = refused(*arguments, "--plot", tmp_path / "all.bmp")
     assert ".png, .svg or .pdf" in line
