--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -1,4 +1,4 @@
-"""What the decisions do with membership's view: keepers, gossip, the part that is granted while apart."""
+"""Use of the membership view in decisions: no messages to absent gateways, reduced grants while cut off."""
 
 from __future__ import annotations
 
@@ -7,59 +7,59 @@
 
 from orchidlane import interface as api
 
-SIZE = 8  # gateways, all in each customer's set
+GATEWAYS = 8  # all of them in each customer's set
 
 
-def told(actions) -> set[int]:
+def receivers(actions) -> set[int]:
     return {action.peer for action in of(actions, api.TellPeer)}
 
 
-def served(bench: Bench, number: int, customer: int) -> list[api.Action]:
-    """A request, answered at once by its host if it is let through."""
-    actions = bench.ask(number, customer=customer, size=SIZE)
+def served_request(bench: Bench, number: int, customer: int) -> list[api.Action]:
+    """A request, which its host serves at once if it is admitted."""
+    actions = bench.ask(number, customer=customer, size=GATEWAYS)
     for send in of(actions, api.Send):
         actions = actions + bench.outcome(number, send.server, api.Outcome.SERVED)
     return actions
 
 
-@pytest.mark.parametrize("away", [frozenset(), frozenset({1, 2, 3}), frozenset(range(2, SIZE))])
-def test_nobody_is_told_who_is_away(away):
-    bench = Bench(gateways=SIZE, peer_intake=500.0)
-    bench.feed(api.MembersChanged(away, False))
-    seen: set[int] = set()
+@pytest.mark.parametrize("absent", [frozenset(), frozenset({1, 2, 3}), frozenset(range(2, GATEWAYS))])
+def test_messages_go_to_present_gateways_only(absent):
+    bench = Bench(gateways=GATEWAYS, peer_intake=500.0)
+    bench.feed(api.MembersChanged(absent, False))
+    notified: set[int] = set()
     for number in range(120):
-        seen |= told(served(bench, number + 1, number % 20))
-        seen |= told(bench.run(SECOND // 4))
-    assert seen & away == set()
-    assert seen == set(range(1, SIZE)) - away
+        notified |= receivers(served_request(bench, number + 1, number % 20))
+        notified |= receivers(bench.run(SECOND // 4))
+    assert notified & absent == set()
+    assert notified == set(range(1, GATEWAYS)) - absent
 
 
-def spent(bench: Bench, first: int, seconds: int) -> int:
-    """Requests let through of a customer that asks for five times its quota."""
-    sent = 0
+def admitted(bench: Bench, first: int, seconds: int) -> int:
+    """Number of admitted requests of a customer that requests five times its quota."""
+    count = 0
     for number in range(10 * seconds):
-        sent += len(of(served(bench, first + number, 5), api.Send))
+        count += len(of(served_request(bench, first + number, 5), api.Send))
         bench.run(SECOND // 10)
-    return sent
+    return count
 
 
-def test_who_is_apart_grants_its_part_and_the_whole_again_after():
-    """By the part that it spent of all that is known: others spent nine in ten here."""
-    figures = {}
-    for holds in (False, True):
-        bench = Bench(gateways=SIZE)
-        spent(bench, 1, 10)
+def test_a_cut_off_gateway_grants_its_share_until_it_is_connected_again():
+    """Its share is the fraction of the known usage that it granted itself; here others granted 90 %."""
+    admissions = {}
+    for cut_off in (False, True):
+        bench = Bench(gateways=GATEWAYS)
+        admitted(bench, 1, 10)
         account = bench.gateway.accounts[5]
         account.total, account.limit = account.total * 10, account.limit + account.total * 9
-        bench.feed(api.MembersChanged(frozenset(), holds))
-        figures[holds] = spent(bench, 1_000, 60)
-    assert figures[False] > 100  # two a second
-    assert figures[True] < 0.4 * figures[False]
+        bench.feed(api.MembersChanged(frozenset(), cut_off))
+        admissions[cut_off] = admitted(bench, 1_000, 60)
+    assert admissions[False] > 100  # two per second
+    assert admissions[True] < 0.4 * admissions[False]
     bench.feed(api.MembersChanged(frozenset(), False))
-    spent(bench, 5_000, 10)
-    assert spent(bench, 6_000, 30) > 50
+    admitted(bench, 5_000, 10)
+    assert admitted(bench, 6_000, 30) > 50
 
 
-def test_without_a_view_silence_alone_tells():
-    bench = Bench(gateways=SIZE)
+def test_without_membership_no_gateway_counts_as_absent():
+    bench = Bench(gateways=GATEWAYS)
     assert bench.gateway.view is None and bench.gateway.away == frozenset()
