--- a/lab/defects.py
+++ b/lab/defects.py
@@ -59,7 +59,7 @@
 
 
 class NoVouching(Membership):
-    """Keeps to itself whom it heard, and takes a GONE for the truth."""
+    """Keeps to itself whom it heard, and takes a DEAD for the truth."""
 
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -53,7 +53,7 @@
 
 class PlainSwim(Ours):
     """SWIM as published: probes, relays, suspicion of one length, refutation. No health of its own, no look
-    of one's own before the end, no evidence but the suspect's word, a GONE is believed, nothing of links."""
+    of one's own before the end, no evidence but the suspect's word, a DEAD is believed, nothing of links."""
 
     def _detect_pause(self, now: int) -> None:
         self.last_called = now
