--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -66,7 +66,10 @@
     ) -> None:
         """``life`` distinguishes this process from an earlier one: milliseconds of Unix time and ten random
         bits."""
-        self.rank, self.size, self.life, self.key = rank, size, life, messages.tag_key(cluster)
+        self.rank = rank
+        self.size = size
+        self.life = life
+        self.key = messages.tag_key(cluster)
         self.random = random.Random(seed)
         self.incarnation = self.last_sequence = self.health = 0
         self.members = {other: Member(other) for other in range(size) if other != rank}
@@ -89,9 +92,11 @@
         self.has_fresh_answer = True
         self.received_since_pause: set[int] | None = None  # while in doubt after a pause
         self.rate = max(SEND_RATE_MIN, INTAKE_SHARE * intake)
-        self.send_tokens, self.tokens_refilled_at = self.rate, now
+        self.send_tokens = self.rate
+        self.tokens_refilled_at = now
         self.left = self.yielded = False
-        self.active_count, self.last_received = 0, 0
+        self.active_count = 0
+        self.last_received = 0
         self.suspects: set[int] = set()
         self.dead: set[int] = set()
         self.unknown = set(self.members)
@@ -151,7 +156,8 @@
     def _detect_pause(self, now: int) -> None:
         """Runs first in each call: after a pause, unanswered probes and messages count against nobody."""
         self.actions = []
-        gap, self.last_called = now - self.last_called, now
+        gap = now - self.last_called
+        self.last_called = now
         if gap <= PAUSE_THRESHOLD:
             return
         self.counts["stood_still"] += 1
@@ -161,7 +167,8 @@
         for member in self.members.values():
             member.suspected_at += gap if member.state is State.SUSPECT else 0
             member.unacknowledged.clear()
-        self.has_fresh_answer, self.fresh_from_sequence = False, self.last_sequence + 1
+        self.has_fresh_answer = False
+        self.fresh_from_sequence = self.last_sequence + 1
         self.received_since_pause = set()
         self.next_probe = now
         self.actions.append(LogEvent("stood_still", {"stood_still_ms": gap // MS}))
@@ -342,10 +349,8 @@
 
     def _member_row(self, now: int, member: Member) -> Row:
         """The row for a member's current state."""
-        kind, has_age = (
-            ROW_KINDS.get(member.state, RowKind.ALIVE),
-            member.state in (State.SUSPECT, State.DEAD),
-        )
+        kind = ROW_KINDS.get(member.state, RowKind.ALIVE)
+        has_age = member.state in (State.SUSPECT, State.DEAD)
         observer = next(iter(member.accusers), self.rank)
         return Row(
             kind,
@@ -391,9 +396,8 @@
         """Whether this sequence number is received for the first time in this life; records it."""
         ahead = sequence - member.highest_received
         if ahead > 0:
-            member.received_window = (member.received_window << min(ahead, REPLAY_WINDOW) | 1) & (
-                1 << REPLAY_WINDOW
-            ) - 1
+            shifted = member.received_window << min(ahead, REPLAY_WINDOW) | 1
+            member.received_window = shifted & (1 << REPLAY_WINDOW) - 1
             member.highest_received = sequence
             return True
         if -ahead >= REPLAY_WINDOW or member.received_window >> -ahead & 1:
@@ -454,24 +458,29 @@
             case MessageKind.INDIRECT_ACK if subject != self.rank and self._finish_probe(
                 message.probe, subject
             ):
-                target = self.members[subject]
-                target.last_seen, target.witness = now, sender
-                target.indirect_acks += 1
-                # One direction may be down. Further pings show which.
-                if target.indirect_acks < LINK_DOWN_MISSES:
-                    self.urgent_pings[subject] = None
-                if target.state is State.SUSPECT:
-                    self._set_state(now, target, State.ALIVE)
-                    self._gossip_last_seen(now, target)
-                self._handle_acknowledged(
-                    now,
-                    target,
-                    message.subject_received if message.subject_received <= self.last_sequence else 0,
-                )
+                self._handle_indirect_ack(now, message)
             case MessageKind.NACK:
                 if (probe := self.probes.get(message.probe)) and probe.rank == subject:
                     probe.nacked_by.add(sender)
 
+    def _handle_indirect_ack(self, now: int, message: Message) -> None:
+        """A relay got an answer from the member that our own probe got none from."""
+        target = self.members[message.subject]
+        target.last_seen = now
+        target.witness = message.sender
+        target.indirect_acks += 1
+        # One direction may be down. Further pings show which.
+        if target.indirect_acks < LINK_DOWN_MISSES:
+            self.urgent_pings[message.subject] = None
+        if target.state is State.SUSPECT:
+            self._set_state(now, target, State.ALIVE)
+            self._gossip_last_seen(now, target)
+        self._handle_acknowledged(
+            now,
+            target,
+            message.subject_received if message.subject_received <= self.last_sequence else 0,
+        )
+
     def _finish_probe(self, number: int, rank: int) -> bool:
         """Whether this answers one of our pending probes, which is then finished."""
         probe = self.probes.get(number)
@@ -694,7 +703,10 @@
     def _reset_for_life(self, member: Member, life: int) -> None:
         """The member was restarted: nothing known of its earlier process applies any more."""
         self.digest ^= self._digest_part(member.rank, member.life, member.state)
-        member.life, member.incarnation, member.highest_received, member.received_window = life, 0, 0, 0
+        member.life = life
+        member.incarnation = 0
+        member.highest_received = 0
+        member.received_window = 0
         member.last_received = member.last_seen = member.acknowledged = 0
         member.unacknowledged.clear()
         self.links.forget(member.rank)
