--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -151,7 +151,7 @@
     core = make_core()
     for sequence in (5, 3, 9, 4):
         core.receive(SECOND, 1, messages.pack(make_message(sequence), KEY))
-    assert core.counts == {} and core.members[1].number == 9
+    assert core.counts == {} and core.members[1].highest_received == 9
 
 
 # -- fleets with faults -----------------------------------------------------------------------------------
