--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -4,7 +4,7 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
-from orchidlane.member_messages import Message, Row, Word
+from orchidlane.member_messages import Message, Row, RowKind
 
 from .membership import Core, Factory, Ours, ours
 
@@ -21,23 +21,23 @@
         self.gone: set[int] = set()
         self.next = now
 
-    def _turn(self, rank: int, is_gone: bool, now: int) -> state.Notice:
+    def _turn(self, rank: int, is_gone: bool, now: int) -> state.LogEvent:
         (self.gone.add if is_gone else self.gone.discard)(rank)
         word = "gone" if is_gone else "alive"
-        return state.Notice("member", {"member": rank, "state": word})
+        return state.LogEvent("member", {"member": rank, "state": word})
 
     def tick(self, now: int) -> list[state.Action]:
         """Beat, and look who is late."""
         done: list[state.Action] = []
         if now >= self.next:
             self.next = max(self.next + EVERY, now)
-            done += [state.Tell(other, b"here") for other in self.others]
+            done += [state.Send(other, b"here") for other in self.others]
         for other, at in self.heard_at.items():
             if now - at > MISSED * EVERY and other not in self.gone:
                 done.append(self._turn(other, True, now))
         return done
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[state.Action]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
         """It is there."""
         self.heard_at[sender] = now
         return [self._turn(sender, False, now)] if sender in self.gone else []
@@ -53,39 +53,43 @@
 
 class PlainSwim(Ours):
     """SWIM as published: probes, relays, suspicion of one length, refutation. No health of its own, no look
-    of one's own before the end, no evidence but the suspect's word, a GONE is believed, nothing of links."""
+    of one's own before the end, no evidence but the suspect's word, a DEAD is believed, nothing of links."""
 
-    def _begin(self, now: int) -> None:
-        self.last = now
-        super()._begin(now)
+    def _detect_pause(self, now: int) -> None:
+        self.last_called = now
+        super()._detect_pause(now)
         self.health = 0
 
-    def _patience(self, member: state.Member) -> float:
-        return membership.SUSPECT_LEAST * max(membership.SIZE_LEAST, self._log(1) * 0.30103)
+    def _suspicion_timeout(self, member: state.Member) -> float:
+        return membership.SUSPICION_MIN * max(membership.SIZE_FACTOR_MIN, self._log_scaled(1) * 0.30103)
 
-    def _vouch(self, now: int, member: state.Member) -> bool:
+    def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _reported(self, now: int, member: state.Member, heard: int) -> None:
+    def _handle_acknowledged(self, now: int, member: state.Member, heard: int) -> None:
         return
 
-    def _learn_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
-        member.there = 0
-        super()._learn_doubt(now, member, row, at)
-        if row.word is Word.GONE and member.state in state.HERE and row.incarnation >= member.incarnation:
-            self._set(now, member, state.State.GONE)
-            self.news.add(now, row)
+    def _apply_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
+        member.last_seen = 0
+        super()._apply_doubt(now, member, row, at)
+        if (
+            row.kind is RowKind.DEAD
+            and member.state in state.ACTIVE_STATES
+            and row.incarnation >= member.incarnation
+        ):
+            self._set_state(now, member, state.State.DEAD)
+            self.gossip.add(now, row)
         return False
 
-    def _look_at_suspects(self, now: int) -> None:
+    def _check_suspects(self, now: int) -> None:
         for member in [self.members[rank] for rank in self.suspects]:
-            if now - member.noticed >= self._patience(member):
-                self._set(now, member, state.State.GONE)
-                self.news.add(now, self._row(now, member))
+            if now - member.suspected_at >= self._suspicion_timeout(member):
+                self._set_state(now, member, state.State.DEAD)
+                self.gossip.add(now, self._member_row(now, member))
 
-    def _take(self, now: int, message: Message) -> None:
-        self.fresh = True
-        super()._take(now, message)
+    def _process(self, now: int, message: Message) -> None:
+        self.has_fresh_answer = True
+        super()._process(now, message)
 
 
 def heartbeats(rank: int, size: int, life: int, seed: int, now: int) -> Core:
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from orchidlane import member_state as state
-from orchidlane.membership import TICK, Membership
+from orchidlane.membership import TICK_INTERVAL, Membership
 
 from .kernel import T0, Kernel, Uniform, draws
 
@@ -26,7 +26,7 @@
     def tick(self, now: int) -> list[state.Action]:
         """Time has passed."""
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[state.Action]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
         """A datagram has come."""
 
     def leave(self, now: int) -> list[state.Action]:
@@ -41,7 +41,7 @@
 
     def holds_here(self, rank: int) -> bool:
         """Alive or suspect."""
-        return self.members[rank].state in state.HERE
+        return self.members[rank].state in state.ACTIVE_STATES
 
 
 Factory = Callable[[int, int, int, int, int], Core]  # rank, size, life, seed, now
@@ -90,7 +90,7 @@
         for rank in range(size):
             node = Node(rank, self._core(rank), self.lives)
             self.nodes.append(node)
-            self.kernel.after(int(self.draw() * TICK), self._tick, node, node.life)
+            self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
 
     def _core(self, rank: int) -> Core:
         self.lives += 1
@@ -115,12 +115,12 @@
             return
         if not node.paused:
             self._carry_out(node, node.core.tick(self.kernel.now))
-        self.kernel.after(TICK, self._tick, node, life)
+        self.kernel.after(TICK_INTERVAL, self._tick, node, life)
 
     def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
-            if isinstance(action, state.Notice):
-                self.changes.append(Change(self.kernel.now, node.rank, action.what, action.fields))
+            if isinstance(action, state.LogEvent):
+                self.changes.append(Change(self.kernel.now, node.rank, action.name, action.fields))
                 continue
             self.carried["messages"] += 1
             self.carried["bytes"] += len(action.body)
@@ -135,7 +135,7 @@
         if node.paused:
             node.waiting.append((sender, body))
         else:
-            self._carry_out(node, node.core.heard(self.kernel.now, sender, body))
+            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
 
     # -- what goes wrong ------------------------------------------------------------------------------------
 
@@ -169,7 +169,7 @@
         node.paused = False
         waiting, node.waiting = node.waiting, []
         for sender, body in waiting:
-            self._carry_out(node, node.core.heard(self.kernel.now, sender, body))
+            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
 
     def split(self, side: Iterable[int]) -> None:
         """Nothing passes between these and the others."""
--- a/lab/model.py
+++ b/lab/model.py
@@ -16,7 +16,7 @@
 from typing import Protocol, TypeVar
 
 from orchidlane import member_state as state
-from orchidlane.membership import TICK, Membership
+from orchidlane.membership import TICK_INTERVAL, Membership
 
 START = 1_000_000_000
 WARM = 60  # steps until all know each other, before the window
@@ -87,7 +87,7 @@
 
     def now(self) -> int:
         """Microseconds."""
-        return START + self.step * TICK
+        return START + self.step * TICK_INTERVAL
 
     def core(self, rank: int, life: int) -> Membership:
         """A process from nothing."""
@@ -141,11 +141,11 @@
         if self.paused[rank] > self.step:
             self.waiting[rank].append((sender, body))
         else:
-            self._carry(rank, self.cores[rank].heard(now, sender, body))
+            self._carry(rank, self.cores[rank].receive(now, sender, body))
 
     def _carry(self, rank: int, actions: list[state.Action]) -> None:
         for action in actions:
-            if isinstance(action, state.Tell):
+            if isinstance(action, state.Send):
                 self.way.append((self.step + 1, rank, action.rank, action.body))
 
     def _look(self) -> None:
@@ -165,7 +165,7 @@
             (at, member.rank)
             for at, core in enumerate(self.cores)
             for member in core.members.values()
-            if member.state is state.State.GONE
+            if member.state is state.State.DEAD
         ]
 
     def faults(self, kinds: Collection[str]) -> Iterator[Fault]:
@@ -271,7 +271,8 @@
     if gone := world.gone():
         return f"{gone[0][0]} holds {gone[0][1]} gone for ever, which runs"
     views = [
-        sorted((m.rank, m.life, m.state in state.HERE) for m in core.members.values()) for core in world.cores
+        sorted((m.rank, m.life, m.state in state.ACTIVE_STATES) for m in core.members.values())
+        for core in world.cores
     ]
     for at, core in enumerate(world.cores):
         wanted = [(other.rank, other.life, True) for other in world.cores if other is not core]
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -13,7 +13,15 @@
 from ops import logs
 from orchidlane import interface as api
 from orchidlane import member_state as state
-from orchidlane.membership import AGAIN_AFTER, ASK_AFTER, FAIL_AFTER, PERIOD, STALL, TICK, Membership
+from orchidlane.membership import (
+    INDIRECT_PROBE_DELAY,
+    PAUSE_THRESHOLD,
+    PROBE_INTERVAL,
+    PROBE_RETRY_DELAY,
+    PROBE_TIMEOUT,
+    TICK_INTERVAL,
+    Membership,
+)
 
 from . import places as where
 from .config import Address, Config
@@ -25,7 +33,7 @@
 
 MS = 1_000  # microseconds
 TIMER_RESOLUTION = 5 * MS  # two times that lie nearer are one
-STEPS = (AGAIN_AFTER, ASK_AFTER, FAIL_AFTER)  # when a probe is next looked at
+STEPS = (PROBE_RETRY_DELAY, INDIRECT_PROBE_DELAY, PROBE_TIMEOUT)  # when a probe is next looked at
 LIFE_BITS = 10  # random ones below the milliseconds of a life
 
 
@@ -68,13 +76,15 @@
         """When there is something to do at the latest: a process at rest wakes for its own probes alone."""
         core = self.core
         if core.left:
-            return now + PERIOD
-        if core.suspects or core.urgent:
-            return now + TICK
-        looks = [probe.sent + STEPS[probe.step] for probe in core.probes.values()]
+            return now + PROBE_INTERVAL
+        if core.suspects or core.urgent_pings:
+            return now + TICK_INTERVAL
+        looks = [probe.sent_at + STEPS[probe.stage] for probe in core.probes.values()]
         if self.places and self.places.busy:
             looks.append(now + where.GREETING_INTERVAL)
-        return min(core.next_probe, now + PERIOD, *looks, *(due for due, _ in core.relaying.values()))
+        return min(
+            core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relayed_probes.values())
+        )
 
     def _wake(self, now: int) -> None:
         """The one timer, set anew where something is due at another time."""
@@ -111,12 +121,16 @@
     def look(self) -> api.MembersChanged | None:
         """Before a decision: did we stand still? Then it must know."""
         now = clock()
-        return self._do(self.core.tick(now)) if now - self.core.last > STALL and self.timer else None
+        return (
+            self._do(self.core.tick(now))
+            if now - self.core.last_called > PAUSE_THRESHOLD and self.timer
+            else None
+        )
 
     def heard(self, rank: int, body: bytes) -> None:
         """A datagram of membership's kind, from this rank's address."""
         now = clock()
-        self._carry_out(self.core.heard(now, rank, body))
+        self._carry_out(self.core.receive(now, rank, body))
         if self.timer:
             self._wake(now)
 
@@ -138,7 +152,7 @@
                 self.peers.move(action.rank, action.address)
                 self._carry_out(())
             elif not self.core.yielded:
-                self._carry_out(self.core.replaced(now, action.life))
+                self._carry_out(self.core.on_newer_life(now, action.life))
 
     def leave(self) -> None:
         """This process ends on purpose."""
@@ -152,7 +166,7 @@
     def _do(self, actions: Iterable[state.Action]) -> api.MembersChanged | None:
         """Tell and log; what the decisions have to know, if the view has changed."""
         for action in actions:
-            if isinstance(action, state.Tell):
+            if isinstance(action, state.Send):
                 self.peers.tell(action.rank, action.body)
             else:
                 self._notice(action)
@@ -166,11 +180,11 @@
         """What the decisions are told: who has no place yet is away, too."""
         view = self.core.view
         apart = view.cut_off or view.unheard or view.doubtful or self.core.yielded
-        return api.MembersChanged(view.gone | self.places.unplaced if self.places else view.gone, apart)
+        return api.MembersChanged(view.absent | self.places.unplaced if self.places else view.absent, apart)
 
-    def _notice(self, notice: state.Notice) -> None:
+    def _notice(self, notice: state.LogEvent) -> None:
         fields = notice.fields | {"boot_ms": clock() // MS}
-        match notice.what:
+        match notice.name:
             case "member":
                 log.info("member_changed", **fields)
             case "link":
@@ -196,13 +210,17 @@
     def doubts(self) -> tuple[str, ...]:
         """What is wrong with this process's own sight."""
         view, core = self.core.view, self.core
-        others = f"{view.part[0] - 1} of {view.part[1] - 1} gateways are here"
+        others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} gateways are here"
         return (
             *((f"nobody is heard, {others}",) if view.cut_off else ()),
             *(("most of those heard don't hear us",) if view.unheard else ()),
             *(("it stood still and knows nothing fresh yet",) if view.doubtful else ()),
-            *((f"only {others}",) if 2 * view.part[0] <= view.part[1] and not view.cut_off else ()),
-            *((f"{len(down)} links are dead",) if (down := core.links.dead()) else ()),
+            *(
+                (f"only {others}",)
+                if 2 * view.active_of_total[0] <= view.active_of_total[1] and not view.cut_off
+                else ()
+            ),
+            *((f"{len(down)} links are dead",) if (down := core.links.down_links()) else ()),
         )
 
     def table(self) -> dict[str, object]:
@@ -210,7 +228,12 @@
         heard; dead links as pairs (from, to)."""
         core, now = self.core, clock()
         rows = {
-            m.rank: [m.state.value, m.life, m.incarnation, (now - m.heard) // MS if m.heard else None]
+            m.rank: [
+                m.state.value,
+                m.life,
+                m.incarnation,
+                (now - m.last_received) // MS if m.last_received else None,
+            ]
             for m in core.members.values()
         }
         return {
@@ -222,18 +245,18 @@
             "unheard": core.view.unheard,
             "doubtful": core.view.doubtful,
             "health": core.health,
-            "part": list(core.view.part),
+            "part": list(core.view.active_of_total),
             "members": rows,
             "unplaced": sorted(self.places.unplaced) if self.places else [],
-            "links_down": core.links.dead(),
+            "links_down": core.links.down_links(),
         }
 
     def gauges(self) -> dict[str, int]:
         """For the log's figures and the metrics."""
         view = self.core.view
         return {
-            "members_here": view.part[0],
-            "members_missing": view.part[1] - view.part[0],
-            "member_links_down": len(self.core.links.dead()),
+            "members_here": view.active_of_total[0],
+            "members_missing": view.active_of_total[1] - view.active_of_total[0],
+            "member_links_down": len(self.core.links.down_links()),
             "member_apart": int(view.cut_off or view.unheard or view.doubtful),
         }
