--- a/lab/node.py
+++ b/lab/node.py
@@ -182,7 +182,7 @@
                 self.world.kernel.after(action.span, self._timer, self.life, action.token)
             elif isinstance(action, api.Send):
                 self._send(action)
-            elif isinstance(action, api.TellPeer):
+            elif isinstance(action, api.SendPeerMessage):
                 self.world.tell_peer(self, action.peer, action.body)
             elif isinstance(action, api.Refuse):
                 if call := self.calls.get(action.request):
--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -350,7 +350,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Send bytes to one peer."""
 
     peer: int
@@ -365,7 +365,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskList:
+class WatchList:
     """Subscribe to discovery."""
 
 
@@ -374,4 +374,4 @@
     """Ask discovery for the whole list once."""
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | TellPeer | Probe | AskList | FetchList
+Action = Send | Cancel | Refuse | Fail | SetTimer | SendPeerMessage | Probe | WatchList | FetchList
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -74,7 +74,7 @@
 
     def start(self) -> list[api.Action]:
         """The first actions, once the gateway is up."""
-        return [api.SetTimer(INTERVAL, TURN)] + [api.AskList()] * self.s.asks_for_list
+        return [api.SetTimer(INTERVAL, TURN)] + [api.WatchList()] * self.s.asks_for_list
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """What to do about one event: each goes to the method of its topic."""
@@ -534,7 +534,7 @@
             self.asked.append((self.now, rank, customer, number))
             self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
         body = messages.pack(self.now // MS, number is not None, keep, rows)
-        self.actions.append(api.TellPeer(rank, body))
+        self.actions.append(api.SendPeerMessage(rank, body))
         return True
 
     def _row(self, account: Account, reach: int, rights: float = 0.0, own: bool = False) -> bytes:
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -301,9 +301,9 @@
                 raw = _SET_TIMER.pack(69, gateway, action.span, action.token)
             case api.Probe():
                 raw = _SERVER_ONLY.pack(70, gateway, action.server)
-            case api.TellPeer():
+            case api.SendPeerMessage():
                 raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
-            case api.AskList():
+            case api.WatchList():
                 raw = _WATCH.pack(75, gateway, 1)
             case api.FetchList():
                 raw = _BARE.pack(76, gateway)
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -354,7 +354,7 @@
     def _set_timer(self, action: api.SetTimer) -> None:
         self._after(action.span, self.feed, api.TimerFired(action.token))
 
-    def _tell(self, action: api.TellPeer) -> None:
+    def _tell(self, action: api.SendPeerMessage) -> None:
         self.stats["peer_out"] += 1
         self.tell_peer(action.peer, action.body)
 
@@ -367,8 +367,8 @@
         api.Refuse: _refuse,
         api.Fail: _fail,
         api.SetTimer: _set_timer,
-        api.TellPeer: _tell,
-        api.AskList: _nothing,
+        api.SendPeerMessage: _tell,
+        api.WatchList: _nothing,
         api.FetchList: _nothing,
         api.Probe: _nothing,
     }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -144,7 +144,7 @@
 
     def _carry(self, rank: int, actions) -> None:
         for action in actions:
-            if isinstance(action, api.TellPeer):
+            if isinstance(action, api.SendPeerMessage):
                 self.messages += 1
                 if self.random.random() >= self.loss:
                     self.on_way.append((self.now + self.LATER, rank, action.peer, action.body))
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -53,7 +53,7 @@
 def bodies(actions) -> list:
     """The decoded messages among the actions, with their receivers."""
     now = T0 // 1_000 + 60_000
-    return [(a.peer, messages.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.TellPeer)]
+    return [(a.peer, messages.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.SendPeerMessage)]
 
 
 def test_the_burst_is_let_in_until_it_is_nearly_spent_and_comes_back():
@@ -219,7 +219,7 @@
     for i in range(1, 400):
         bench.ask(i, customer=i % 90)
         bench.run(5_000)
-    sizes = [len(a.body) for a in bench.log if isinstance(a, api.TellPeer)]
+    sizes = [len(a.body) for a in bench.log if isinstance(a, api.SendPeerMessage)]
     assert max(sizes) <= messages.SIZE_MOST
     seconds = (bench.now - T0) / SECOND
     assert 0 < len(sizes) <= 50.0 * (seconds + 1)
@@ -382,7 +382,7 @@
 def test_a_keepers_word_that_comes_late_sends_no_second_attempt(kind):
     """The request had gone on without it by then, and went out once more beside its first attempt."""
     bench = Bench(gateways=60)
-    (question,) = of(bench.ask(1, kind=kind, size=50), api.TellPeer)
+    (question,) = of(bench.ask(1, kind=kind, size=50), api.SendPeerMessage)
     sends = of(bench.run(300_000), api.Send)
     assert len(sends) == 1
     assert of(say(bench, question.peer, told([], size=50)), api.Send) == []
@@ -405,7 +405,7 @@
 
 def test_only_its_keepers_word_lets_a_waiting_request_go():
     bench = Bench(gateways=60)
-    (question,) = of(bench.ask(1, size=50), api.TellPeer)
+    (question,) = of(bench.ask(1, size=50), api.SendPeerMessage)
     keeper, other = question.peer, (question.peer + 1) % 50 or 1
     bench.now += 20_000
     say(bench, other, told([], size=50))  # another gateway's gossip
@@ -422,7 +422,7 @@
 def test_the_time_of_a_question_that_was_answered_sends_nothing_more(kind):
     """It runs out while the attempt is out: neither a second one nor an end may come of it."""
     bench = Bench(gateways=60)
-    (question,) = of(bench.ask(1, kind=kind, size=50), api.TellPeer)
+    (question,) = of(bench.ask(1, kind=kind, size=50), api.SendPeerMessage)
     bench.now += 20_000
     assert of(say(bench, question.peer, told([], size=50)), api.Send)
     bench.run(SECOND)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -221,7 +221,7 @@
             self.world.nodes[self.settings.rank].calls.pop(number)
             return []
         if self.how == "datagram too long":
-            return [api.TellPeer(0, bytes(257)), *sends[:1]]
+            return [api.SendPeerMessage(0, bytes(257)), *sends[:1]]
         return sends[:1]  # to the first host, drained or not
 
 
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -11,7 +11,7 @@
 
 
 def told(actions) -> set[int]:
-    return {action.peer for action in of(actions, api.TellPeer)}
+    return {action.peer for action in of(actions, api.SendPeerMessage)}
 
 
 def served(bench: Bench, number: int, customer: int) -> list[api.Action]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -248,7 +248,7 @@
     bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
     given = 0.0
     for _ in range(5):
-        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.TellPeer):
+        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.SendPeerMessage):
             message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].rights if not message.keep else 0.0
     assert 10.0 < given <= 16 * 2 / 3
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -149,13 +149,13 @@
     send = api.Send(0x5D3A91C4, HOST, 0x8194DA)
     assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
     assert encode(api.SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(api.TellPeer(0xFFFF, bytes.fromhex("68692037")))
+    tell = encode(api.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
     assert tell == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
     assert encode(api.Refuse(7, 9)) == raw("42 0300 07000000 09000000", 24)
     assert encode(api.Fail(7)) == raw("43 0300 07000000", 24)
     assert encode(api.Cancel(7, 2)) == raw("44 0300 07000000 0200", 24)
     assert encode(api.Probe(HOST)) == raw("46 0300 0a124a07 2b23", 24)
-    assert encode(api.AskList()) == raw("4b 0300 01", 24)
+    assert encode(api.WatchList()) == raw("4b 0300 01", 24)
     assert encode(api.FetchList()) == raw("4c 0300", 24)
 
 
