--- a/lab/node.py
+++ b/lab/node.py
@@ -179,7 +179,7 @@
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.world.kernel.after(action.span, self._timer, self.life, action.token)
+                self.world.kernel.after(action.delay, self._timer, self.life, action.token)
             elif isinstance(action, api.Send):
                 self._send(action)
             elif isinstance(action, api.SendPeerMessage):
@@ -237,7 +237,7 @@
             return
         kernel, host = world.kernel, world.by_name[action.server]
         now = kernel.now
-        give_up_at = min(action.give_up_at - T0 if action.give_up_at else call.until, call.until)
+        give_up_at = min(action.deadline - T0 if action.deadline else call.until, call.until)
         attempt = Attempt(self, self.life, call, len(call.attempts), host, now, give_up_at)
         call.attempts.append(attempt)
         world.counts["attempts"] += 1
--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -313,7 +313,7 @@
 
     request: int
     server: Server
-    give_up_at: int
+    deadline: int
     send_by: int = 0
 
 
@@ -345,7 +345,7 @@
 class SetTimer:
     """Ask for a TimerFired after a span."""
 
-    span: int
+    delay: int
     token: int
 
 
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -290,7 +290,7 @@
         """One action of one gateway."""
         match action:
             case api.Send():
-                raw = _SEND.pack(65, gateway, action.request, action.server, action.give_up_at)
+                raw = _SEND.pack(65, gateway, action.request, action.server, action.deadline)
             case api.Refuse():
                 raw = _REFUSE.pack(66, gateway, action.request, action.retry_after)
             case api.Fail():
@@ -298,7 +298,7 @@
             case api.Cancel():
                 raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
             case api.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.span, action.token)
+                raw = _SET_TIMER.pack(69, gateway, action.delay, action.token)
             case api.Probe():
                 raw = _SERVER_ONLY.pack(70, gateway, action.server)
             case api.SendPeerMessage():
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -317,7 +317,7 @@
         if call is None:
             return
         now = self.clock()
-        give_up_at = min(action.give_up_at or call.deadline, call.deadline)
+        give_up_at = min(action.deadline or call.deadline, call.deadline)
         attempt = Attempt(call, len(call.attempts), action.server, now, give_up_at, action.send_by)
         call.attempts.append(attempt)
         if action.send_by:
@@ -352,7 +352,7 @@
             self._finish(call, FAILED_REPLY)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self._after(action.span, self.feed, api.TimerFired(action.token))
+        self._after(action.delay, self.feed, api.TimerFired(action.token))
 
     def _tell(self, action: api.SendPeerMessage) -> None:
         self.stats["peer_out"] += 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -93,7 +93,7 @@
     def _note(self, actions) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.span, action.token))
+                self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         """One event now; the actions that it led to."""
