--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -449,11 +449,11 @@
 
 def _class(kind: Kind) -> api.RequestClass:
     return api.RequestClass(
-        aim=kind.aim.base,
+        target_latency=kind.aim.base,
         deadline=kind.deadline.base,
         worth=kind.worth,
         late_worth=kind.late_worth,
         effect=EFFECTS[kind.effect],
         group=api.Group(kind.group),
-        window=kind.repeat_window.base,
+        dedup_window=kind.repeat_window.base,
     )
--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -80,13 +80,13 @@
 class RequestClass:
     """One class of requests."""
 
-    aim: int
+    target_latency: int
     deadline: int
     worth: float
     late_worth: float
     effect: Effect
     group: Group
-    window: int
+    dedup_window: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
 
     rate: float
     burst: float
-    open: int
+    max_open: int
     price: float
     beyond_earns: float
     beyond_costs: float
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -66,7 +66,7 @@
         super().__init__()
         self.s, self.random, self.now, self.filled = settings, random.Random(seed), now, now
         self.rank, self.alone = settings.rank, not settings.may_tell_peers
-        self.usual = [START_OF_AIM * c.aim for c in settings.classes]
+        self.usual = [START_OF_AIM * c.target_latency for c in settings.classes]
         self.budget, self.next_try, self.crowd = REPEAT_MOST, 0.0, CROWD
         self.view: api.MembersChanged | None = None  # None: no membership, silence is all that tells
         self.away: frozenset[int] = frozenset()
@@ -113,7 +113,7 @@
         if slow and host.entry.server not in self.returned:
             if host.out or self.now < self.next_try:
                 return self._end(request, Cause.SLOW)
-            self.next_try = self.now + START_OF_AIM * request.cls.aim  # who sends nothing learns nothing
+            self.next_try = self.now + START_OF_AIM * request.cls.target_latency  # who sends nothing learns nothing
         if first and self._is_wide(request.account) and self._ask_keeper(request, KEEPERS, last_call):
             return None
         return self._send(request, host)
@@ -149,9 +149,9 @@
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
         plan, request.account = self.s.plans[account.plan], account
         self._lift(account)
-        if plan.open:  # what others approved lately is taken to be out for as long as usual
+        if plan.max_open:  # what others approved lately is taken to be out for as long as usual
             others = sum(self.now - at < self.usual[event.kind] for at in account.others)
-            if account.out + others >= plan.open:
+            if account.out + others >= plan.max_open:
                 return Cause.QUOTA
         room = account.room
         if account.fresh and self.rank in account.counts:  # unheard: a share, at least one request
@@ -163,7 +163,7 @@
     def _patience(self, request: Request) -> float:
         """The longest expected answer time at which a request is let in: it must still be in time."""
         usual = self.usual[request.event.kind]
-        return usual + SHED * max(0.0, min(request.cls.aim, request.event.time_left) - usual)
+        return usual + SHED * max(0.0, min(request.cls.target_latency, request.event.time_left) - usual)
 
     def _choose(self, request: Request) -> Host | None:
         """The server that should answer soonest among those that the rules allow for this request."""
@@ -271,7 +271,7 @@
         cls = request.cls
         ran, number = any(a.ran for a in request.attempts), request.event.request
         repeats = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-        wait = request.back_in(self.s.plans, REOPEN, min(SOON * cls.aim, self.s.max_retry_after))
+        wait = request.back_in(self.s.plans, REOPEN, min(SOON * cls.target_latency, self.s.max_retry_after))
         self.actions.append(api.Refuse(number, wait, cause) if repeats or not ran else api.Fail(number))
         self._drop(request)
 
@@ -350,7 +350,7 @@
                 known.slow += LEARN * (min(SLOW_MOST, event.took / self.usual[kind]) - known.slow)
                 known.typical += LEARN * (attempt.load - known.typical)
             # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
-            most = START_OF_AIM * self.s.classes[kind].aim
+            most = START_OF_AIM * self.s.classes[kind].target_latency
             self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.took - self.usual[kind]))
         for known in (host, zone):  # in a cut each server of the zone would else be tried in turn
             if event.outcome is Outcome.SERVED:
@@ -614,7 +614,7 @@
                     account.promised[rank] = promised - known, at
                 told += (grown - known) * (rank == sender and keep and new)
                 if grown:
-                    account.others = (*account.others, self.now)[-max(1, plan.open) :]
+                    account.others = (*account.others, self.now)[-max(1, plan.max_open) :]
         if told:  # what is spread reaches all without
             self.changed[account.customer] = None
         # The total tells of counts that did not fit or were lost, so that a gateway that missed them knows.
--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -146,7 +146,7 @@
         """When hosts may have forgotten the first attempt that may have run; 0: none may, or it may always
         be repeated."""
         ran = next((attempt for attempt in self.attempts if attempt.ran), None)
-        return ran.sent + self.cls.window if ran and self.cls.effect is api.Effect.KEYED else 0
+        return ran.sent + self.cls.dedup_window if ran and self.cls.effect is api.Effect.KEYED else 0
 
     @property
     def out(self) -> list[Attempt]:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -91,7 +91,7 @@
             assert not ran, "an unsafe request may run twice"
         elif request.cls.effect is Effect.KEYED and ran:
             first = ran[0]
-            ends = first.at + request.cls.window
+            ends = first.at + request.cls.dedup_window
             assert self.bench.now < ends and 0 < action.send_by < ends, "after the window"
             other = self.entries[first.server]
             same = {
@@ -110,7 +110,7 @@
     draw = random.Random(seed)
     classes = tuple(
         api.RequestClass(
-            c.aim, c.deadline, c.worth, c.late_worth, c.effect, c.group, SHORT if c.window else 0
+            c.target_latency, c.deadline, c.worth, c.late_worth, c.effect, c.group, SHORT if c.dedup_window else 0
         )
         for c in CLASSES
     )
