--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -196,7 +196,7 @@
     attempt: int
     server: Server
     outcome: Outcome
-    took: int
+    duration: int
     answered: bool
     use: int
     true_units: float
@@ -224,7 +224,7 @@
     request: int
     attempt: int
     server: Server
-    took: int
+    duration: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -253,7 +253,7 @@
 
     server: Server
     outcome: Outcome
-    took: int
+    duration: int
     report: tuple[float, ...]
 
 
@@ -274,8 +274,8 @@
 
     topic: ClassVar[str] = "members_changed"
 
-    away: frozenset[int]
-    apart: bool
+    unavailable: frozenset[int]
+    isolated: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -287,7 +287,7 @@
     name: int
     outcome: Outcome
     value: float
-    took: int
+    duration: int
 
 
 Event = (
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -69,7 +69,7 @@
         self.usual = [START_OF_AIM * c.target_latency for c in settings.classes]
         self.budget, self.next_try, self.crowd = REPEAT_MOST, 0.0, CROWD
         self.view: api.MembersChanged | None = None  # None: no membership, silence is all that tells
-        self.away: frozenset[int] = frozenset()
+        self.unavailable: frozenset[int] = frozenset()
         self.allowance = self.per_second = INTAKE_SHARE * settings.peer_intake
 
     def start(self) -> list[api.Action]:
@@ -113,7 +113,9 @@
         if slow and host.entry.server not in self.returned:
             if host.out or self.now < self.next_try:
                 return self._end(request, Cause.SLOW)
-            self.next_try = self.now + START_OF_AIM * request.cls.target_latency  # who sends nothing learns nothing
+            self.next_try = (
+                self.now + START_OF_AIM * request.cls.target_latency
+            )  # who sends nothing learns nothing
         if first and self._is_wide(request.account) and self._ask_keeper(request, KEEPERS, last_call):
             return None
         return self._send(request, host)
@@ -127,7 +129,9 @@
         keepers = range(min(most, account.size))
         again = request.asks > 0
         ranks = [self._keeper(account, n) for n in keepers]
-        there = (n for n in keepers if ranks[n] not in self.away and not self._is_silent(ranks[n], again))
+        there = (
+            n for n in keepers if ranks[n] not in self.unavailable and not self._is_silent(ranks[n], again)
+        )
         number = next(there, None)
         if number is None:
             return False
@@ -347,11 +351,11 @@
             self.crowd += LEARN * (attempt.crowd - self.crowd)
             # Guards against a jam of all servers, where a gateway meets each of them too seldom to learn.
             for known in (host, met):
-                known.slow += LEARN * (min(SLOW_MOST, event.took / self.usual[kind]) - known.slow)
+                known.slow += LEARN * (min(SLOW_MOST, event.duration / self.usual[kind]) - known.slow)
                 known.typical += LEARN * (attempt.load - known.typical)
             # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
             most = START_OF_AIM * self.s.classes[kind].target_latency
-            self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.took - self.usual[kind]))
+            self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.duration - self.usual[kind]))
         for known in (host, zone):  # in a cut each server of the zone would else be tried in turn
             if event.outcome is Outcome.SERVED:
                 known.fails /= 2
@@ -394,7 +398,7 @@
     def _is_cut_off(self) -> bool:
         """Whether nobody is heard any more: a few that are silent are down, and their clients come here."""
         if self.view:
-            return self.view.apart
+            return self.view.isolated
         return len(self.unanswered) >= CUT_OFF and self.now - self.any_heard > 2 * ANSWER_WITHIN
 
     def _own_part(self, account: Account) -> float:
@@ -442,7 +446,7 @@
         if number >= min(KEEPERS, account.size):
             account.fresh = False  # nobody answers: it is not kept to its first share for good
             return
-        if rank in self.away:
+        if rank in self.unavailable:
             self._tell_keeper(account, number + 1)
         elif rank != self.rank:
             self._lift(account)
@@ -494,7 +498,7 @@
         while done < reach:
             part = min(part, reach - done)
             ranks = [self._member(account, place + 1 + done + i) for i in range(part)]
-            first = next((i for i, rank in enumerate(ranks) if rank not in self.away), None)
+            first = next((i for i, rank in enumerate(ranks) if rank not in self.unavailable), None)
             if first is not None:
                 self._tell(ranks[first], [self._row(account, part - 1 - first)])
             done, part = done + part, step
@@ -508,7 +512,7 @@
         place = self._place(self.rank, account.first)
         for _ in range(AWAY_LOOKS):
             rank = self._member(account, place + 1 + self.random.randrange(account.size - 1))
-            if rank not in self.away:
+            if rank not in self.unavailable:
                 break
         else:
             return
@@ -547,7 +551,7 @@
         return messages.pack_row(row, self.now // MS, self.s.gateways)
 
     def _members_changed(self, event: api.MembersChanged) -> None:
-        self.view, self.away = event, event.away
+        self.view, self.unavailable = event, event.unavailable
 
     def _peer_message(self, event: api.PeerMessage) -> None:
         message = messages.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -186,7 +186,7 @@
             case "twin":
                 log.error("member_has_twin", **fields)
                 self.driver.readiness.has_twin = True
-                self.driver.feed(api.MembersChanged(self._says().away, True))
+                self.driver.feed(api.MembersChanged(self._says().unavailable, True))
                 self.drain()
                 self.stop()
                 self.loop.call_soon(self.peers.transport.close)  # all datagrams are the other's
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -256,7 +256,7 @@
             self.channel.send(began=_began(event))
         elif isinstance(event, api.AttemptEnded):
             server, outcome = event.server.decode("latin-1"), event.outcome.name
-            self.channel.send(ended=[event.request, event.attempt, server, outcome, event.took])
+            self.channel.send(ended=[event.request, event.attempt, server, outcome, event.duration])
         else:
             self.channel.send(peer=event.sender, body=event.body.decode("latin-1"))
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -53,7 +53,11 @@
 def bodies(actions) -> list:
     """The decoded messages among the actions, with their receivers."""
     now = T0 // 1_000 + 60_000
-    return [(a.peer, messages.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.SendPeerMessage)]
+    return [
+        (a.peer, messages.unpack(a.body, now, 10**6, 9))
+        for a in actions
+        if isinstance(a, api.SendPeerMessage)
+    ]
 
 
 def test_the_burst_is_let_in_until_it_is_nearly_spent_and_comes_back():
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -110,7 +110,13 @@
     draw = random.Random(seed)
     classes = tuple(
         api.RequestClass(
-            c.target_latency, c.deadline, c.worth, c.late_worth, c.effect, c.group, SHORT if c.dedup_window else 0
+            c.target_latency,
+            c.deadline,
+            c.worth,
+            c.late_worth,
+            c.effect,
+            c.group,
+            SHORT if c.dedup_window else 0,
         )
         for c in CLASSES
     )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -125,7 +125,7 @@
     assert got[2] == (5, api.ClientGone(0x0E6F2B19))
     ended = got[3][1]
     assert ended.server == HOST
-    assert (ended.request, ended.attempt, ended.took) == (0x5D3A91C4, 0, 18500)
+    assert (ended.request, ended.attempt, ended.duration) == (0x5D3A91C4, 0, 18500)
     assert (ended.outcome, ended.answered, ended.use) == (api.Outcome.SERVED, True, 0x56)
     assert ended.true_units == 3.0
     assert ended.report == pytest.approx((0.62, 14.5, 7.0))
