--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -14,33 +14,33 @@
 
 from . import interface as api
 from .rules import Gateway
-from .state import Account, Known
+from .state import Account, HealthStats
 
 WRONG = (KeyError, TypeError, ValueError, IndexError, OverflowError, AttributeError)
 
 
-def _marks(known: Known) -> list[float]:
-    return [known.seen, known.slow, known.typical, known.fails]
+def _marks(known: HealthStats) -> list[float]:
+    return [known.updated_at, known.slowdown, known.typical_load, known.failures]
 
 
 def head(gateway: Gateway) -> dict[str, Any]:
     """All but the accounts."""
     return {
         "shape": _shape(gateway),
-        "usual": gateway.usual,
-        "budget": [gateway.budget, gateway.next_try],
-        "intake": [gateway.allowance, gateway.filled],
-        "met": _marks(gateway.met),
-        "zones": [[zone, *_marks(known)] for zone, known in gateway.zones_met.items()],
+        "usual": gateway.usual_times,
+        "budget": [gateway.retry_budget, gateway.next_trial_at],
+        "intake": [gateway.send_allowance, gateway.allowance_refilled_at],
+        "met": _marks(gateway.warm_stats),
+        "zones": [[zone, *_marks(known)] for zone, known in gateway.zone_stats.items()],
         "hosts": [
-            [host.entry.server.decode("latin-1"), host.entry.launched, host.active, *_marks(host)]
+            [host.entry.server.decode("latin-1"), host.entry.launched, host.last_active, *_marks(host)]
             for host in gateway.hosts.values()
         ],
-        "names": [server.decode("latin-1") for server in gateway.names],
+        "names": [server.decode("latin-1") for server in gateway.server_names],
         "banned": [server.decode("latin-1") for server in gateway.banned],
-        "returned": [[server.decode("latin-1"), *times] for server, times in gateway.returned.items()],
-        "heard": list(gateway.heard.items()),
-        "changed": list(gateway.changed),
+        "returned": [[server.decode("latin-1"), *times] for server, times in gateway.reinstated.items()],
+        "heard": list(gateway.last_received.items()),
+        "changed": list(gateway.pending_gossip),
     }
 
 
@@ -49,14 +49,25 @@
     for customer in gateway.idle_queue:
         a = gateway.accounts[customer]
         counts = [[rank, start, value] for rank, (start, value) in a.counts.items()]
-        floats = [a.limit, a.spent, a.total, a.ceiling, a.asked]
-        yield [a.customer, *a.key, floats, a.risen, a.spread, counts, a.news, a.others, a.fresh, a.closed]
+        floats = [a.limit, a.counted, a.total, a.ceiling_tokens, a.requested_tokens]
+        yield [
+            a.customer,
+            *a.placement,
+            floats,
+            a.refilled_at,
+            a.broadcast_at,
+            counts,
+            a.recent_ranks,
+            a.peer_approvals,
+            a.unconfirmed,
+            a.throttled,
+        ]
 
 
 def out(gateway: Gateway) -> list[api.AttemptElsewhere]:
     """The attempts out, as the other process is told of them."""
     return [
-        api.AttemptElsewhere(request.event, number, attempt.host.entry.server, attempt.sent)
+        api.AttemptElsewhere(request.event, number, attempt.host.entry.server, attempt.sent_at)
         for (_, number), (attempt, request) in gateway.attempts.items()
     ]
 
@@ -66,38 +77,51 @@
     """A state that makes sense, for a gateway of these settings."""
 
     accounts: list[Account]
-    usual: list[float]
-    budget: float
-    next_try: float
-    allowance: float
-    filled: int
-    met: Known
-    zones: dict[int, Known]
-    hosts: list[tuple[api.Server, int, int, Known]]
-    names: list[api.Server]
+    usual_times: list[float]
+    retry_budget: float
+    next_trial_at: float
+    send_allowance: float
+    allowance_refilled_at: int
+    warm_stats: HealthStats
+    zones: dict[int, HealthStats]
+    hosts: list[tuple[api.Server, int, int, HealthStats]]
+    server_names: list[api.Server]
     banned: list[api.Server]
-    returned: dict[api.Server, tuple[int, int]]
-    heard: dict[int, int]
-    changed: list[int]
+    reinstated: dict[api.Server, tuple[int, int]]
+    last_received: dict[int, int]
+    pending_gossip: list[int]
 
     def load(self, gateway: Gateway) -> None:
         """Go on from there, with the servers that the gateway knows by now."""
-        gateway.usual, gateway.budget, gateway.next_try = self.usual, self.budget, self.next_try
-        gateway.allowance, gateway.filled = self.allowance, self.filled
-        gateway.heard, gateway.met = self.heard, self.met
-        gateway.names = dict.fromkeys((*self.names, *gateway.names))
+        gateway.usual_times, gateway.retry_budget, gateway.next_trial_at = (
+            self.usual_times,
+            self.retry_budget,
+            self.next_trial_at,
+        )
+        gateway.send_allowance, gateway.allowance_refilled_at = (
+            self.send_allowance,
+            self.allowance_refilled_at,
+        )
+        gateway.last_received, gateway.warm_stats = self.last_received, self.warm_stats
+        gateway.server_names = dict.fromkeys((*self.server_names, *gateway.server_names))
         for server in self.banned:
             gateway.ban(server)
-        gateway.returned = self.returned
-        gateway.zones_met |= self.zones
+        gateway.reinstated = self.reinstated
+        gateway.zone_stats |= self.zones
         gateway.accounts = {account.customer: account for account in self.accounts}
         gateway.idle_queue.extend(gateway.accounts)
-        gateway.changed = {customer: None for customer in self.changed if customer in gateway.accounts}
-        for server, launched, active, marks in self.hosts:
+        gateway.pending_gossip = {
+            customer: None for customer in self.pending_gossip if customer in gateway.accounts
+        }
+        for server, launched, last_active, marks in self.hosts:
             host = gateway.hosts.get(server)
             if host is not None and host.entry.launched == launched:
-                host.active, host.seen, host.slow = active, marks.seen, marks.slow
-                host.typical, host.fails = marks.typical, marks.fails
+                host.last_active, host.updated_at, host.slowdown = (
+                    last_active,
+                    marks.updated_at,
+                    marks.slowdown,
+                )
+                host.typical_load, host.failures = marks.typical_load, marks.failures
 
 
 def read(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> State:
@@ -106,22 +130,26 @@
         if state["shape"] != _shape(gateway):
             raise ValueError("of a gateway with other settings")
         accounts = [_account(gateway, row) for row in rows]
-        usual = [_number(value) for value in state["usual"]]
-        if len(usual) != len(gateway.usual) or len({a.customer for a in accounts}) != len(accounts):
+        usual_times = [_number(value) for value in state["usual"]]
+        if len(usual_times) != len(gateway.usual_times) or len({a.customer for a in accounts}) != len(
+            accounts
+        ):
             raise ValueError("a class is missing, or a customer stands twice")
-        budget, next_try, allowance, filled = map(_number, state["budget"] + state["intake"])
+        retry_budget, next_trial_at, send_allowance, allowance_refilled_at = map(
+            _number, state["budget"] + state["intake"]
+        )
         return State(
             accounts,
-            usual,
-            budget,
-            next_try,
-            allowance,
-            int(filled),
+            usual_times,
+            retry_budget,
+            next_trial_at,
+            send_allowance,
+            int(allowance_refilled_at),
             _known(state["met"]),
             {int(zone): _known(marks) for zone, *marks in state["zones"]},
             [
-                (server.encode("latin-1"), int(launched), int(active), _known(marks))
-                for server, launched, active, *marks in state["hosts"]
+                (server.encode("latin-1"), int(launched), int(last_active), _known(marks))
+                for server, launched, last_active, *marks in state["hosts"]
             ],
             [server.encode("latin-1") for server in state["names"]],
             [server.encode("latin-1") for server in state["banned"]],
@@ -137,7 +165,7 @@
 
 
 def _shape(gateway: Gateway) -> list[int]:
-    s = gateway.s
+    s = gateway.settings
     return [s.rank, s.gateways, len(s.plans), len(s.classes)]
 
 
@@ -147,37 +175,50 @@
     return float(value)
 
 
-def _known(marks: list[Any]) -> Known:
-    seen, *rest = map(_number, marks)
-    slow, typical, fails = rest
-    if slow < 0 or typical <= 0 or fails < 0:
+def _known(marks: list[Any]) -> HealthStats:
+    updated_at, *rest = map(_number, marks)
+    slowdown, typical_load, failures = rest
+    if slowdown < 0 or typical_load <= 0 or failures < 0:
         raise ValueError("marks out of range")
-    return Known(int(seen), slow, typical, fails)
+    return HealthStats(int(updated_at), slowdown, typical_load, failures)
 
 
 def _account(gateway: Gateway, row: list[Any]) -> Account:
-    customer, plan, first, size, floats, risen, spread, counts, news, others, fresh, closed = row
-    ranks = range(gateway.s.gateways)
-    if plan not in range(len(gateway.s.plans)) or first not in ranks or size - 1 not in ranks:
+    (
+        customer,
+        plan,
+        first,
+        size,
+        floats,
+        refilled_at,
+        broadcast_at,
+        counts,
+        recent_ranks,
+        peer_approvals,
+        unconfirmed,
+        throttled,
+    ) = row
+    ranks = range(gateway.settings.gateways)
+    if plan not in range(len(gateway.settings.plans)) or first not in ranks or size - 1 not in ranks:
         raise ValueError("no such plan or set")
-    limit, spent, total, ceiling, asked = map(_number, floats)
+    limit, counted, total, ceiling_tokens, requested_tokens = map(_number, floats)
     by_rank = {rank: (int(start), _number(value)) for rank, start, value in counts}
-    if any(rank not in ranks for rank in by_rank) or any(rank not in by_rank for rank in news):
+    if any(rank not in ranks for rank in by_rank) or any(rank not in by_rank for rank in recent_ranks):
         raise ValueError("no such gateway")
     return Account(
         int(customer),
         (plan, first, size),
         limit,
-        int(risen),
+        int(refilled_at),
         by_rank,
-        spent,
+        counted,
         total,
-        tuple(news),
-        fresh is True,
+        tuple(recent_ranks),
+        unconfirmed is True,
         0,
-        tuple(int(at) for at in others),
-        int(spread),
-        ceiling,
-        asked,
-        closed=closed is True,
+        tuple(int(at) for at in peer_approvals),
+        int(broadcast_at),
+        ceiling_tokens,
+        requested_tokens,
+        throttled=throttled is True,
     )
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -13,7 +13,7 @@
 from . import interface as api
 from . import messages
 from .interface import Cause, Effect, Group, ListKind, Outcome
-from .state import Account, Attempt, Host, Known, Memory, Request
+from .state import Account, Attempt, GatewayState, HealthStats, Host, Request
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
@@ -52,29 +52,37 @@
 COLD_CARE = 0.9  # of the fair share of a cold server's least capacity that is used
 
 # Attempts
-LEAVE, HOLD = 30 * MS, 20 * MS  # a held request ends before its time is up / between looks for a server
+DEADLINE_MARGIN, SERVER_RETRY_INTERVAL = (
+    30 * MS,
+    20 * MS,
+)  # a held request ends before its time is up / between looks for a server
 REPEAT_BUDGET, REPEAT_MOST = 0.05, 5.0  # further attempts earned by each request, saved up: no retry storms
 SHED = 0.15  # of the aim beyond the usual time: slower, a request is refused
 SOON = 0.15  # of the aim: who is sent to come back later than that spends quota on an answer that is late
 TURN, ASKED = 0, 1 << 40  # tokens of timers: gossip, answers due; a request's has its id + 1
 
 
-class Gateway(Memory):
+class Gateway(GatewayState):
     """One gateway's decisions: feed events with the clock, carry out the actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
         super().__init__()
-        self.s, self.random, self.now, self.filled = settings, random.Random(seed), now, now
+        self.settings, self.random, self.now, self.allowance_refilled_at = (
+            settings,
+            random.Random(seed),
+            now,
+            now,
+        )
         self.rank, self.alone = settings.rank, not settings.may_tell_peers
-        self.usual = [START_OF_AIM * c.target_latency for c in settings.classes]
-        self.budget, self.next_try, self.crowd = REPEAT_MOST, 0.0, CROWD
-        self.view: api.MembersChanged | None = None  # None: no membership, silence is all that tells
+        self.usual_times = [START_OF_AIM * c.target_latency for c in settings.classes]
+        self.retry_budget, self.next_trial_at, self.crowd = REPEAT_MOST, 0.0, CROWD
+        self.membership: api.MembersChanged | None = None  # None: no membership, silence is all that tells
         self.unavailable: frozenset[int] = frozenset()
-        self.allowance = self.per_second = INTAKE_SHARE * settings.peer_intake
+        self.send_allowance = self.per_second = INTAKE_SHARE * settings.peer_intake
 
     def start(self) -> list[api.Action]:
         """The first actions, once the gateway is up."""
-        return [api.SetTimer(INTERVAL, TURN)] + [api.WatchList()] * self.s.asks_for_list
+        return [api.SetTimer(INTERVAL, TURN)] + [api.WatchList()] * self.settings.asks_for_list
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """What to do about one event: each goes to the method of its topic."""
@@ -86,17 +94,21 @@
     # -- a request arrives, is admitted, and is sent ------------------------------------------------------
 
     def _request_arrived(self, event: api.RequestArrived) -> None:
-        request = Request(event, self.s.classes[event.kind], self.now + event.time_left, self.random.random())
+        request = Request(
+            event, self.settings.classes[event.kind], self.now + event.time_left, self.random.random()
+        )
         self.requests[event.request] = request
-        self.budget = min(REPEAT_MOST, max(0.0, self.budget) + REPEAT_BUDGET)
+        self.retry_budget = min(REPEAT_MOST, max(0.0, self.retry_budget) + REPEAT_BUDGET)
         self._advance(request)
         self._drop_idle()
 
     def _advance(self, request: Request) -> None:
         """The next step of a request that is owed an answer."""
         half = 0 if any(a.ran for a in request.attempts) else request.event.time_left // 2
-        last_call = request.until - max(LEAVE, half)  # kept in vain past half of its time it would cost more
-        if self.now >= last_call or len(request.attempts) >= self.s.max_attempts:
+        last_call = request.until - max(
+            DEADLINE_MARGIN, half
+        )  # kept in vain past half of its time it would cost more
+        if self.now >= last_call or len(request.attempts) >= self.settings.max_attempts:
             return self._end(request)
         first = not request.attempts
         if first and (cause := self._refusal(request)):
@@ -104,16 +116,18 @@
             return None if held else self._end(request, cause)
         host = self._choose(request)
         if host is None:
-            span = min(HOLD, last_call - self.now)
+            span = min(SERVER_RETRY_INTERVAL, last_call - self.now)
             return self.actions.append(api.SetTimer(span, request.event.request + 1))
         # Who has the keeper's word goes: it is counted in there already.
         slow = (
-            first and not request.told and self._expected(host, request.event.kind) > self._patience(request)
+            first
+            and not request.told
+            and self._expected(host, request.event.kind) > self._latency_limit(request)
         )
-        if slow and host.entry.server not in self.returned:
-            if host.out or self.now < self.next_try:
+        if slow and host.entry.server not in self.reinstated:
+            if host.open_attempts or self.now < self.next_trial_at:
                 return self._end(request, Cause.SLOW)
-            self.next_try = (
+            self.next_trial_at = (
                 self.now + START_OF_AIM * request.cls.target_latency
             )  # who sends nothing learns nothing
         if first and self._is_wide(request.account) and self._ask_keeper(request, KEEPERS, last_call):
@@ -128,20 +142,20 @@
             return False
         keepers = range(min(most, account.size))
         again = request.asks > 0
-        ranks = [self._keeper(account, n) for n in keepers]
+        ranks = [self._owner(account, n) for n in keepers]
         there = (
             n for n in keepers if ranks[n] not in self.unavailable and not self._is_silent(ranks[n], again)
         )
         number = next(there, None)
         if number is None:
             return False
-        rank = self._keeper(account, number)
-        account.waiting[event.request] = event.units
-        ceiling = self.s.plans[account.plan].ceiling_rate
-        wanted = self._wanted(account) if ceiling else sum(account.waiting.values())
+        rank = self._owner(account, number)
+        account.waiting_units[event.request] = event.units
+        ceiling = self.settings.plans[account.plan].ceiling_rate
+        wanted = self._wanted(account) if ceiling else sum(account.waiting_units.values())
         row = self._row(account, 0, wanted, own=True)
         if rank == self.rank or not self._tell(rank, [row], account.customer, -1, keep=True):
-            del account.waiting[event.request]
+            del account.waiting_units[event.request]
             return False
         request.asked, request.asks = number, request.asks + 1
         self.actions.append(api.SetTimer(min(ASK_WITHIN, last_call - self.now), event.request + 1))
@@ -151,22 +165,22 @@
         """Quota, open cap and ceiling: the ordinary path of every first send."""
         event = request.event  # the entry is looked up anew: a held request may outlive an idle one
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
-        plan, request.account = self.s.plans[account.plan], account
-        self._lift(account)
+        plan, request.account = self.settings.plans[account.plan], account
+        self._refill(account)
         if plan.max_open:  # what others approved lately is taken to be out for as long as usual
-            others = sum(self.now - at < self.usual[event.kind] for at in account.others)
-            if account.out + others >= plan.max_open:
+            others = sum(self.now - at < self.usual_times[event.kind] for at in account.peer_approvals)
+            if account.open_attempts + others >= plan.max_open:
                 return Cause.QUOTA
-        room = account.room
-        if account.fresh and self.rank in account.counts:  # unheard: a share, at least one request
+        room = account.remaining
+        if account.unconfirmed and self.rank in account.counts:  # unheard: a share, at least one request
             room = min(room, plan.burst / account.size - account.counts[self.rank][1])
-        if plan.rate and (account.closed or room < event.units):
+        if plan.rate and (account.throttled or room < event.units):
             return Cause.QUOTA
-        return Cause.CEILING if plan.ceiling_rate and account.ceiling < event.units else None
+        return Cause.CEILING if plan.ceiling_rate and account.ceiling_tokens < event.units else None
 
-    def _patience(self, request: Request) -> float:
+    def _latency_limit(self, request: Request) -> float:
         """The longest expected answer time at which a request is let in: it must still be in time."""
-        usual = self.usual[request.event.kind]
+        usual = self.usual_times[request.event.kind]
         return usual + SHED * max(0.0, min(request.cls.target_latency, request.event.time_left) - usual)
 
     def _choose(self, request: Request) -> Host | None:
@@ -181,9 +195,9 @@
 
     def _cost(self, request: Request, host: Host) -> float:
         cost = self._expected(host, request.event.kind) * (1 + SPREAD * self.random.random())
-        if host.out >= host.kept or self.now - host.active >= KEPT_FOR:
+        if host.open_attempts >= host.open_connections or self.now - host.last_active >= KEPT_FOR:
             cost *= 1 + HANDSHAKE
-        cost *= 1 + FAIL_WEIGHT * self.zones_met[host.entry.zone].marks(self.now, FORGET)[1]
+        cost *= 1 + FAIL_WEIGHT * self.zone_stats[host.entry.zone].decayed(self.now, FORGET)[1]
         return cost * (1 + FAIL_WEIGHT * any(a.host is host for a in request.attempts))
 
     def _may_send(self, request: Request, host: Host) -> bool:
@@ -194,26 +208,26 @@
         cls = request.cls
         if not ran or cls.effect is Effect.SAFE:
             return True
-        if cls.effect is Effect.UNSAFE or self.now >= request.window_ends - LEAVE:
+        if cls.effect is Effect.UNSAFE or self.now >= request.window_ends - DEADLINE_MARGIN:
             return False
         return host.shares(cls.group) == ran[0].host.shares(cls.group)
 
     def _is_warm(self, host: Host) -> bool:
-        return not host.entry.launched or self.now - host.entry.launched >= self.s.warm_within
+        return not host.entry.launched or self.now - host.entry.launched >= self.settings.warm_within
 
     def _one_back(self, request: Request) -> Host | None:
         """A server put back by operators: where few requests come, others would always look better."""
-        for server, (until, after) in list(self.returned.items()):
+        for server, (until, after) in list(self.reinstated.items()):
             if self.now >= until:
-                del self.returned[server]
+                del self.reinstated[server]
             elif self.now >= after and (host := self.hosts.get(server)) and self._may_send(request, host):
-                self.returned[server] = until, self.now + max(BACK_EVERY, self._back_apart())
+                self.reinstated[server] = until, self.now + max(BACK_EVERY, self._back_apart())
                 return host
         return None
 
     def _back_apart(self) -> int:
         """Rule 4: how long a gateway leaves a server that was put back to all the others."""
-        return (self.s.gateways - 1) * self.s.overload_for // BACK_TRIES
+        return (self.settings.gateways - 1) * self.settings.overload_for // BACK_TRIES
 
     def _cold_one(self, request: Request) -> Host | None:
         """Rule 4: each attempt draws one of all servers; a cold one serves as often as it can."""
@@ -224,20 +238,20 @@
         if number >= len(cold):
             return None
         host = cold[int(number)]
-        age = max(0, self.now - host.entry.launched) / self.s.warm_within
-        ramp = self.s.cold_from + (1 - self.s.cold_from) * age
+        age = max(0, self.now - host.entry.launched) / self.settings.warm_within
+        ramp = self.settings.cold_from + (1 - self.settings.cold_from) * age
         return host if chance < COLD_CARE * ramp and self._may_send(request, host) else None
 
     def _send(self, request: Request, host: Host) -> None:
         """Every send passes here."""
         if not request.attempts:
-            request.account.waiting.pop(request.event.request, None)  # a late word sends no second one
+            request.account.waiting_units.pop(request.event.request, None)  # a late word sends no second one
             self._spend(request)
-        if not host.out:
-            host.kept = host.kept if self.now - host.active < KEPT_FOR else 0
-            host.active = self.now
-        by = request.window_ends and request.window_ends - LEAVE  # it may wait for its connection
-        self.begin(request, Attempt(host, self.now, host.out + BASE, len(self.attempts)))
+        if not host.open_attempts:
+            host.open_connections = host.open_connections if self.now - host.last_active < KEPT_FOR else 0
+            host.last_active = self.now
+        by = request.window_ends and request.window_ends - DEADLINE_MARGIN  # it may wait for its connection
+        self.begin(request, Attempt(host, self.now, host.open_attempts + BASE, len(self.attempts)))
         request.lot = self.random.random()
         self.actions.append(api.Send(request.event.request, host.entry.server, request.until, by))
 
@@ -253,8 +267,8 @@
         if request and event.answered:
             self._drop(request)
         elif request:  # A budget for repeats: failures must not multiply the load. What never ran is free.
-            self.budget -= attempt.ran
-            repeat = self.budget >= 0 and request.cls.effect is not Effect.UNSAFE
+            self.retry_budget -= attempt.ran
+            repeat = self.retry_budget >= 0 and request.cls.effect is not Effect.UNSAFE
             (self._advance if repeat or not attempt.ran else self._end)(request)
 
     def _attempt_elsewhere(self, event: api.AttemptElsewhere) -> None:
@@ -262,20 +276,22 @@
         if host := self.hosts.get(event.server):
             of = event.arrived
             account = self._account(of.customer, of.plan, of.set_first, of.set_size, trusted=True)
-            attempt = Attempt(host, event.sent, host.out + BASE)
+            attempt = Attempt(host, event.sent, host.open_attempts + BASE)
             self.attempts[of.request, event.attempt] = (
                 attempt,
-                Request(of, self.s.classes[of.kind], 0, 0, account),
+                Request(of, self.settings.classes[of.kind], 0, 0, account),
             )
-            host.out += 1
-            account.out += 1
+            host.open_attempts += 1
+            account.open_attempts += 1
 
     def _end(self, request: Request, cause: Cause = Cause.SPENT) -> None:
         """Every final answer of ours passes here: refuse where a retry is harmless, else fail."""
         cls = request.cls
         ran, number = any(a.ran for a in request.attempts), request.event.request
         repeats = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-        wait = request.back_in(self.s.plans, REOPEN, min(SOON * cls.target_latency, self.s.max_retry_after))
+        wait = request.back_in(
+            self.settings.plans, REOPEN, min(SOON * cls.target_latency, self.settings.max_retry_after)
+        )
         self.actions.append(api.Refuse(number, wait, cause) if repeats or not ran else api.Fail(number))
         self._drop(request)
 
@@ -283,8 +299,8 @@
         """Nothing more is owed: forget the request and call off what is still out."""
         self.requests.pop(request.event.request, None)
         if request.account:
-            request.account.waiting.pop(request.event.request, None)
-        if self.s.may_cancel and request.out:
+            request.account.waiting_units.pop(request.event.request, None)
+        if self.settings.may_cancel and request.open_attempts:
             self.actions.append(api.Cancel(request.event.request, len(request.attempts) - 1))
 
     def _client_gone(self, event: api.ClientGone) -> None:
@@ -297,7 +313,7 @@
             self._turn()
         elif event.token == ASKED:
             self._answer_due()
-        elif request and not request.out:
+        elif request and not request.open_attempts:
             self._advance(request)
 
     # -- servers ------------------------------------------------------------------------------------------
@@ -317,108 +333,122 @@
         elif event.server in self.banned:
             self._use(self.lift_ban(event.server))
             after = self.now + int(self.random.random() * self._back_apart())
-            self.returned[event.server] = self.now + BACK_FOR, after
+            self.reinstated[event.server] = self.now + BACK_FOR, after
 
     def _expected(self, host: Host, kind: int) -> float:
         """The expected answer time: what requests met there, how the load changed, how long it is quiet."""
-        fleet, _ = self._met_by(host).marks(self.now, FORGET)
-        (slow, typical), fails = host.marks(self.now, FORGET, fleet)  # not met lately: like all the others
-        time = self.usual[kind] * slow * (1 + FAIL_WEIGHT * fails) * (host.out + BASE) / typical
+        fleet, _ = self._met_by(host).decayed(self.now, FORGET)
+        (slow, typical), fails = host.decayed(self.now, FORGET, fleet)  # not met lately: like all the others
+        time = (
+            self.usual_times[kind] * slow * (1 + FAIL_WEIGHT * fails) * (host.open_attempts + BASE) / typical
+        )
         if self._is_warm(host) and len(self.attempts) < len(self.warm.hosts):
             # Too few are out for a server's own to tell its load: a jam that grows shows in all of them, long
             # before the answers tell of it.
             time *= max(1.0, (len(self.attempts) + CROWD) / (self.crowd + CROWD))
-        if host.out:  # guards against a stalling or dead server: it answers nobody
-            time = max(time, self.now - host.active)
+        if host.open_attempts:  # guards against a stalling or dead server: it answers nobody
+            time = max(time, self.now - host.last_active)
         return time
 
-    def _met_by(self, host: Host) -> Known:
+    def _met_by(self, host: Host) -> HealthStats:
         """What all servers like this one met: one that has just started stood in no jam before."""
-        return self.met if self._is_warm(host) else self.met_cold
+        return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _learn(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
         """Each outcome tells of its server; a mark fades unless renewed, so that traffic returns gently."""
-        host, zone, met = attempt.host, self.zones_met[attempt.host.entry.zone], self._met_by(attempt.host)
+        host, zone, met = attempt.host, self.zone_stats[attempt.host.entry.zone], self._met_by(attempt.host)
         for known in (host, zone, met):
-            known.fade(self.now, FORGET)
+            known.decay(self.now, FORGET)
         if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
-            host.active = self.now
-            self.returned.pop(event.server, None)
-            host.kept = max(host.kept, host.out + 1)
-        elif host.out == 0:
-            host.kept = 0  # cut off, with all that it had
+            host.last_active = self.now
+            self.reinstated.pop(event.server, None)
+            host.open_connections = max(host.open_connections, host.open_attempts + 1)
+        elif host.open_attempts == 0:
+            host.open_connections = 0  # cut off, with all that it had
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self.crowd += LEARN * (attempt.crowd - self.crowd)
             # Guards against a jam of all servers, where a gateway meets each of them too seldom to learn.
             for known in (host, met):
-                known.slow += LEARN * (min(SLOW_MOST, event.duration / self.usual[kind]) - known.slow)
-                known.typical += LEARN * (attempt.load - known.typical)
+                known.slowdown += LEARN * (
+                    min(SLOW_MOST, event.duration / self.usual_times[kind]) - known.slowdown
+                )
+                known.typical_load += LEARN * (attempt.load - known.typical_load)
             # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
-            most = START_OF_AIM * self.s.classes[kind].target_latency
-            self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.duration - self.usual[kind]))
+            most = START_OF_AIM * self.settings.classes[kind].target_latency
+            self.usual_times[kind] = min(
+                most, self.usual_times[kind] + LEARN / 5 * (event.duration - self.usual_times[kind])
+            )
         for known in (host, zone):  # in a cut each server of the zone would else be tried in turn
             if event.outcome is Outcome.SERVED:
-                known.fails /= 2
+                known.failures /= 2
             elif event.outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
-                known.fails = min(known.fails + 1, 1 / LEARN)  # soon forgiven
+                known.failures = min(known.failures + 1, 1 / LEARN)  # soon forgiven
 
     # -- counts -------------------------------------------------------------------------------------------
 
     def _account(self, customer: int, plan: int, first: int, size: int, trusted: bool) -> Account:
-        account, key = self.accounts.get(customer), (plan, first, max(1, min(size, self.s.gateways)))
+        account, key = self.accounts.get(customer), (plan, first, max(1, min(size, self.settings.gateways)))
         if account is None:
-            account = Account(customer, key, self.s.plans[plan].burst, self.now)
+            account = Account(customer, key, self.settings.plans[plan].burst, self.now)
             self.accounts[customer] = account
             self.idle_queue.append(customer)
         elif trusted:  # a request goes before a peer
-            account.key = key
+            account.placement = key
         return account
 
-    def _lift(self, account: Account) -> None:
+    def _refill(self, account: Account) -> None:
         """Raise the limit by the time gone; room stays within the burst."""
-        plan, span, account.risen = self.s.plans[account.plan], self.now - account.risen, self.now
+        plan, span, account.refilled_at = (
+            self.settings.plans[account.plan],
+            self.now - account.refilled_at,
+            self.now,
+        )
         part = self._ceiling_part(account)
         gained = plan.ceiling_rate * part * span / SECOND
-        account.ceiling = min(plan.ceiling_burst * part, account.ceiling + gained)
+        account.ceiling_tokens = min(plan.ceiling_burst * part, account.ceiling_tokens + gained)
         share = 1 / account.size if self.alone else 1.0  # a silent peer gets no rule: most are down
         burst = plan.burst * share
-        account.part = (account.part or self._own_part(account)) if self._is_cut_off() else 0.0
-        share = account.part or share
+        account.isolated_share = (
+            (account.isolated_share or self._own_part(account)) if self._is_cut_off() else 0.0
+        )
+        share = account.isolated_share or share
         # Debt: what went beyond the quota took nothing from the true store, so the limit never lies below.
         limit = max(account.total, account.limit + plan.rate * share * span / SECOND)
         account.limit = min(limit, account.total + burst)
-        nearly = account.room < (REOPEN if account.closed else CLOSE) * burst
-        account.closed = nearly and not self._is_wide(account)  # its keeper is asked instead
+        nearly = account.remaining < (REOPEN if account.throttled else CLOSE) * burst
+        account.throttled = nearly and not self._is_wide(account)  # its keeper is asked instead
 
     def _ceiling_part(self, account: Account) -> float:
         """Rule 5: each gateway alone fills its part of the ceiling's store, from nothing at its start. Half
         is the first keeper's, who gives of it what others want: it takes that off before it tells them."""
-        return (1 + account.size * (self._keeper(account) == self.rank)) / (2 * account.size)
+        return (1 + account.size * (self._owner(account) == self.rank)) / (2 * account.size)
 
     def _is_cut_off(self) -> bool:
         """Whether nobody is heard any more: a few that are silent are down, and their clients come here."""
-        if self.view:
-            return self.view.isolated
-        return len(self.unanswered) >= CUT_OFF and self.now - self.any_heard > 2 * ANSWER_WITHIN
+        if self.membership:
+            return self.membership.isolated
+        return len(self.unresponsive) >= CUT_OFF and self.now - self.any_heard > 2 * ANSWER_WITHIN
 
     def _own_part(self, account: Account) -> float:
         """Of what the customer spent, the part spent here; where nothing is known, its share."""
-        burst, own = self.s.plans[account.plan].burst, account.counts.get(self.rank, (0, 0.0))[1]
+        burst, own = self.settings.plans[account.plan].burst, account.counts.get(self.rank, (0, 0.0))[1]
         return min(1.0, (own + burst / account.size) / (account.total + burst)) if burst else 1.0
 
     def _is_wide(self, account: Account) -> bool:
         """Whether news of it takes longer to go round its set than its burst takes to come back."""
-        plan = self.s.plans[account.plan]
+        plan = self.settings.plans[account.plan]
         return not self.alone and INTERVAL * (account.size - 1) * plan.rate > plan.burst * SECOND
 
     def _spend(self, request: Request) -> None:
         account, units = request.account, request.event.units
         start, value = account.counts.get(self.rank, (self.now // MS // messages.TICK, 0.0))
         account.total += self._count(account, self.rank, start, value + units)
-        account.ceiling -= units if self.s.plans[account.plan].ceiling_rate else 0.0
+        account.ceiling_tokens -= units if self.settings.plans[account.plan].ceiling_rate else 0.0
         if account.size > 1 and not self.alone:
-            self.changed[account.customer] = None
-            if not request.told or self.s.plans[account.plan].ceiling_rate:  # else it is counted in already
+            self.pending_gossip[account.customer] = None
+            if (
+                not request.told or self.settings.plans[account.plan].ceiling_rate
+            ):  # else it is counted in already
                 self._tell_keeper(account, request.asked)
 
     def _count(self, account: Account, rank: int, start: int, value: float) -> float:
@@ -427,43 +457,43 @@
         if (start, value) <= known:
             return 0.0
         account.counts[rank] = start, value
-        account.news = (*(r for r in account.news if r != rank), rank)[-NEWS_MOST:]
+        account.recent_ranks = (*(r for r in account.recent_ranks if r != rank), rank)[-NEWS_MOST:]
         growth = value - known[1] if start == known[0] else value
-        account.spent += growth
+        account.counted += growth
         return growth
 
     # -- gossip -------------------------------------------------------------------------------------------
 
-    def _keeper(self, account: Account, number: int = 0) -> int:
+    def _owner(self, account: Account, number: int = 0) -> int:
         return self._member(account, (account.customer * KEEPER_STRIDE >> 16) + number)
 
     def _member(self, account: Account, place: int) -> int:
-        return (account.first + place % account.size) % self.s.gateways
+        return (account.first + place % account.size) % self.settings.gateways
 
     def _tell_keeper(self, account: Account, number: int) -> None:
         """Every approval is told to one gateway of the set, which adds them up; the next one stands in."""
-        rank = self._keeper(account, number)
+        rank = self._owner(account, number)
         if number >= min(KEEPERS, account.size):
-            account.fresh = False  # nobody answers: it is not kept to its first share for good
+            account.unconfirmed = False  # nobody answers: it is not kept to its first share for good
             return
         if rank in self.unavailable:
             self._tell_keeper(account, number + 1)
         elif rank != self.rank:
-            self._lift(account)
+            self._refill(account)
             wanted = self._wanted(account)
-            asks = account.fresh or wanted or self.now - self.heard.get(rank, 0) > ANSWER_WITHIN
+            asks = account.unconfirmed or wanted or self.now - self.last_received.get(rank, 0) > ANSWER_WITHIN
             row = self._row(account, 0, wanted)
             self._tell(rank, [row], account.customer, number if asks else None, keep=True)
-        elif account.fresh:
+        elif account.unconfirmed:
             self._tell_keeper(account, number + 1)
         else:
             self._keep(account)
 
     def _wanted(self, account: Account) -> float:
         """What there is room for of a ceiling's rights; several questions may be out."""
-        burst = self.s.plans[account.plan].ceiling_burst
-        wanted = max(0.0, burst * self._ceiling_part(account) - account.ceiling)
-        account.asked = min(burst, account.asked + wanted)
+        burst = self.settings.plans[account.plan].ceiling_burst
+        wanted = max(0.0, burst * self._ceiling_part(account) - account.ceiling_tokens)
+        account.requested_tokens = min(burst, account.requested_tokens + wanted)
         return wanted
 
     def _is_silent(self, rank: int, again: bool) -> bool:
@@ -476,18 +506,18 @@
         at, rank, customer, number = self.asked.popleft()
         if self.now - at > 2 * ANSWER_WITHIN:  # we stood still ourselves: nothing is known of the other
             return
-        if self.heard.get(rank, -1) >= at:
+        if self.last_received.get(rank, -1) >= at:
             return
         self.missed[rank] = self.missed.get(rank, (0, 0))[0] + 1, self.now
-        self.unanswered.add(rank)
+        self.unresponsive.add(rank)
         if number >= 0 and (account := self.accounts.get(customer)):
             self._tell_keeper(account, number + 1)
 
     def _keep(self, account: Account) -> None:
         """A customer was fast, its room is low: its set is told at once, and again if some miss it."""
-        plan = self.s.plans[account.plan]
-        if account.closed and plan.rate * (self.now - account.spread) > CLOSE * plan.burst * SECOND:
-            account.spread = self.now
+        plan = self.settings.plans[account.plan]
+        if account.throttled and plan.rate * (self.now - account.broadcast_at) > CLOSE * plan.burst * SECOND:
+            account.broadcast_at = self.now
             self._hand_on(account, account.size - 1)
 
     def _hand_on(self, account: Account, reach: int) -> None:
@@ -506,9 +536,9 @@
     def _turn(self) -> None:
         """The pending changes that concern one random peer, those of the fastest customers first."""
         self.actions.append(api.SetTimer(INTERVAL, TURN))
-        if not self.changed:
+        if not self.pending_gossip:
             return
-        account = self.accounts[next(iter(self.changed))]
+        account = self.accounts[next(iter(self.pending_gossip))]
         place = self._place(self.rank, account.first)
         for _ in range(AWAY_LOOKS):
             rank = self._member(account, place + 1 + self.random.randrange(account.size - 1))
@@ -516,24 +546,27 @@
                 break
         else:
             return
-        looked = [self.accounts[customer] for customer in islice(self.changed, LOOK_AT)]
+        looked = [self.accounts[customer] for customer in islice(self.pending_gossip, LOOK_AT)]
         shared = [a for a in looked if self._place(rank, a.first) < a.size]
-        shared.sort(key=lambda a: a.room / (self.s.plans[a.plan].burst or 1.0))
+        shared.sort(key=lambda a: a.remaining / (self.settings.plans[a.plan].burst or 1.0))
         rows = messages.fit(self._row(a, 0) for a in shared)
         if self._tell(rank, rows, number=-1):
             for told in shared[: len(rows)]:
-                del self.changed[told.customer]
+                del self.pending_gossip[told.customer]
 
     def _place(self, rank: int, first: int) -> int:
-        return (rank - first) % self.s.gateways
+        return (rank - first) % self.settings.gateways
 
     def _tell(self, rank: int, rows: list[bytes], customer=0, number: int | None = None, keep=False) -> bool:
         """Every message passes here: all that one gateway sends stays below what one takes in."""
-        gained = self.per_second * (self.now - self.filled) / SECOND
-        self.allowance, self.filled = min(self.per_second, self.allowance + gained), self.now
-        if self.allowance < 1:
+        gained = self.per_second * (self.now - self.allowance_refilled_at) / SECOND
+        self.send_allowance, self.allowance_refilled_at = (
+            min(self.per_second, self.send_allowance + gained),
+            self.now,
+        )
+        if self.send_allowance < 1:
             return False
-        self.allowance -= 1
+        self.send_allowance -= 1
         if number is not None:
             self.asked.append((self.now, rank, customer, number))
             self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
@@ -542,24 +575,30 @@
         return True
 
     def _row(self, account: Account, reach: int, rights: float = 0.0, own: bool = False) -> bytes:
-        self._lift(account)
+        self._refill(account)
         news = (
-            (*account.news, self.rank)[-NEWS_MOST:] if own and self.rank in account.counts else account.news
+            (*account.recent_ranks, self.rank)[-NEWS_MOST:]
+            if own and self.rank in account.counts
+            else account.recent_ranks
         )
         counts = tuple((rank, *account.counts[rank]) for rank in dict.fromkeys(news))
-        row = messages.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
-        return messages.pack_row(row, self.now // MS, self.s.gateways)
+        row = messages.Row(
+            account.customer, *account.placement, reach, account.remaining, account.total, rights, counts
+        )
+        return messages.pack_row(row, self.now // MS, self.settings.gateways)
 
     def _members_changed(self, event: api.MembersChanged) -> None:
-        self.view, self.unavailable = event, event.unavailable
+        self.membership, self.unavailable = event, event.unavailable
 
     def _peer_message(self, event: api.PeerMessage) -> None:
-        message = messages.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
+        message = messages.unpack(
+            event.body, self.now // MS, self.settings.gateways, len(self.settings.plans)
+        )
         age = self.now - message.sent * MS if message else LATE_MOST
-        if self.alone or not 0 <= event.sender < self.s.gateways or abs(age) >= LATE_MOST:
+        if self.alone or not 0 <= event.sender < self.settings.gateways or abs(age) >= LATE_MOST:
             return
-        self.heard[event.sender] = self.any_heard = self.now
-        self.unanswered.clear()
+        self.last_received[event.sender] = self.any_heard = self.now
+        self.unresponsive.clear()
         self.missed.pop(event.sender, None)
         merged = []
         for row in message.rows:
@@ -577,10 +616,10 @@
 
     def _answered(self, account: Account, sender: int) -> None:
         """The keeper's word has come for the request that waits longest."""
-        for request in map(self.requests.get, account.waiting):
-            if request and self._keeper(account, request.asked) == sender:
+        for request in map(self.requests.get, account.waiting_units):
+            if request and self._owner(account, request.asked) == sender:
                 request.told = True
-                del account.waiting[request.event.request]
+                del account.waiting_units[request.event.request]
                 return self._advance(request)
 
     def _answer(self, account: Account, rank: int, wanted: float, keep: bool) -> bytes:
@@ -590,24 +629,31 @@
             held, at = account.promised.pop(rank, (0.0, 0))
             account.total -= held * (self.now - at < ASKS * ASK_WITHIN)
         row = self._row(account, 0, self._give(account, wanted))
-        if self._is_wide(account) and not self.s.plans[account.plan].ceiling_rate and wanted <= account.room:
+        if (
+            self._is_wide(account)
+            and not self.settings.plans[account.plan].ceiling_rate
+            and wanted <= account.remaining
+        ):
             account.promised[rank] = wanted, self.now
             account.total += wanted
         return row
 
     def _give(self, account: Account, wanted: float) -> float:
         """Rights of a ceiling, off our part before they are told, so that loss is safe."""
-        given = min(account.ceiling, wanted) if self._keeper(account) == self.rank else 0.0
-        account.ceiling -= given
+        given = min(account.ceiling_tokens, wanted) if self._owner(account) == self.rank else 0.0
+        account.ceiling_tokens -= given
         return given
 
     def _merge(self, row: messages.Row, sender: int, age: int, keep: bool) -> Account:
         """Newer start, then larger value; the larger limit."""
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
-        account.fresh, plan = False, self.s.plans[account.plan]
-        self._lift(account)
-        told, given = 0.0, 0.0 if keep else min(row.rights, account.asked)
-        account.ceiling, account.asked = account.ceiling + given, account.asked - given
+        account.unconfirmed, plan = False, self.settings.plans[account.plan]
+        self._refill(account)
+        told, given = 0.0, 0.0 if keep else min(row.rights, account.requested_tokens)
+        account.ceiling_tokens, account.requested_tokens = (
+            account.ceiling_tokens + given,
+            account.requested_tokens - given,
+        )
         for rank, start, value in row.counts:
             if rank != self.rank:  # our own count is ours; an earlier life's is within the total
                 new = rank in account.counts or self.now // MS // messages.TICK - start < NEW_TICKS
@@ -618,24 +664,27 @@
                     account.promised[rank] = promised - known, at
                 told += (grown - known) * (rank == sender and keep and new)
                 if grown:
-                    account.others = (*account.others, self.now)[-max(1, plan.max_open) :]
+                    account.peer_approvals = (*account.peer_approvals, self.now)[-max(1, plan.max_open) :]
         if told:  # what is spread reaches all without
-            self.changed[account.customer] = None
+            self.pending_gossip[account.customer] = None
         # The total tells of counts that did not fit or were lost, so that a gateway that missed them knows.
-        account.total = max(account.total + told, account.spent, row.total)
+        account.total = max(account.total + told, account.counted, row.total)
         account.limit = max(account.limit, row.total + row.room + plan.rate * age / SECOND)
-        self._lift(account)
+        self._refill(account)
         return account
 
     def _drop_idle(self) -> None:
         """Full and idle accounts say nothing: forgotten a few at a time, one-off customers cost no memory."""
         for _ in range(min(IDLE_LOOKS, len(self.idle_queue))):
             customer = self.idle_queue.popleft()
-            self._lift(account := self.accounts[customer])
-            plan = self.s.plans[account.plan]
-            full = account.ceiling >= plan.ceiling_burst / account.size and account.room >= plan.burst
-            if account.out or account.waiting or not full:
+            self._refill(account := self.accounts[customer])
+            plan = self.settings.plans[account.plan]
+            full = (
+                account.ceiling_tokens >= plan.ceiling_burst / account.size
+                and account.remaining >= plan.burst
+            )
+            if account.open_attempts or account.waiting_units or not full:
                 self.idle_queue.append(customer)
                 continue
             del self.accounts[customer]
-            self.changed.pop(customer, None)
+            self.pending_gossip.pop(customer, None)
--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -8,7 +8,7 @@
 
 from . import interface as api
 
-NAMES_MOST = 4096  # names of servers, those of machines long gone too
+NAMES_MAX = 4096  # names of servers, those of machines long gone too
 
 
 @dataclass(slots=True)
@@ -16,76 +16,83 @@
     """One customer: counts by rank as (start, value), the limit."""
 
     customer: int
-    key: tuple[int, int, int]  # plan, first gateway and size of its set, as told
+    placement: tuple[int, int, int]  # plan, first gateway and size of its set, as told
     limit: float
-    risen: int
+    refilled_at: int
     counts: dict[int, tuple[int, float]] = field(default_factory=dict)
-    spent: float = 0.0  # the sum of the counts, those of earlier lives too
+    counted: float = 0.0  # the sum of the counts, those of earlier lives too
     total: float = 0.0  # all units known to be spent: the counts, and what tellers knew besides
-    news: tuple[int, ...] = ()  # ranks whose counts changed last, the latest at the end
-    fresh: bool = True  # no other gateway has told of it yet
-    out: int = 0
-    others: tuple[int, ...] = ()  # when others' latest approvals became known
-    spread: int = 0  # when its set was last told
-    ceiling: float = 0.0  # units that its ceiling lets us send
-    asked: float = 0.0  # rights asked for and not yet given
-    waiting: dict[int, float] = field(default_factory=dict)  # units of requests that await a keeper's word
+    recent_ranks: tuple[int, ...] = ()  # ranks whose counts changed last, the latest at the end
+    unconfirmed: bool = True  # no other gateway has told of it yet
+    open_attempts: int = 0
+    peer_approvals: tuple[int, ...] = ()  # when others' latest approvals became known
+    broadcast_at: int = 0  # when its set was last told
+    ceiling_tokens: float = 0.0  # units that its ceiling lets us send
+    requested_tokens: float = 0.0  # rights asked for and not yet given
+    waiting_units: dict[int, float] = field(
+        default_factory=dict
+    )  # units of requests that await a keeper's word
     # By rank: units that are counted in and not yet told as spent, since when.
     promised: dict[int, tuple[float, int]] = field(default_factory=dict)
-    closed: bool = False  # it was fast and spent nearly all: refused until a good part is back
-    part: float = 0.0  # of the quota that is granted here alone, while this gateway is cut off; 0: it is not
+    throttled: bool = False  # it was fast and spent nearly all: refused until a good part is back
+    isolated_share: float = (
+        0.0  # of the quota that is granted here alone, while this gateway is cut off; 0: it is not
+    )
 
     @property
     def plan(self) -> int:
         """Its plan's number."""
-        return self.key[0]
+        return self.placement[0]
 
     @property
     def first(self) -> int:
         """The first gateway of its set."""
-        return self.key[1]
+        return self.placement[1]
 
     @property
     def size(self) -> int:
         """How many gateways its set has."""
-        return self.key[2]
+        return self.placement[2]
 
     @property
-    def room(self) -> float:
+    def remaining(self) -> float:
         """The limit less all that was spent."""
         return self.limit - self.total
 
 
 @dataclass(slots=True)
-class Known:
+class HealthStats:
     """What requests met lately, at one server or at all."""
 
-    seen: int  # when it last taught us something
-    slow: float = 1.0
-    typical: float = 2.0  # load that its answer times were met under
-    fails: float = 0.0
+    updated_at: int  # when it last taught us something
+    slowdown: float = 1.0
+    typical_load: float = 2.0  # load that its answer times were met under
+    failures: float = 0.0
 
-    def marks(self, now: int, fade_over: int, prior=(1.0, 2.0)) -> tuple[tuple[float, float], float]:
+    def decayed(self, now: int, fade_over: int, prior=(1.0, 2.0)) -> tuple[tuple[float, float], float]:
         """How slow it is, under which load, and how often it failed, each faded by the time since it taught
         us something: slowness and load together, for one means nothing without the other."""
-        fade = math.exp((self.seen - now) / fade_over)
+        fade = math.exp((self.updated_at - now) / fade_over)
         slow, typical = prior
-        faded = slow + (self.slow - slow) * fade, typical + (self.typical - typical) * fade
-        return faded, self.fails * fade
+        faded = slow + (self.slowdown - slow) * fade, typical + (self.typical_load - typical) * fade
+        return faded, self.failures * fade
 
-    def fade(self, now: int, fade_over: int) -> None:
+    def decay(self, now: int, fade_over: int) -> None:
         """Bring the marks up to now."""
-        ((self.slow, self.typical), self.fails), self.seen = self.marks(now, fade_over), now
+        ((self.slowdown, self.typical_load), self.failures), self.updated_at = (
+            self.decayed(now, fade_over),
+            now,
+        )
 
 
 @dataclass(slots=True)
-class Host(Known):
+class Host(HealthStats):
     """A server: what discovery says and what requests met."""
 
     entry: api.ServerEntry = field(kw_only=True)
-    out: int = 0
-    active: int = 0  # last answer, or when the first of those out was sent
-    kept: int = 0  # connections that it answered on of late
+    open_attempts: int = 0
+    last_active: int = 0  # last answer, or when the first of those out was sent
+    open_connections: int = 0  # connections that it answered on of late
 
     def shares(self, group: api.Group) -> int:
         """What two servers have in common that drop each other's repeats."""
@@ -120,10 +127,10 @@
     """One send; ran means that it may have run."""
 
     host: Host
-    sent: int
+    sent_at: int
     load: float
     crowd: int = 0  # attempts that were out here
-    out: bool = True
+    is_open: bool = True
     ran: bool = True
 
 
@@ -146,40 +153,43 @@
         """When hosts may have forgotten the first attempt that may have run; 0: none may, or it may always
         be repeated."""
         ran = next((attempt for attempt in self.attempts if attempt.ran), None)
-        return ran.sent + self.cls.dedup_window if ran and self.cls.effect is api.Effect.KEYED else 0
+        return ran.sent_at + self.cls.dedup_window if ran and self.cls.effect is api.Effect.KEYED else 0
 
     @property
-    def out(self) -> list[Attempt]:
+    def open_attempts(self) -> list[Attempt]:
         """Those of its attempts that have no outcome yet."""
-        return [attempt for attempt in self.attempts if attempt.out]
+        return [attempt for attempt in self.attempts if attempt.is_open]
 
     def back_in(self, plans: tuple[api.Plan, ...], reopen: float, most: float) -> int:
         """How long until its customer's quota holds enough to let it in; 0: not known, or more than most."""
         if (account := self.account) is None or not (plan := plans[account.plan]).rate:
             return 0
-        enough = reopen * plan.burst if account.closed else self.event.units
-        span = int(max(0.0, enough - account.room) / plan.rate * 1_000_000)
+        enough = reopen * plan.burst if account.throttled else self.event.units
+        span = int(max(0.0, enough - account.remaining) / plan.rate * 1_000_000)
         return span if span <= most else 0
 
 
-class Memory:
+class GatewayState:
     """All that a gateway holds, empty at its start."""
 
     def __init__(self) -> None:
         self.accounts: dict[int, Account] = {}
         self.idle_queue: deque[int] = deque()  # customers, in the order of their next look
-        self.changed: dict[int, None] = {}  # customers whose counts changed since they were told
-        self.heard: dict[int, int] = {}  # rank -> when it was last heard
+        self.pending_gossip: dict[int, None] = {}  # customers whose counts changed since they were told
+        self.last_received: dict[int, int] = {}  # rank -> when it was last heard
         self.missed: dict[int, tuple[int, int]] = {}  # rank -> questions left without an answer, the last one
         self.any_heard = 0  # when any other gateway was heard last
-        self.unanswered: set[int] = set()  # ranks that left a question without an answer since then
+        self.unresponsive: set[int] = set()  # ranks that left a question without an answer since then
         self.asked: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
         self.hosts: dict[api.Server, Host] = {}
-        self.names: dict[api.Server, None] = {}  # ever listed; the one listed anew last stands last
+        self.server_names: dict[api.Server, None] = {}  # ever listed; the one listed anew last stands last
         self.banned: dict[api.Server, None] = {}  # taken out by operators
-        self.returned: dict[api.Server, tuple[int, int]] = {}  # put back: until when, from when to try it
-        self.met, self.met_cold = Known(0), Known(0)  # by all servers together that are warm / cold
-        self.zones_met: dict[int, Known] = {}  # by those of one zone
+        self.reinstated: dict[api.Server, tuple[int, int]] = {}  # put back: until when, from when to try it
+        self.warm_stats, self.cold_stats = (
+            HealthStats(0),
+            HealthStats(0),
+        )  # by all servers together that are warm / cold
+        self.zone_stats: dict[int, HealthStats] = {}  # by those of one zone
         self.warm, self.cold = Pool(), Pool()
         self.cells: dict[int, Pool] = {}
         self.zones: dict[int, Pool] = {}
@@ -190,17 +200,17 @@
 
     def begin(self, request: Request, attempt: Attempt) -> None:
         """Count one more attempt in."""
-        attempt.host.out += 1
-        request.account.out += 1
+        attempt.host.open_attempts += 1
+        request.account.open_attempts += 1
         self.attempts[request.event.request, len(request.attempts)] = attempt, request
         request.attempts.append(attempt)
 
     def ended(self, request: int, number: int) -> tuple[Attempt, int]:
         """Count an attempt out; it and its request's class."""
         attempt, of = self.attempts.pop((request, number))
-        attempt.out = False
-        attempt.host.out -= 1
-        of.account.out -= 1
+        attempt.is_open = False
+        attempt.host.open_attempts -= 1
+        of.account.open_attempts -= 1
         return attempt, of.event.kind
 
     def apply_list(self, event: api.ServerListed, now: int) -> list[Host]:
@@ -223,7 +233,7 @@
                 host = self.hosts[entry.server] = Host(now, entry=entry)
                 self._name(entry.server)
             host.entry = entry
-            self.zones_met.setdefault(entry.zone, Known(0))
+            self.zone_stats.setdefault(entry.zone, HealthStats(0))
             if self.in_use(host) and (anew or not was_ready):
                 fresh.append(self._put_in(host))
         return fresh
@@ -235,7 +245,7 @@
     def ban(self, server: api.Server) -> None:
         """Out, whatever discovery tells from now on."""
         self.banned[server] = None
-        self.returned.pop(server, None)
+        self.reinstated.pop(server, None)
         if host := self.hosts.get(server):
             self._take_out(host)
 
@@ -267,13 +277,13 @@
 
     def _name(self, server: api.Server) -> None:
         """Keep a name that is listed; of those that are gone, as many as there is room for."""
-        self.names.pop(server, None)
-        self.names[server] = None
-        while len(self.names) > NAMES_MOST:
-            oldest = next((name for name in self.names if name not in self.hosts), None)
+        self.server_names.pop(server, None)
+        self.server_names[server] = None
+        while len(self.server_names) > NAMES_MAX:
+            oldest = next((name for name in self.server_names if name not in self.hosts), None)
             if oldest is None:
                 break
-            del self.names[oldest]
+            del self.server_names[oldest]
             self.banned.pop(oldest, None)
 
     def _put_in(self, host: Host) -> Host:
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -219,7 +219,7 @@
 
     def ban(self, server: api.Server, out: bool) -> bool:
         """Operators take a host out, or put it back; False where discovery has never listed it."""
-        if server not in self.gateway.names:
+        if server not in self.gateway.server_names:
             return False
         unsent = self.hosts.take_out(server) if out else []
         self.feed(api.ServerBanned(server, out))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -334,7 +334,7 @@
         self.config = config.parse(json.dumps(text))
         self.driver = Driver(self.config.settings, self.config.seed, self.loop)
         # With one host or two the policy would refuse most of what these tests hold at once.
-        self.driver.gateway._patience = lambda request: float("inf")
+        self.driver.gateway._latency_limit = lambda request: float("inf")
         self.hosts = self.driver.hosts = Hosts(
             self.driver,
             self.config.settings.report_names,
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -15,7 +15,7 @@
 from orchidlane import interface as api
 from orchidlane import messages
 from orchidlane.messages import Row
-from orchidlane.rules import LEAVE
+from orchidlane.rules import DEADLINE_MARGIN
 
 MS = T0 // 1_000
 TICK = MS // messages.TICK
@@ -246,7 +246,7 @@
     for i in range(50, 60):
         bench.ask(i, customer=1_000 + i, size=1)
     assert 7 not in bench.gateway.accounts
-    assert 7 not in bench.gateway.changed
+    assert 7 not in bench.gateway.pending_gossip
     bench.run(SECOND)
 
 
@@ -256,7 +256,7 @@
     for i in range(1, 301):
         let_in(bench, 1, start=i, customer=1_000 + i, size=1)
         bench.run(100_000)
-    bench.gateway._patience, bench.gateway.next_try = (lambda request: 0.0), float("inf")
+    bench.gateway._latency_limit, bench.gateway.next_trial_at = (lambda request: 0.0), float("inf")
     for i in range(301, 601):
         assert let_in(bench, 1, start=i, customer=1_000 + i) == 0
         bench.run(100_000)
@@ -346,7 +346,7 @@
 
 def test_the_next_keeper_of_a_wide_set_stands_in():
     fleet = Fleet(40)
-    fleet.dead.add(fleet.benches[0].gateway._keeper(fleet_account(fleet, 30)))
+    fleet.dead.add(fleet.benches[0].gateway._owner(fleet_account(fleet, 30)))
     spread_asks(fleet, 150, 50_000, 30)  # the dead one's silence is noticed by each
     sent = len(fleet.sent())
     spread_asks(fleet, 60, 50_000, 30)
@@ -391,7 +391,7 @@
     assert len(sends) == 1
     assert of(say(bench, question.peer, told([], size=50)), api.Send) == []
     assert of(bench.run(300_000), api.Send) == []
-    assert bench.gateway.accounts[7].waiting == {}
+    assert bench.gateway.accounts[7].waiting_units == {}
 
 
 @pytest.mark.parametrize("plan", [0, 2])  # a wide set's quota, a ceiling's rights
@@ -402,7 +402,7 @@
     for request in range(1, 9):
         actions = bench.ask(request, customer=request, plan=plan, units=3.0, left=left * 1_000, size=50)
         waited += not of(actions, api.Send | api.Refuse)
-        answers = actions + bench.run(left * 1_000 - LEAVE)
+        answers = actions + bench.run(left * 1_000 - DEADLINE_MARGIN)
         assert [a.request for a in of(answers, api.Send | api.Refuse)] == [request]
     assert waited
 
@@ -437,7 +437,7 @@
     bench = Bench(gateways=60)
     bench.ask(1, size=50)
     bench.feed(api.ClientGone(1))
-    assert not bench.gateway.accounts[7].waiting
+    assert not bench.gateway.accounts[7].waiting_units
     assert not of(bench.run(SECOND), api.Send | api.Refuse)
 
 
@@ -502,7 +502,7 @@
     for counts, room in rows:
         say(bench, 1, told(counts, room=room))
     account = bench.gateway.accounts[7]
-    return account.counts, account.room
+    return account.counts, account.remaining
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -603,10 +603,10 @@
     for customer in range(6):
         bench.ask(customer + 1, customer=customer, size=12)
     bench.run(SECOND)
-    assert len(bench.gateway.unanswered) >= 4
+    assert len(bench.gateway.unresponsive) >= 4
     account = bench.gateway._account(7, 0, 0, 12, trusted=True)
-    bench.gateway._lift(account)
-    assert account.part == pytest.approx(1 / 12)
+    bench.gateway._refill(account)
+    assert account.isolated_share == pytest.approx(1 / 12)
     say(bench, 5, told([], customer=8, size=12))
-    bench.gateway._lift(account)
-    assert account.part == 0.0 and not bench.gateway.unanswered
+    bench.gateway._refill(account)
+    assert account.isolated_share == 0.0 and not bench.gateway.unresponsive
--- a/tests/test_hand.py
+++ b/tests/test_hand.py
@@ -81,7 +81,7 @@
     ban(bench, out=False)
     host = bench.gateway.hosts[ONE]
     bench.run(SECOND)
-    host.seen, host.slow, host.fails = bench.now, 8.0, 6.0  # it would never be drawn
+    host.updated_at, host.slowdown, host.failures = bench.now, 8.0, 6.0  # it would never be drawn
     (send,) = of(bench.ask(100, customer=100), api.Send)
     assert send.server == ONE
     bench.outcome(100, ONE, api.Outcome.NOT_CONNECTED)
@@ -89,7 +89,7 @@
     assert used(bench, 101, 5) == {TWO}  # not all requests are tried there meanwhile
     bench.run(SECOND)
     assert ONE in used(bench, 200, 1)
-    host.seen, host.slow = bench.now, 8.0
+    host.updated_at, host.slowdown = bench.now, 8.0
     assert used(bench, 300, 5) == {TWO}  # it has served: no more need
 
 
@@ -106,14 +106,14 @@
 
 
 def test_remembered_names_are_bounded_and_those_in_use_are_kept(monkeypatch):
-    monkeypatch.setattr(state, "NAMES_MOST", 8)
+    monkeypatch.setattr(state, "NAMES_MAX", 8)
     bench = Bench(servers=0)
     for number in range(40):
         bench.feed(listed(entry(250), entry(number)))
         if number == 2:
             ban(bench, entry(2).server)
-    assert len(bench.gateway.names) == 8
-    assert {entry(250).server, entry(39).server, entry(38).server} <= set(bench.gateway.names)
+    assert len(bench.gateway.server_names) == 8
+    assert {entry(250).server, entry(39).server, entry(38).server} <= set(bench.gateway.server_names)
     assert bench.gateway.banned == {}
 
 
@@ -128,8 +128,8 @@
             assert action.server == TWO
             ended = api.AttemptEnded(number, 0, TWO, api.Outcome.SERVED, 9_000, True, 0, 0.0, ())
             gateway.handle(bench.now, ended)
-    assert gateway.hosts[TWO].active == bench.now and gateway.hosts[ONE].out == 0
-    assert gateway.names == bench.gateway.names
+    assert gateway.hosts[TWO].last_active == bench.now and gateway.hosts[ONE].open_attempts == 0
+    assert gateway.server_names == bench.gateway.server_names
 
 
 @asyncio_test
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -62,4 +62,4 @@
 
 def test_without_a_view_silence_alone_tells():
     bench = Bench(gateways=SIZE)
-    assert bench.gateway.view is None and bench.gateway.unavailable == frozenset()
+    assert bench.gateway.membership is None and bench.gateway.unavailable == frozenset()
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -301,7 +301,7 @@
     peer.sendto(b"", own)
     peer.sendto(good, own)
     await until(lambda: 9 in rig.driver.gateway.accounts)
-    assert list(rig.driver.gateway.heard) == [1]
+    assert list(rig.driver.gateway.last_received) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
     assert len(reply) <= messages.SIZE_MOST
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -125,7 +125,7 @@
         text |= {"known": {"seq": 1, "whole": True, "hosts": self.lines}}
         made = config.parse(json.dumps(text))
         self.driver = Driver(made.settings, made.seed, self.loop)
-        self.started = self.driver.gateway.filled
+        self.started = self.driver.gateway.allowance_refilled_at
         self.driver.clock = lambda: self.started + round((self.loop.now - 100.0) * 1e6)
         self.hosts = self.driver.hosts = Hosts(self.driver, (), 24, 2.0, 0.25)
         self.driver.start(made.known)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -121,13 +121,13 @@
         for c in CLASSES
     )
     bench = Bench(servers=0, seed=seed, classes=classes)
-    bench.gateway._patience = lambda request: float("inf")
+    bench.gateway._latency_limit = lambda request: float("inf")
     checker = Checker(bench)
     checker.list(*(entry(n, cell=n % 3, zone=n % 2) for n in range(8)))
     for number in range(1, 150):
         kind = draw.randrange(len(classes))
         checker.requests[number] = Watched(classes[kind])
-        bench.gateway.budget = 5.0  # what the rules allow is at stake, not how much of it
+        bench.gateway.retry_budget = 5.0  # what the rules allow is at stake, not how much of it
         bench.ask(number, kind=kind, customer=draw.randrange(40))
         for _ in range(draw.randrange(5)):
             out = [
@@ -166,7 +166,7 @@
                 bench.outcome(number, sent.server, Outcome.TIMED_OUT, place, answered=watched.is_over)
     assert all(watched.is_over for watched in checker.requests.values())
     assert bench.gateway.requests == bench.gateway.attempts == {}
-    assert all(host.out == 0 for host in bench.gateway.hosts.values())
+    assert all(host.open_attempts == 0 for host in bench.gateway.hosts.values())
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -241,7 +241,7 @@
 
 def test_a_keeper_gives_rights_of_a_ceiling_only_once():
     """What it gives is off its own part first; together no more than the ceiling's store goes out."""
-    keeper = next(r for r in range(3) if Bench(rank=r).gateway._keeper(Account(1, (2, 0, 3), 8.0, T0)) == r)
+    keeper = next(r for r in range(3) if Bench(rank=r).gateway._owner(Account(1, (2, 0, 3), 8.0, T0)) == r)
     bench = Bench(rank=keeper)
     other = (keeper + 1) % 3
     hear(bench, other, ceiling_row(0.0), keep=True)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -137,9 +137,9 @@
 def test_an_idle_server_is_not_taken_to_be_as_slow_as_others_were_under_load():
     """What all servers met under load was held against idle ones, which then got nothing (ticket9601)."""
     bench = Bench(servers=1)
-    bench.gateway._patience = lambda request: float("inf")
+    bench.gateway._latency_limit = lambda request: float("inf")
     held = [(r, of(bench.ask(r, customer=r), api.Send)[0].server) for r in range(1, 41)]
-    del bench.gateway._patience
+    del bench.gateway._latency_limit
     bench.run(SECOND)
     for request, server in held:
         bench.outcome(request, server, Outcome.SERVED, took=SECOND)
@@ -243,11 +243,11 @@
     (send,) = of(bench.ask(1, size=1), api.Send)
     bench.outcome(1, send.server, Outcome.SERVED, took=50_000)
     host = bench.gateway.hosts[send.server]
-    assert host.kept == 1
+    assert host.open_connections == 1
     (send,) = of(bench.ask(2, size=1), api.Send)
     assert bench.gateway.hosts[send.server] is host
     bench.outcome(2, send.server, Outcome.BROKEN, answered=True)
-    assert host.kept == 0
+    assert host.open_connections == 0
 
 
 def test_a_jam_that_grows_shows_before_its_answers_come():
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 
 from orchidlane import handover
 from orchidlane import interface as api
-from orchidlane.rules import HOLD, Gateway
+from orchidlane.rules import SERVER_RETRY_INTERVAL, Gateway
 
 OK = b"*1\r\n$2\r\nok\r\n"
 FEW = {"packages": [SITE["packages"][0] | {"perSecond": 0.001, "peakUnits": 40.0}]}  # a quota hardly refilled
@@ -280,7 +280,7 @@
         for where in (former, service.control):
             await service.say(b"HEALTH", where)
         agents[1].transport.write(answered(serving | {"seq": 7}))
-        ends = loop.time() + 10 * HOLD / 1e6  # a held request looks for a host so often
+        ends = loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6  # a held request looks for a host so often
         while loop.time() < ends:
             assert await ask(service, b"other") == b"ok"
         assert {command[2] for host in hosts for command in host.commands} == {b"held", b"other"}
@@ -381,11 +381,14 @@
     gateway = copied(bench)
     assert len(gateway.accounts) == 5
     for customer, account in bench.gateway.accounts.items():
-        assert gateway.accounts[customer] == dataclasses.replace(account, out=0)
+        assert gateway.accounts[customer] == dataclasses.replace(account, open_attempts=0)
     for server, host in bench.gateway.hosts.items():
         # Connections stay with the process that opened them.
-        assert dataclasses.replace(host, out=0, kept=0) == gateway.hosts[server]
-    assert gateway.usual == bench.gateway.usual and gateway.changed == bench.gateway.changed
+        assert dataclasses.replace(host, open_attempts=0, open_connections=0) == gateway.hosts[server]
+    assert (
+        gateway.usual_times == bench.gateway.usual_times
+        and gateway.pending_gossip == bench.gateway.pending_gossip
+    )
     assert handover.head(gateway) == handover.head(bench.gateway)
 
 
@@ -398,13 +401,15 @@
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
         assert gateway.handle(bench.now, dataclasses.replace(event, arrived=arrived)) == []
     assert len(events) == 2
-    assert gateway.accounts[7].out == 2 == sum(host.out for host in gateway.hosts.values())
+    assert (
+        gateway.accounts[7].open_attempts == 2 == sum(host.open_attempts for host in gateway.hosts.values())
+    )
     refused = gateway.handle(bench.now, api.RequestArrived(9, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of(refused, api.Refuse)  # its plan lets two be out
     gateway.handle(
         bench.now, api.AttemptEnded(-1, 0, events[0].server, api.Outcome.SERVED, 9, True, 0, 0.0, ())
     )
-    assert gateway.accounts[7].out == 1
+    assert gateway.accounts[7].open_attempts == 1
     again = gateway.handle(bench.now, api.RequestArrived(10, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of(again, api.Send)
 
