--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -69,18 +69,18 @@
     typical_load: float = 2.0  # load that its answer times were met under
     failures: float = 0.0
 
-    def decayed(self, now: int, fade_over: int, prior=(1.0, 2.0)) -> tuple[tuple[float, float], float]:
+    def decayed(self, now: int, time_constant: int, prior=(1.0, 2.0)) -> tuple[tuple[float, float], float]:
         """How slow it is, under which load, and how often it failed, each faded by the time since it taught
         us something: slowness and load together, for one means nothing without the other."""
-        fade = math.exp((self.updated_at - now) / fade_over)
+        fade = math.exp((self.updated_at - now) / time_constant)
         slow, typical = prior
         faded = slow + (self.slowdown - slow) * fade, typical + (self.typical_load - typical) * fade
         return faded, self.failures * fade
 
-    def decay(self, now: int, fade_over: int) -> None:
+    def decay(self, now: int, time_constant: int) -> None:
         """Bring the marks up to now."""
         ((self.slowdown, self.typical_load), self.failures), self.updated_at = (
-            self.decayed(now, fade_over),
+            self.decayed(now, time_constant),
             now,
         )
 
@@ -94,7 +94,7 @@
     last_active: int = 0  # last answer, or when the first of those out was sent
     open_connections: int = 0  # connections that it answered on of late
 
-    def shares(self, group: api.Group) -> int:
+    def group_id(self, group: api.Group) -> int:
         """What two servers have in common that drop each other's repeats."""
         return {api.Group.ALL: 0, api.Group.ZONE: self.entry.zone, api.Group.CELL: self.entry.cell}[group]
 
@@ -104,22 +104,22 @@
 
     def __init__(self) -> None:
         self.hosts: list[Host] = []
-        self.places: dict[api.Server, int] = {}
+        self.positions: dict[api.Server, int] = {}
 
     def add(self, host: Host) -> None:
         """Put a server in, once."""
-        if host.entry.server not in self.places:
-            self.places[host.entry.server] = len(self.hosts)
+        if host.entry.server not in self.positions:
+            self.positions[host.entry.server] = len(self.hosts)
             self.hosts.append(host)
 
     def remove(self, server: api.Server) -> None:
         """Take a server out; the last one fills its place."""
-        place = self.places.pop(server, None)
-        if place is not None:
+        position = self.positions.pop(server, None)
+        if position is not None:
             last = self.hosts.pop()
-            if place < len(self.hosts):
-                self.hosts[place] = last
-                self.places[last.entry.server] = place
+            if position < len(self.hosts):
+                self.hosts[position] = last
+                self.positions[last.entry.server] = position
 
 
 @dataclass(slots=True)
@@ -129,9 +129,9 @@
     host: Host
     sent_at: int
     load: float
-    crowd: int = 0  # attempts that were out here
+    concurrency: int = 0  # attempts that were out here
     is_open: bool = True
-    ran: bool = True
+    may_have_run: bool = True
 
 
 @dataclass(slots=True)
@@ -139,28 +139,32 @@
     """A request that is owed an answer."""
 
     event: api.RequestArrived
-    cls: api.RequestClass
-    until: int
-    lot: float = 0.0  # drawn anew for each attempt: which cold server it may try
+    request_class: api.RequestClass
+    deadline: int
+    cold_draw: float = 0.0  # drawn anew for each attempt: which cold server it may try
     account: Account | None = None  # known once it is looked at
-    asked: int = 0  # the number of the keeper that was asked last
-    asks: int = 0  # times that one was asked
-    told: bool = False  # it has answered
+    owner_index: int = 0  # the number of the keeper that was asked last
+    owner_queries: int = 0  # times that one was asked
+    owner_replied: bool = False  # it has answered
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
-    def window_ends(self) -> int:
+    def dedup_window_end(self) -> int:
         """When hosts may have forgotten the first attempt that may have run; 0: none may, or it may always
         be repeated."""
-        ran = next((attempt for attempt in self.attempts if attempt.ran), None)
-        return ran.sent_at + self.cls.dedup_window if ran and self.cls.effect is api.Effect.KEYED else 0
+        ran = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+        return (
+            ran.sent_at + self.request_class.dedup_window
+            if ran and self.request_class.effect is api.Effect.KEYED
+            else 0
+        )
 
     @property
     def open_attempts(self) -> list[Attempt]:
         """Those of its attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if attempt.is_open]
 
-    def back_in(self, plans: tuple[api.Plan, ...], reopen: float, most: float) -> int:
+    def retry_after(self, plans: tuple[api.Plan, ...], reopen: float, most: float) -> int:
         """How long until its customer's quota holds enough to let it in; 0: not known, or more than most."""
         if (account := self.account) is None or not (plan := plans[account.plan]).rate:
             return 0
@@ -177,10 +181,12 @@
         self.idle_queue: deque[int] = deque()  # customers, in the order of their next look
         self.pending_gossip: dict[int, None] = {}  # customers whose counts changed since they were told
         self.last_received: dict[int, int] = {}  # rank -> when it was last heard
-        self.missed: dict[int, tuple[int, int]] = {}  # rank -> questions left without an answer, the last one
-        self.any_heard = 0  # when any other gateway was heard last
+        self.unanswered_queries: dict[
+            int, tuple[int, int]
+        ] = {}  # rank -> questions left without an answer, the last one
+        self.any_received_at = 0  # when any other gateway was heard last
         self.unresponsive: set[int] = set()  # ranks that left a question without an answer since then
-        self.asked: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
+        self.pending_answers: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
         self.hosts: dict[api.Server, Host] = {}
         self.server_names: dict[api.Server, None] = {}  # ever listed; the one listed anew last stands last
         self.banned: dict[api.Server, None] = {}  # taken out by operators
@@ -191,54 +197,54 @@
         )  # by all servers together that are warm / cold
         self.zone_stats: dict[int, HealthStats] = {}  # by those of one zone
         self.warm, self.cold = Pool(), Pool()
-        self.cells: dict[int, Pool] = {}
-        self.zones: dict[int, Pool] = {}
+        self.cell_pools: dict[int, Pool] = {}
+        self.zone_pools: dict[int, Pool] = {}
         self.warming: deque[Host] = deque()  # servers in the order of their listing, until they are warm
         self.requests: dict[int, Request] = {}
         self.attempts: dict[tuple[int, int], tuple[Attempt, Request]] = {}
         self.actions: list[api.Action] = []
 
-    def begin(self, request: Request, attempt: Attempt) -> None:
+    def begin_attempt(self, request: Request, attempt: Attempt) -> None:
         """Count one more attempt in."""
         attempt.host.open_attempts += 1
         request.account.open_attempts += 1
         self.attempts[request.event.request, len(request.attempts)] = attempt, request
         request.attempts.append(attempt)
 
-    def ended(self, request: int, number: int) -> tuple[Attempt, int]:
+    def finish_attempt(self, request_id: int, number: int) -> tuple[Attempt, int]:
         """Count an attempt out; it and its request's class."""
-        attempt, of = self.attempts.pop((request, number))
+        attempt, request = self.attempts.pop((request_id, number))
         attempt.is_open = False
         attempt.host.open_attempts -= 1
-        of.account.open_attempts -= 1
-        return attempt, of.event.kind
+        request.account.open_attempts -= 1
+        return attempt, request.event.kind
 
-    def apply_list(self, event: api.ServerListed, now: int) -> list[Host]:
+    def apply_server_list(self, event: api.ServerListed, now: int) -> list[Host]:
         """Bring the servers up to date with discovery; those that are ready and new or started anew."""
         if event.kind is not api.ListKind.CHANGES:
             told = {entry.server for entry in event.entries}
             for server in [s for s in self.hosts if s not in told]:
-                self._forget(server)
+                self._remove_server(server)
         fresh = []
         for entry in event.entries:
             if entry.phase is api.Phase.GONE:
-                self._forget(entry.server)
+                self._remove_server(entry.server)
                 continue
             host = self.hosts.get(entry.server)
             anew = host is None or entry.launched > host.entry.launched
             was_ready = host is not None and host.entry.phase is api.Phase.READY
             if host is not None and (anew or entry.phase is not api.Phase.READY):
-                self._take_out(host)
+                self._remove_from_pools(host)
             if host is None or anew:
                 host = self.hosts[entry.server] = Host(now, entry=entry)
-                self._name(entry.server)
+                self._remember_name(entry.server)
             host.entry = entry
             self.zone_stats.setdefault(entry.zone, HealthStats(0))
-            if self.in_use(host) and (anew or not was_ready):
-                fresh.append(self._put_in(host))
+            if self.is_usable(host) and (anew or not was_ready):
+                fresh.append(self._add_to_pools(host))
         return fresh
 
-    def in_use(self, host: Host) -> bool:
+    def is_usable(self, host: Host) -> bool:
         """Whether discovery lists it as ready, and operators did not take it out."""
         return host.entry.phase is api.Phase.READY and host.entry.server not in self.banned
 
@@ -247,35 +253,35 @@
         self.banned[server] = None
         self.reinstated.pop(server, None)
         if host := self.hosts.get(server):
-            self._take_out(host)
+            self._remove_from_pools(host)
 
     def lift_ban(self, server: api.Server) -> list[Host]:
         """What discovery says holds again; the server, if it is ready."""
         del self.banned[server]
         host = self.hosts.get(server)
-        return [self._put_in(host)] if host and self.in_use(host) else []
+        return [self._add_to_pools(host)] if host and self.is_usable(host) else []
 
-    def warm_first(self) -> None:
+    def promote_oldest(self) -> None:
         """The server that was listed first joins the warm ones, if it still runs."""
         host = self.warming.popleft()
-        if self.hosts.get(host.entry.server) is host and self.in_use(host):
+        if self.hosts.get(host.entry.server) is host and self.is_usable(host):
             self.cold.remove(host.entry.server)
             self.warm.add(host)
 
-    def near(self, host: Host, group: api.Group) -> list[Host]:
+    def group_hosts(self, host: Host, group: api.Group) -> list[Host]:
         """The servers that share the group with this one, those that are cold too."""
         if group is api.Group.ALL:
             return self.warm.hosts
-        pools = self.cells if group is api.Group.CELL else self.zones
-        return pools[host.shares(group)].hosts
+        pools = self.cell_pools if group is api.Group.CELL else self.zone_pools
+        return pools[host.group_id(group)].hosts
 
-    def _forget(self, server: api.Server) -> None:
+    def _remove_server(self, server: api.Server) -> None:
         """It is gone: a machine that replaces it has another name, so it would be kept for good."""
         if host := self.hosts.pop(server, None):
-            self._take_out(host)
+            self._remove_from_pools(host)
             host.entry = replace(host.entry, phase=api.Phase.GONE)  # for requests that were sent to it
 
-    def _name(self, server: api.Server) -> None:
+    def _remember_name(self, server: api.Server) -> None:
         """Keep a name that is listed; of those that are gone, as many as there is room for."""
         self.server_names.pop(server, None)
         self.server_names[server] = None
@@ -286,12 +292,17 @@
             del self.server_names[oldest]
             self.banned.pop(oldest, None)
 
-    def _put_in(self, host: Host) -> Host:
-        self.cells.setdefault(host.entry.cell, Pool()).add(host)
-        self.zones.setdefault(host.entry.zone, Pool()).add(host)
+    def _add_to_pools(self, host: Host) -> Host:
+        self.cell_pools.setdefault(host.entry.cell, Pool()).add(host)
+        self.zone_pools.setdefault(host.entry.zone, Pool()).add(host)
         return host
 
-    def _take_out(self, host: Host) -> None:
-        for pool in (self.warm, self.cold, self.cells.get(host.entry.cell), self.zones.get(host.entry.zone)):
+    def _remove_from_pools(self, host: Host) -> None:
+        for pool in (
+            self.warm,
+            self.cold,
+            self.cell_pools.get(host.entry.cell),
+            self.zone_pools.get(host.entry.zone),
+        ):
             if pool is not None:
                 pool.remove(host.entry.server)
