--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -33,7 +33,7 @@
         default_factory=dict
     )  # units of requests that await a keeper's word
     # By rank: units that are counted in and not yet told as spent, since when.
-    promised: dict[int, tuple[float, int]] = field(default_factory=dict)
+    reserved: dict[int, tuple[float, int]] = field(default_factory=dict)
     throttled: bool = False  # it was fast and spent nearly all: refused until a good part is back
     isolated_share: float = (
         0.0  # of the quota that is granted here alone, while this gateway is cut off; 0: it is not
@@ -148,16 +148,18 @@
     owner_replied: bool = False  # it has answered
     attempts: list[Attempt] = field(default_factory=list)
 
+    @property
+    def first_possibly_executed(self) -> Attempt | None:
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+
     @property
     def dedup_window_end(self) -> int:
         """When hosts may have forgotten the first attempt that may have run; 0: none may, or it may always
         be repeated."""
-        ran = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
-        return (
-            ran.sent_at + self.request_class.dedup_window
-            if ran and self.request_class.effect is api.Effect.KEYED
-            else 0
-        )
+        first = self.first_possibly_executed
+        if first is None or self.request_class.effect is not api.Effect.KEYED:
+            return 0
+        return first.sent_at + self.request_class.dedup_window
 
     @property
     def open_attempts(self) -> list[Attempt]:
@@ -173,6 +175,14 @@
         return span if span <= most else 0
 
 
+@dataclass(frozen=True, slots=True)
+class PendingAnswer:
+    sent_at: int
+    rank: int
+    customer: int
+    owner_index: int
+
+
 class GatewayState:
     """All that a gateway holds, empty at its start."""
 
@@ -186,7 +196,7 @@
         ] = {}  # rank -> questions left without an answer, the last one
         self.any_received_at = 0  # when any other gateway was heard last
         self.unresponsive: set[int] = set()  # ranks that left a question without an answer since then
-        self.pending_answers: deque[tuple[int, int, int, int]] = deque()  # when, rank, customer, which keeper
+        self.pending_answers: deque[PendingAnswer] = deque()  # when, rank, customer, which keeper
         self.hosts: dict[api.Server, Host] = {}
         self.server_names: dict[api.Server, None] = {}  # ever listed; the one listed anew last stands last
         self.banned: dict[api.Server, None] = {}  # taken out by operators
