--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -74,15 +74,14 @@
         us something: slowness and load together, for one means nothing without the other."""
         fade = math.exp((self.updated_at - now) / time_constant)
         slow, typical = prior
-        faded = slow + (self.slowdown - slow) * fade, typical + (self.typical_load - typical) * fade
-        return faded, self.failures * fade
+        faded_slow = slow + (self.slowdown - slow) * fade
+        faded_typical = typical + (self.typical_load - typical) * fade
+        return (faded_slow, faded_typical), self.failures * fade
 
     def decay(self, now: int, time_constant: int) -> None:
         """Bring the marks up to now."""
-        ((self.slowdown, self.typical_load), self.failures), self.updated_at = (
-            self.decayed(now, time_constant),
-            now,
-        )
+        (self.slowdown, self.typical_load), self.failures = self.decayed(now, time_constant)
+        self.updated_at = now
 
 
 @dataclass(slots=True)
@@ -190,26 +189,27 @@
         self.accounts: dict[int, Account] = {}
         self.idle_queue: deque[int] = deque()  # customers, in the order of their next look
         self.pending_gossip: dict[int, None] = {}  # customers whose counts changed since they were told
+
         self.last_received: dict[int, int] = {}  # rank -> when it was last heard
-        self.unanswered_queries: dict[
-            int, tuple[int, int]
-        ] = {}  # rank -> questions left without an answer, the last one
         self.any_received_at = 0  # when any other gateway was heard last
+        # rank -> questions left without an answer, the last one
+        self.unanswered_queries: dict[int, tuple[int, int]] = {}
         self.unresponsive: set[int] = set()  # ranks that left a question without an answer since then
         self.pending_answers: deque[PendingAnswer] = deque()  # when, rank, customer, which keeper
+
         self.hosts: dict[api.Server, Host] = {}
         self.server_names: dict[api.Server, None] = {}  # ever listed; the one listed anew last stands last
         self.banned: dict[api.Server, None] = {}  # taken out by operators
         self.reinstated: dict[api.Server, tuple[int, int]] = {}  # put back: until when, from when to try it
-        self.warm_stats, self.cold_stats = (
-            HealthStats(0),
-            HealthStats(0),
-        )  # by all servers together that are warm / cold
+        self.warm_stats = HealthStats(0)  # by all servers together that are warm / cold
+        self.cold_stats = HealthStats(0)
         self.zone_stats: dict[int, HealthStats] = {}  # by those of one zone
-        self.warm, self.cold = Pool(), Pool()
+        self.warm = Pool()
+        self.cold = Pool()
         self.cell_pools: dict[int, Pool] = {}
         self.zone_pools: dict[int, Pool] = {}
         self.warming: deque[Host] = deque()  # servers in the order of their listing, until they are warm
+
         self.requests: dict[int, Request] = {}
         self.attempts: dict[tuple[int, int], tuple[Attempt, Request]] = {}
         self.actions: list[api.Action] = []
@@ -308,11 +308,12 @@
         return host
 
     def _remove_from_pools(self, host: Host) -> None:
+        entry = host.entry
         for pool in (
             self.warm,
             self.cold,
-            self.cell_pools.get(host.entry.cell),
-            self.zone_pools.get(host.entry.zone),
+            self.cell_pools.get(entry.cell),
+            self.zone_pools.get(entry.zone),
         ):
             if pool is not None:
-                pool.remove(host.entry.server)
+                pool.remove(entry.server)
