--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -202,7 +202,7 @@
         return True
 
     def _responsive_owner(self, account: Account, candidates: int, is_repeat: bool) -> int | None:
-        for index in range(min(candidates, account.size)):
+        for index in range(min(candidates, account.set_size)):
             rank = self._owner(account, index)
             if rank not in self.unavailable and not self._is_unresponsive(rank, is_repeat):
                 return index
@@ -224,7 +224,7 @@
         if account.unconfirmed and self.rank in account.counts:
             # unheard: a share, at least one request
             _, own_units = account.counts[self.rank]
-            remaining = min(remaining, plan.burst / account.size - own_units)
+            remaining = min(remaining, plan.burst / account.set_size - own_units)
         if plan.rate and (account.throttled or remaining < event.units):
             return Cause.QUOTA
 
@@ -514,7 +514,7 @@
         self._refill_ceiling(account, plan, elapsed)
 
         # a silent peer gets no rule: most are down
-        share = 1 / account.size if self.gossip_disabled else 1.0
+        share = 1 / account.set_size if self.gossip_disabled else 1.0
         burst = plan.burst * share
         if self._is_isolated():
             account.isolated_share = account.isolated_share or self._local_share(account)
@@ -540,8 +540,8 @@
         """Rule 5: each gateway alone fills its part of the ceiling's store, from nothing at its start. Half
         is the first keeper's, who gives of it what others want: it takes that off before it tells them."""
         is_owner = self._owner(account) == self.rank
-        parts = 1 + account.size if is_owner else 1
-        return parts / (2 * account.size)
+        parts = 1 + account.set_size if is_owner else 1
+        return parts / (2 * account.set_size)
 
     def _is_isolated(self) -> bool:
         """Whether nobody is heard any more: a few that are silent are down, and their clients come here."""
@@ -557,14 +557,14 @@
         if not burst:
             return 1.0
         _, own_units = account.counts.get(self.rank, (0, 0.0))
-        return min(1.0, (own_units + burst / account.size) / (account.total + burst))
+        return min(1.0, (own_units + burst / account.set_size) / (account.total + burst))
 
     def _outruns_gossip(self, account: Account) -> bool:
         """Whether news of it takes longer to go round its set than its burst takes to come back."""
         if self.gossip_disabled:
             return False
         plan = self.settings.plans[account.plan]
-        return GOSSIP_INTERVAL * (account.size - 1) * plan.rate > plan.burst * SECOND
+        return GOSSIP_INTERVAL * (account.set_size - 1) * plan.rate > plan.burst * SECOND
 
     def _spend(self, request: Request) -> None:
         account = request.account
@@ -574,7 +574,7 @@
         account.total += self._merge_count(account, self.rank, start, value + units)
         if has_ceiling:
             account.ceiling_tokens -= units
-        if account.size == 1 or self.gossip_disabled:
+        if account.set_size == 1 or self.gossip_disabled:
             return
         self.pending_gossip[account.customer] = None
         # else it is counted in already
@@ -600,11 +600,11 @@
         return self._member_rank(account, start + index)
 
     def _member_rank(self, account: Account, position: int) -> int:
-        return (account.first + position % account.size) % self.settings.gateways
+        return (account.set_first + position % account.set_size) % self.settings.gateways
 
     def _notify_owner(self, account: Account, index: int) -> None:
         """Every approval is told to one gateway of the set, which adds them up; the next one stands in."""
-        if index >= min(OWNER_CANDIDATES, account.size):
+        if index >= min(OWNER_CANDIDATES, account.set_size):
             # nobody answers: it is not kept to its first share for good
             account.unconfirmed = False
             return
@@ -658,13 +658,13 @@
         gained = plan.rate * (self.now - account.broadcast_at)
         if gained > THROTTLE_BELOW * plan.burst * SECOND:
             account.broadcast_at = self.now
-            self._broadcast(account, account.size - 1)
+            self._broadcast(account, account.set_size - 1)
 
     def _broadcast(self, account: Account, reach: int) -> None:
         """Tell the next so many of the set: a few of them, each handing on to a part of the rest."""
         if not reach:
             return
-        own_position = self._position(self.rank, account.first)
+        own_position = self._position(self.rank, account.set_first)
         section_size = -(-reach // FAN_OUT)
         size = 1 + self.random.randrange(section_size)
         done = 0
@@ -688,7 +688,7 @@
         if rank is None:
             return
         scanned = [self.accounts[customer] for customer in islice(self.pending_gossip, GOSSIP_SCAN_MAX)]
-        shared = [a for a in scanned if self._position(rank, a.first) < a.size]
+        shared = [a for a in scanned if self._position(rank, a.set_first) < a.set_size]
         shared.sort(key=lambda a: a.remaining / (self.settings.plans[a.plan].burst or 1.0))
         rows = messages.fit(self._pack_row(a, 0) for a in shared)
         if self._send_message(rank, rows, owner_index=NO_OTHER_OWNER):
@@ -696,9 +696,9 @@
                 del self.pending_gossip[account.customer]
 
     def _draw_peer(self, account: Account) -> int | None:
-        own_position = self._position(self.rank, account.first)
+        own_position = self._position(self.rank, account.set_first)
         for _ in range(PEER_DRAWS_MAX):
-            distance = 1 + self.random.randrange(account.size - 1)
+            distance = 1 + self.random.randrange(account.set_size - 1)
             rank = self._member_rank(account, own_position + distance)
             if rank not in self.unavailable:
                 return rank
@@ -766,7 +766,7 @@
             if self._position(self.rank, row.set_first) < row.set_size:
                 account = self._merge_row(row, event.sender, max(0, age), message.keep)
                 merged.append((account, row.rights if message.keep else 0.0))
-                self._broadcast(account, min(row.reach, account.size - 1))
+                self._broadcast(account, min(row.reach, account.set_size - 1))
                 if message.keep:
                     self._broadcast_if_throttled(account)
                 else:
@@ -858,7 +858,7 @@
             account = self.accounts[customer]
             self._refill(account)
             plan = self.settings.plans[account.plan]
-            has_full_ceiling = account.ceiling_tokens >= plan.ceiling_burst / account.size
+            has_full_ceiling = account.ceiling_tokens >= plan.ceiling_burst / account.set_size
             is_full = has_full_ceiling and account.remaining >= plan.burst
             if account.open_attempts or account.waiting_units or not is_full:
                 self.idle_queue.append(customer)
