--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -1,8 +1,13 @@
 """All decisions of a gateway; its types, events and actions are in ``orchidlane/interface.py``.
 
-A request's life: arrived -> admitted by its customer's counts -> sent to the server that should answer
-soonest -> outcome -> perhaps another attempt -> exactly one final answer. Every send passes
-``_send_attempt``, every answer of ours ``_reject``. Quotas are grow-only counts by gateway, spread by gossip.
+A request arrives, is checked against its customer's quota, and is sent to the server that is expected to
+answer soonest. Depending on the outcome it is retried on another server, until it has exactly one final
+answer. Every send passes ``_send_attempt``; every final answer that the gateway itself gives passes
+``_reject``.
+
+Quotas are grow-only counters with one entry per gateway, spread by gossip within the customer's gateway set.
+One gateway of the set, the customer's owner, is notified of each approval, so that it knows what is spent.
+It also grants ceiling tokens to the others.
 """
 
 from __future__ import annotations
@@ -18,67 +23,80 @@
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
 # Gossip
-INTAKE_SHARE = 0.8  # of the intake that every gateway may send: the rest is for jitter
-GOSSIP_INTERVAL = 300 * MS  # between two gossip turns: what is pressing does not wait for them
-FAN_OUT = 12  # gateways told at once: the rest of a larger set is told by them, each has a part of it
-ROW_COUNTS_MAX = 3  # counts in a row; older ones are within its total
-# customers looked at for one message / for being idle, to bound the work
+
+INTAKE_SHARE = 0.8  # of the allowed message rate that is used; the rest absorbs jitter
+GOSSIP_INTERVAL = 300 * MS  # urgent changes are broadcast at once
+FAN_OUT = 12  # gateways notified directly by a broadcast; each forwards it to its section of the set
+ROW_COUNTS_MAX = 3  # counts per row; changes of others are covered by the row's total
+
+# Customers examined per message and per eviction pass, to bound the work of one event.
 GOSSIP_SCAN_MAX = 32
 IDLE_SCAN_MAX = 3
-MESSAGE_AGE_MAX = 5 * SECOND  # a message that took longer, or comes from so far ahead, is not believed
-# of the burst: with less room a customer is refused, until so much is back
+
+MESSAGE_AGE_MAX = 5 * SECOND  # messages older than this, or dated this far ahead, are dropped
+
+# Parts of the burst. Below the first a customer is throttled, until the second is available again.
 THROTTLE_BELOW = 0.25
 RESUME_ABOVE = 0.6
-ANSWER_TIMEOUT = 200 * MS  # a keeper not heard for so long is asked to answer as soon; else the next is told
+
+# An owner not heard from for this long is asked to answer; without an answer within the same time the next
+# candidate is notified.
+ANSWER_TIMEOUT = 200 * MS
 OWNER_HASH_MULTIPLIER = 2_654_435_761  # spreads customers over the gateways of their sets
-OWNER_CANDIDATES = 3  # gateways of a set that are tried
-OWNER_WAIT_TIMEOUT = 100 * MS  # a request of a wide set waits no longer for its keeper's word
-NEW_COUNT_TICKS = 1000 // messages.TICK  # a count heard of first that began earlier is within a total already
-OWNER_QUERIES_MAX = 2  # times that a request waits: the question or the answer may be lost
-# gateways asked since the last word of any, and none answered: it is us who are cut off
-ISOLATION_MIN_UNRESPONSIVE = 4
-PEER_DRAWS_MAX = 4  # members drawn until one is there: where most are away the turn may be lost
-# questions in a row without an answer make a keeper silent for a while: one may be lost
+OWNER_CANDIDATES = 3  # gateways of a set that are tried as owner
+OWNER_WAIT_TIMEOUT = 100 * MS  # longest wait of a request for the owner's answer
+NEW_COUNT_TICKS = 1000 // messages.TICK  # an unknown count that began earlier is in the total already
+OWNER_QUERIES_MAX = 2  # per request, as the query or the answer may be lost
+ISOLATION_MIN_UNRESPONSIVE = 4  # with this many and no message from any gateway, this one is isolated
+PEER_DRAWS_MAX = 4  # draws for an available peer; a round is skipped where most are unavailable
+
+# Unanswered queries in a row after which a gateway is unresponsive for a while; a single one may be lost.
 UNANSWERED_QUERIES_MAX = 2
-NO_OTHER_OWNER = -1
+NO_OTHER_OWNER = -1  # owner index of a query after which no other candidate is notified
 
 # Servers
-CONCURRENCY_SMOOTHING = 8.0  # attempts out here besides those known, so that a few more or less mean little
-BASE_LOAD = 2.0  # requests a server is taken to hold besides those known: keeps first guesses level
-INITIAL_TARGET_SHARE = 0.25  # of the aim that an idle server is first thought to need
-EWMA_WEIGHT = 0.15  # weight of the newest answer time
-DECAY_TIME = 3 * SECOND  # after this a slow server's mark has faded to a third: gentle return
-SLOWDOWN_MAX = 8.0  # times the idle answer time that one answer may count for
-FAILURE_WEIGHT = 3.0  # an attempt that failed makes a server look this much slower
+
+CONCURRENCY_SMOOTHING = 8.0  # open attempts added to both sides of a comparison, against small-number noise
+BASE_LOAD = 2.0  # requests added to a server's known load, so that first estimates are alike
+INITIAL_TARGET_SHARE = 0.25  # of the target latency: the response time assumed of an idle server
+EWMA_WEIGHT = 0.15  # weight of the newest sample in moving averages
+DECAY_TIME = 3 * SECOND  # time constant by which health stats decay, so that traffic returns gradually
+SLOWDOWN_MAX = 8.0  # cap on the slowdown that a single answer may show
+FAILURE_WEIGHT = 3.0  # increase of the expected response time per recent failure
 CANDIDATES_MAX = 12  # servers compared for one request
-# dearer is a server at which no connection of ours is free: as one more request there
-HANDSHAKE_PENALTY = 0.5
-CONNECTION_IDLE_TIMEOUT = 5 * SECOND  # a connection is taken to stay open so long after its last answer
-COST_JITTER = 0.1  # random part of a comparison, against herding of gateways
-# a server put back is tried until it served / so often
+HANDSHAKE_PENALTY = 0.5  # extra cost of a server without a free connection: one more request at idle load
+CONNECTION_IDLE_TIMEOUT = 5 * SECOND  # connections are assumed closed this long after the last answer
+COST_JITTER = 0.1  # random part of the cost, so that gateways do not pick the same server
+
+# A reinstated server gets trial requests for this time or until it answers, no more often than the interval.
 REINSTATED_TRIAL_TIME = 5 * SECOND
 REINSTATED_TRIAL_INTERVAL = SECOND
-REINSTATED_TRIALS_MAX = 4  # of all gateways in the time in which a cold server may fall: it comes back cold
-COLD_SHARE_FACTOR = 0.9  # of the fair share of a cold server's least capacity that is used
+REINSTATED_TRIALS_MAX = 4  # of all gateways per overload period, as the server may come back cold
+COLD_SHARE_FACTOR = 0.9  # of a cold server's fair share that is used, as a margin
 
 # Attempts
-# a held request ends before its time is up / between looks for a server
-DEADLINE_MARGIN = 30 * MS
-SERVER_RETRY_INTERVAL = 20 * MS
-# further attempts earned by each request, saved up: no retry storms
+
+DEADLINE_MARGIN = 30 * MS  # before the deadline, for the final answer to arrive in time
+SERVER_RETRY_INTERVAL = 20 * MS  # between searches for a server while none is usable
+
+# Retries allowed per request on average, and the largest saved budget, against retry storms.
 RETRY_BUDGET_RATIO = 0.05
 RETRY_BUDGET_MAX = 5.0
-SHED_SHARE = 0.15  # of the aim beyond the usual time: slower, a request is refused
-# of the aim: who is sent to come back later than that spends quota on an answer that is late
+SHED_SHARE = 0.15  # of the time between usual and target latency: longer expected times are shed
+
+# Of the target latency: longest retry-after given to a client. A client that waits longer would spend quota
+# on an answer that is late.
 RETRY_AFTER_SHARE = 0.15
+
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
-# tokens of timers: gossip, answers due; a request's has its id + 1
+
+# Timer tokens. The token of a request's timer is its number + 1.
 GOSSIP_TIMER = 0
 ANSWER_TIMER = 1 << 40
 
 
 class Gateway(GatewayState):
-    """One gateway's decisions: feed events with the clock, carry out the actions."""
+    """The decisions of one gateway: the caller feeds events with the time and carries out the actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
         super().__init__()
@@ -93,29 +111,29 @@
         self.next_trial_at = 0.0
         self.typical_concurrency = CONCURRENCY_SMOOTHING
 
-        self.membership: api.MembersChanged | None = None  # None: no membership, silence is all that tells
+        self.membership: api.MembersChanged | None = None  # None: not used, peers are judged by silence
         self.unavailable: frozenset[int] = frozenset()
         self.send_rate = INTAKE_SHARE * settings.peer_intake
         self.send_allowance = self.send_rate
         self.allowance_refilled_at = now
 
     def start(self) -> list[api.Action]:
-        """The first actions, once the gateway is up."""
+        """The actions to begin with."""
         actions: list[api.Action] = [api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER)]
         if self.settings.asks_for_list:
             actions.append(api.WatchList())
         return actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """What to do about one event: each goes to the method of its topic."""
+        """Handle one event, by the method named after its topic; returns the actions to carry out."""
         self.now = now
         self.actions = []
-        # streams, probes, counter: nothing to do
+        # Streams, probes and the shared counter need no decision and have no method.
         if method := getattr(self, f"_{event.topic}", None):
             method(event)
         return self.actions
 
-    # -- a request arrives, is admitted, and is sent ------------------------------------------------------
+    # -- admission and sending ----------------------------------------------------------------------------
 
     def _request_arrived(self, event: api.RequestArrived) -> None:
         request_class = self.settings.classes[event.kind]
@@ -126,7 +144,7 @@
         self._evict_idle()
 
     def _advance(self, request: Request) -> None:
-        """The next step of a request that is owed an answer."""
+        """Take the next step for a request that has no final answer yet: send, wait or reject."""
         latest_send = self._latest_send_time(request)
         if self.now >= latest_send or len(request.attempts) >= self.settings.max_attempts:
             self._reject(request)
@@ -134,7 +152,7 @@
 
         is_first = not request.attempts
         if is_first and (cause := self._refusal_cause(request)):
-            # it gives rights
+            # The owner may grant tokens for a ceiling that is used up here.
             if cause is not Cause.CEILING or not self._query_owner(request, 1, latest_send):
                 self._reject(request, cause)
             return
@@ -149,7 +167,7 @@
             if host.open_attempts or self.now < self.next_trial_at:
                 self._reject(request, Cause.SLOW)
                 return
-            # who sends nothing learns nothing
+            # A trial request: without any traffic the gateway would not learn that the overload is over.
             self.next_trial_at = self.now + INITIAL_TARGET_SHARE * request.request_class.target_latency
 
         asks_owner = is_first and self._outruns_gossip(request.account)
@@ -158,7 +176,11 @@
         self._send_attempt(request, host)
 
     def _latest_send_time(self, request: Request) -> int:
-        # kept in vain past half of its time it would cost more
+        """When a request that could not be sent is rejected.
+
+        One that no server can have run is rejected after half of its time, so that its client can still
+        retry elsewhere.
+        """
         if any(attempt.may_have_run for attempt in request.attempts):
             margin = DEADLINE_MARGIN
         else:
@@ -166,14 +188,19 @@
         return request.deadline - margin
 
     def _should_shed(self, request: Request, host: Host) -> bool:
-        # Who has the keeper's word goes: it is counted in there already.
+        """Whether the request is expected to be answered too late to be sent to this server.
+
+        A request that the owner approved is sent anyway, as its units are spent there already.
+        """
         if request.owner_replied or host.entry.server in self.reinstated:
             return False
         return self._expected_time(host, request.event.kind) > self._latency_limit(request)
 
     def _query_owner(self, request: Request, candidates: int, latest_send: int) -> bool:
-        """Where only a keeper knows what is spent, or has rights to give, a request waits for its word, but
-        shortly."""
+        """Query the customer's owner and let the request wait for the answer; false: it need not wait.
+
+        The owner is queried where only it knows what is spent, or has ceiling tokens to grant.
+        """
         event = request.event
         account = request.account
         if request.owner_replied or request.owner_queries >= OWNER_QUERIES_MAX:
@@ -190,7 +217,7 @@
             wanted = sum(account.waiting_units.values())
         row = self._pack_row(account, 0, wanted, include_own=True)
         if rank == self.rank or not self._send_message(
-            rank, [row], account.customer, NO_OTHER_OWNER, keep=True
+            rank, [row], account.customer, NO_OTHER_OWNER, to_owner=True
         ):
             del account.waiting_units[event.request]
             return False
@@ -202,6 +229,7 @@
         return True
 
     def _responsive_owner(self, account: Account, candidates: int, is_repeat: bool) -> int | None:
+        """Index of the first candidate owner that is available and answers queries."""
         for index in range(min(candidates, account.set_size)):
             rank = self._owner(account, index)
             if rank not in self.unavailable and not self._is_unresponsive(rank, is_repeat):
@@ -209,8 +237,8 @@
         return None
 
     def _refusal_cause(self, request: Request) -> Cause | None:
-        """Quota, open cap and ceiling: the ordinary path of every first send."""
-        # the entry is looked up anew: a held request may outlive an idle one
+        """Check limit of open requests, quota and ceiling before a request is first sent."""
+        # Looked up again each time, as an idle account may be evicted while a request waits.
         event = request.event
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
         request.account = account
@@ -222,7 +250,7 @@
 
         remaining = account.remaining
         if account.unconfirmed and self.rank in account.counts:
-            # unheard: a share, at least one request
+            # What peers spent is unknown: this gateway's share of the burst, but at least one request.
             _, own_units = account.counts[self.rank]
             remaining = min(remaining, plan.burst / account.set_size - own_units)
         if plan.rate and (account.throttled or remaining < event.units):
@@ -233,19 +261,19 @@
         return None
 
     def _open_requests(self, account: Account, kind: int) -> int:
-        # what others approved lately is taken to be out for as long as usual
+        """Open requests of the customer; those approved by peers are assumed to take the usual time."""
         usual_time = self.usual_times[kind]
         recent_approvals = sum(self.now - at < usual_time for at in account.peer_approvals)
         return account.open_attempts + recent_approvals
 
     def _latency_limit(self, request: Request) -> float:
-        """The longest expected answer time at which a request is let in: it must still be in time."""
+        """The longest expected response time at which a request is not shed: it must still be in time."""
         usual_time = self.usual_times[request.event.kind]
-        in_time = min(request.request_class.target_latency, request.event.time_left)
-        return usual_time + SHED_SHARE * max(0.0, in_time - usual_time)
+        latest = min(request.request_class.target_latency, request.event.time_left)
+        return usual_time + SHED_SHARE * max(0.0, latest - usual_time)
 
     def _choose_server(self, request: Request) -> Host | None:
-        """The server that should answer soonest among those that the rules allow for this request."""
+        """The server expected to answer soonest among those that may run this request."""
         if host := self._due_reinstated_server(request) or self._draw_cold_server(request):
             return host
         pool = self.warm.hosts
@@ -257,6 +285,7 @@
         return min(usable, key=lambda host: self._cost(request, host), default=None)
 
     def _cost(self, request: Request, host: Host) -> float:
+        """Expected response time, raised where a handshake or another failure is likely."""
         cost = self._expected_time(host, request.event.kind)
         cost *= 1 + COST_JITTER * self.random.random()
         is_idle = self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT
@@ -269,7 +298,11 @@
         return cost
 
     def _may_send(self, request: Request, host: Host) -> bool:
-        """Rules 2 and 3 for one send."""
+        """Whether the request may be sent to this server without the risk of being executed twice.
+
+        A keyed request that may have run may only be retried where its key is still known: at servers that
+        deduplicate together with the first one, within the dedup window.
+        """
         if not self.is_usable(host):
             return False
         request_class = request.request_class
@@ -285,7 +318,10 @@
         return not launched or self.now - launched >= self.settings.warm_within
 
     def _due_reinstated_server(self, request: Request) -> Host | None:
-        """A server put back by operators: where few requests come, others would always look better."""
+        """A reinstated server that is due for a trial request.
+
+        With little traffic it would otherwise not be chosen, as the others have better stats.
+        """
         for server, (ends_at, next_at) in list(self.reinstated.items()):
             if self.now >= ends_at:
                 del self.reinstated[server]
@@ -300,11 +336,15 @@
         return None
 
     def _reinstated_trial_spacing(self) -> int:
-        """Rule 4: how long a gateway leaves a server that was put back to all the others."""
+        """Interval between one gateway's trials that keeps those of all gateways below the limit."""
         return (self.settings.gateways - 1) * self.settings.overload_for // REINSTATED_TRIALS_MAX
 
     def _draw_cold_server(self, request: Request) -> Host | None:
-        """Rule 4: each attempt draws one of all servers; a cold one serves as often as it can."""
+        """Slow start: the cold server that this attempt's random draw selects, if any.
+
+        Each attempt draws one of all servers, and a cold one is used with a probability that grows with its
+        capacity. This also holds in sum over many gateways that each send to it only rarely.
+        """
         while self.warming and self._is_warm(self.warming[0]):
             self.promote_oldest()
         cold = self.cold.hosts
@@ -320,16 +360,16 @@
         return None
 
     def _send_attempt(self, request: Request, host: Host) -> None:
-        """Every send passes here."""
+        """Send the request to a server; every send passes here."""
         if not request.attempts:
-            # a late word sends no second one
+            # An answer of the owner that comes later must not send the request again.
             request.account.waiting_units.pop(request.event.request, None)
             self._spend(request)
         if not host.open_attempts:
             if self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT:
                 host.open_connections = 0
             host.last_active = self.now
-        # it may wait for its connection
+        # The attempt may have to wait for its connection, but not beyond the dedup window.
         window_end = request.dedup_window_end
         send_by = window_end - DEADLINE_MARGIN if window_end else 0
         attempt = Attempt(host, self.now, host.open_attempts + BASE_LOAD, len(self.attempts))
@@ -337,7 +377,7 @@
         request.cold_draw = self.random.random()
         self.actions.append(api.Send(request.event.request, host.entry.server, request.deadline, send_by))
 
-    # -- what becomes of it -------------------------------------------------------------------------------
+    # -- outcomes and final answers -----------------------------------------------------------------------
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
         if (event.request, event.attempt) not in self.attempts:
@@ -352,7 +392,7 @@
             self._forget_request(request)
             return
 
-        # A budget for repeats: failures must not multiply the load. What never ran is free.
+        # The retry budget keeps failures from multiplying the load. Attempts that never ran cost nothing.
         if attempt.may_have_run:
             self.retry_budget -= 1
             if self.retry_budget < 0 or request.request_class.effect is Effect.UNSAFE:
@@ -361,7 +401,10 @@
         self._advance(request)
 
     def _attempt_elsewhere(self, event: api.AttemptElsewhere) -> None:
-        """Load, open units and what it teaches count here; the process before this one owes the answer."""
+        """Register an attempt of the previous process during an upgrade.
+
+        Its load and its outcome count here, while the previous process answers the client.
+        """
         host = self.hosts.get(event.server)
         if host is None:
             return
@@ -376,7 +419,7 @@
         account.open_attempts += 1
 
     def _reject(self, request: Request, cause: Cause = Cause.SPENT) -> None:
-        """Every final answer of ours passes here: refuse where a retry is harmless, else fail."""
+        """Give a final answer: refuse where the client may safely retry, else fail."""
         request_class = request.request_class
         has_run = request.first_possibly_executed is not None
         is_repeatable = request_class.effect is Effect.SAFE or (
@@ -391,7 +434,7 @@
         self._forget_request(request)
 
     def _forget_request(self, request: Request) -> None:
-        """Nothing more is owed: forget the request and call off what is still out."""
+        """Drop a request that needs no more answer, and cancel its open attempt."""
         self.requests.pop(request.event.request, None)
         if request.account:
             request.account.waiting_units.pop(request.event.request, None)
@@ -424,7 +467,7 @@
             self.warming.append(host)
 
     def _server_banned(self, event: api.ServerBanned) -> None:
-        """A ban lies over discovery's list; one that is lifted leaves what discovery says by now."""
+        """Apply a ban on top of discovery's list, or lift it, so that the current list applies."""
         if event.out:
             self.ban(event.server)
         elif event.server in self.banned:
@@ -433,28 +476,28 @@
             self.reinstated[event.server] = self.now + REINSTATED_TRIAL_TIME, first_trial_at
 
     def _expected_time(self, host: Host, kind: int) -> float:
-        """The expected answer time: what requests met there, how the load changed, how long it is quiet."""
-        # not met lately: like all the others
+        """Expected response time, from recent response times, current load and time of silence."""
+        # A server without recent samples is assumed to be like the others.
         fleet, _ = self._fleet_stats(host).decayed(self.now, DECAY_TIME)
         (slowdown, typical_load), failures = host.decayed(self.now, DECAY_TIME, fleet)
         load = host.open_attempts + BASE_LOAD
         time = self.usual_times[kind] * slowdown * (1 + FAILURE_WEIGHT * failures) * load / typical_load
         if self._is_warm(host) and len(self.attempts) < len(self.warm.hosts):
-            # Too few are out for a server's own to tell its load: a jam that grows shows in all of them, long
-            # before the answers tell of it.
+            # With fewer open attempts than servers, the load of a single server says little. A growing
+            # overload shows in the number of all open attempts, long before slow answers arrive.
             concurrency = len(self.attempts) + CONCURRENCY_SMOOTHING
             time *= max(1.0, concurrency / (self.typical_concurrency + CONCURRENCY_SMOOTHING))
         if host.open_attempts:
-            # guards against a stalling or dead server: it answers nobody
+            # Guards against a stalled or dead server, which answers nothing.
             time = max(time, self.now - host.last_active)
         return time
 
     def _fleet_stats(self, host: Host) -> HealthStats:
-        """What all servers like this one met: one that has just started stood in no jam before."""
+        """Stats of all warm or all cold servers: one that just started was not part of an overload."""
         return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Each outcome tells of its server; a mark fades unless renewed, so that traffic returns gently."""
+        """Update the health stats by an outcome; they decay, so that traffic returns gradually."""
         host = attempt.host
         zone = self.zone_stats[host.entry.zone]
         fleet = self._fleet_stats(host)
@@ -463,38 +506,45 @@
         self._record_connection(host, event)
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self._record_response_time(attempt, kind, event.duration)
-        # in a cut each server of the zone would else be tried in turn
+        # Counted for the zone too: in a network partition each of its servers would else be tried in turn.
         for stats in (host, zone):
             if event.outcome is Outcome.SERVED:
                 stats.failures /= 2
             elif event.outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
-                stats.failures = min(stats.failures + 1, 1 / EWMA_WEIGHT)  # soon forgiven
+                stats.failures = min(stats.failures + 1, 1 / EWMA_WEIGHT)  # so that it recovers soon
 
     def _record_connection(self, host: Host, event: api.AttemptEnded) -> None:
+        """Update the estimate of open connections to a server."""
         if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
             host.last_active = self.now
             self.reinstated.pop(event.server, None)
             host.open_connections = max(host.open_connections, host.open_attempts + 1)
         elif host.open_attempts == 0:
-            # cut off, with all that it had
+            # Its connections are assumed to be lost.
             host.open_connections = 0
 
     def _record_response_time(self, attempt: Attempt, kind: int, duration: int) -> None:
+        """Update the moving averages of slowdown, load and usual response time."""
         usual_time = self.usual_times[kind]
         self.typical_concurrency += EWMA_WEIGHT * (attempt.concurrency - self.typical_concurrency)
-        # Guards against a jam of all servers, where a gateway meets each of them too seldom to learn.
+        # Also for the whole fleet: in an overload of all servers, a gateway that sends to each of them only
+        # rarely would not notice it.
         slowdown = min(SLOWDOWN_MAX, duration / usual_time)
         for stats in (attempt.host, self._fleet_stats(attempt.host)):
             stats.slowdown += EWMA_WEIGHT * (slowdown - stats.slowdown)
             stats.typical_load += EWMA_WEIGHT * (attempt.load - stats.typical_load)
-        # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
+        # Capped, so that during an overload an idle server is still tried and the end is noticed.
         longest = INITIAL_TARGET_SHARE * self.settings.classes[kind].target_latency
         learned = usual_time + EWMA_WEIGHT / 5 * (duration - usual_time)
         self.usual_times[kind] = min(longest, learned)
 
-    # -- counts -------------------------------------------------------------------------------------------
+    # -- quotas -------------------------------------------------------------------------------------------
 
     def _account(self, customer: int, plan: int, first: int, size: int, trusted: bool) -> Account:
+        """The customer's account, created if there is none.
+
+        The placement given by a request (trusted) replaces a stored one; that given by a peer does not.
+        """
         placement = plan, first, max(1, min(size, self.settings.gateways))
         account = self.accounts.get(customer)
         if account is None:
@@ -502,18 +552,17 @@
             self.accounts[customer] = account
             self.idle_queue.append(customer)
         elif trusted:
-            # a request goes before a peer
             account.placement = placement
         return account
 
     def _refill(self, account: Account) -> None:
-        """Raise the limit by the time gone; room stays within the burst."""
+        """Refill the quota and the ceiling for the elapsed time; update whether to throttle the customer."""
         plan = self.settings.plans[account.plan]
         elapsed = self.now - account.refilled_at
         account.refilled_at = self.now
         self._refill_ceiling(account, plan, elapsed)
 
-        # a silent peer gets no rule: most are down
+        # Peers that are silent do not reduce what is granted here, as most of them are down.
         share = 1 / account.set_size if self.gossip_disabled else 1.0
         burst = plan.burst * share
         if self._is_isolated():
@@ -522,29 +571,36 @@
             account.isolated_share = 0.0
         share = account.isolated_share or share
 
-        # Debt: what went beyond the quota took nothing from the true store, so the limit never lies below.
+        # Units spent beyond the quota are not paid back: the limit never lies below the total.
         limit = max(account.total, account.limit + plan.rate * share * elapsed / SECOND)
         account.limit = min(limit, account.total + burst)
 
         threshold = RESUME_ABOVE if account.throttled else THROTTLE_BELOW
         is_low = account.remaining < threshold * burst
-        # its keeper is asked instead
+        # Where gossip is too slow, the owner is queried instead.
         account.throttled = is_low and not self._outruns_gossip(account)
 
     def _refill_ceiling(self, account: Account, plan: api.Plan, elapsed: int) -> None:
+        """Add the ceiling tokens of the elapsed time, up to this gateway's part of the ceiling's burst."""
         share = self._ceiling_share(account)
         gained = plan.ceiling_rate * share * elapsed / SECOND
         account.ceiling_tokens = min(plan.ceiling_burst * share, account.ceiling_tokens + gained)
 
     def _ceiling_share(self, account: Account) -> float:
-        """Rule 5: each gateway alone fills its part of the ceiling's store, from nothing at its start. Half
-        is the first keeper's, who gives of it what others want: it takes that off before it tells them."""
+        """Part of the ceiling that this gateway may send without a grant.
+
+        Each gateway refills its part from empty at its start. Half of the ceiling belongs to the owner, which
+        grants tokens from it and deducts them before it answers.
+        """
         is_owner = self._owner(account) == self.rank
         parts = 1 + account.set_size if is_owner else 1
         return parts / (2 * account.set_size)
 
     def _is_isolated(self) -> bool:
-        """Whether nobody is heard any more: a few that are silent are down, and their clients come here."""
+        """Whether this gateway is cut off from its peers.
+
+        A few silent peers are assumed to be down, with their clients coming here.
+        """
         if self.membership:
             return self.membership.isolated
         if len(self.unresponsive) < ISOLATION_MIN_UNRESPONSIVE:
@@ -552,7 +608,7 @@
         return self.now - self.any_received_at > 2 * ANSWER_TIMEOUT
 
     def _local_share(self, account: Account) -> float:
-        """Of what the customer spent, the part spent here; where nothing is known, its share."""
+        """Part of the customer's spending that went through this gateway; 1 / set size if unknown."""
         burst = self.settings.plans[account.plan].burst
         if not burst:
             return 1.0
@@ -560,13 +616,14 @@
         return min(1.0, (own_units + burst / account.set_size) / (account.total + burst))
 
     def _outruns_gossip(self, account: Account) -> bool:
-        """Whether news of it takes longer to go round its set than its burst takes to come back."""
+        """Whether the burst refills faster than gossip reaches the whole gateway set."""
         if self.gossip_disabled:
             return False
         plan = self.settings.plans[account.plan]
         return GOSSIP_INTERVAL * (account.set_size - 1) * plan.rate > plan.burst * SECOND
 
     def _spend(self, request: Request) -> None:
+        """Count the units of a request and notify the owner."""
         account = request.account
         units = request.event.units
         has_ceiling = bool(self.settings.plans[account.plan].ceiling_rate)
@@ -577,12 +634,15 @@
         if account.set_size == 1 or self.gossip_disabled:
             return
         self.pending_gossip[account.customer] = None
-        # else it is counted in already
+        # An owner that approved the request has counted its units already.
         if not request.owner_replied or has_ceiling:
             self._notify_owner(account, request.owner_index)
 
     def _merge_count(self, account: Account, rank: int, start: int, value: float) -> float:
-        """Newer start, then larger value; what was spent in an earlier life stays spent. The growth."""
+        """Merge a gateway's count: a newer start wins, then a larger value. Returns the growth.
+
+        Units counted before that gateway restarted stay counted.
+        """
         known_start, known_value = account.counts.get(rank, (-1, 0.0))
         if (start, value) <= (known_start, known_value):
             return 0.0
@@ -596,16 +656,21 @@
     # -- gossip -------------------------------------------------------------------------------------------
 
     def _owner(self, account: Account, index: int = 0) -> int:
+        """Rank of the customer's owner, or of the candidate with this index that stands in for it."""
         start = account.customer * OWNER_HASH_MULTIPLIER >> 16
         return self._member_rank(account, start + index)
 
     def _member_rank(self, account: Account, position: int) -> int:
+        """Rank of the gateway at a position in the customer's gateway set."""
         return (account.set_first + position % account.set_size) % self.settings.gateways
 
     def _notify_owner(self, account: Account, index: int) -> None:
-        """Every approval is told to one gateway of the set, which adds them up; the next one stands in."""
+        """Notify the owner of an approval, so that it can add up those of all gateways.
+
+        The next candidate stands in for an owner that is unavailable or does not answer.
+        """
         if index >= min(OWNER_CANDIDATES, account.set_size):
-            # nobody answers: it is not kept to its first share for good
+            # No candidate answers: the customer must not stay limited to its initial share.
             account.unconfirmed = False
             return
         rank = self._owner(account, index)
@@ -619,27 +684,29 @@
             is_silent = self.now - self.last_received.get(rank, 0) > ANSWER_TIMEOUT
             expects_answer = account.unconfirmed or wanted or is_silent
             row = self._pack_row(account, 0, wanted)
-            self._send_message(rank, [row], account.customer, index if expects_answer else None, keep=True)
+            self._send_message(
+                rank, [row], account.customer, index if expects_answer else None, to_owner=True
+            )
 
     def _request_tokens(self, account: Account) -> float:
-        """What there is room for of a ceiling's rights; several questions may be out."""
+        """Ceiling tokens to request: what this gateway's part lacks; several requests may be pending."""
         burst = self.settings.plans[account.plan].ceiling_burst
         wanted = max(0.0, burst * self._ceiling_share(account) - account.ceiling_tokens)
         account.requested_tokens = min(burst, account.requested_tokens + wanted)
         return wanted
 
     def _is_unresponsive(self, rank: int, is_repeat: bool) -> bool:
-        """Whether it left questions unanswered; it is tried anew now and then, once a request."""
+        """Whether a gateway left its last queries unanswered; it is retried at times, once per request."""
         count, last_at = self.unanswered_queries.get(rank, (0, 0))
         if count < UNANSWERED_QUERIES_MAX:
             return False
         return is_repeat or self.now - last_at < DECAY_TIME
 
     def _check_answer(self) -> None:
-        """Guards against cuts and dead keepers: no answer in time is told to the next keeper."""
+        """Notify the next candidate if the owner did not answer in time, as it may be down or unreachable."""
         query = self.pending_answers.popleft()
         if self.now - query.sent_at > 2 * ANSWER_TIMEOUT:
-            # we stood still ourselves: nothing is known of the other
+            # This process was stalled itself, so the missing answer says nothing about the peer.
             return
         if self.last_received.get(query.rank, -1) >= query.sent_at:
             return
@@ -651,7 +718,7 @@
             self._notify_owner(account, query.owner_index + 1)
 
     def _broadcast_if_throttled(self, account: Account) -> None:
-        """A customer was fast, its room is low: its set is told at once, and again if some miss it."""
+        """Broadcast to the gateway set that a customer is throttled, repeated in case a message is lost."""
         if not account.throttled:
             return
         plan = self.settings.plans[account.plan]
@@ -661,7 +728,11 @@
             self._broadcast(account, account.set_size - 1)
 
     def _broadcast(self, account: Account, reach: int) -> None:
-        """Tell the next so many of the set: a few of them, each handing on to a part of the rest."""
+        """Notify the next ``reach`` gateways of the set.
+
+        They are divided into sections, and the first available gateway of each forwards the row to the rest
+        of its section. The first section has a random size, so that the forwarding gateways vary.
+        """
         if not reach:
             return
         own_position = self._position(self.rank, account.set_first)
@@ -680,7 +751,7 @@
             size = section_size
 
     def _gossip(self) -> None:
-        """The pending changes that concern one random peer, those of the fastest customers first."""
+        """Send pending changes to one random peer, those of the most exhausted customers first."""
         self.actions.append(api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER))
         if not self.pending_gossip:
             return
@@ -696,6 +767,7 @@
                 del self.pending_gossip[account.customer]
 
     def _draw_peer(self, account: Account) -> int | None:
+        """A random available peer of the customer's gateway set."""
         own_position = self._position(self.rank, account.set_first)
         for _ in range(PEER_DRAWS_MAX):
             distance = 1 + self.random.randrange(account.set_size - 1)
@@ -705,6 +777,7 @@
         return None
 
     def _position(self, rank: int, first: int) -> int:
+        """Position of a gateway in a set that begins with rank ``first``."""
         return (rank - first) % self.settings.gateways
 
     def _send_message(
@@ -713,9 +786,12 @@
         rows: list[bytes],
         customer: int = 0,
         owner_index: int | None = None,
-        keep: bool = False,
+        to_owner: bool = False,
     ) -> bool:
-        """Every message passes here: all that one gateway sends stays below what one takes in."""
+        """Send a message to a peer unless the rate limit is reached; every message passes here.
+
+        With an ``owner_index`` an answer is requested and checked for.
+        """
         gained = self.send_rate * (self.now - self.allowance_refilled_at) / SECOND
         self.send_allowance = min(self.send_rate, self.send_allowance + gained)
         self.allowance_refilled_at = self.now
@@ -726,13 +802,14 @@
         if expects_answer:
             self.pending_answers.append(PendingAnswer(self.now, rank, customer, owner_index))
             self.actions.append(api.SetTimer(ANSWER_TIMEOUT, ANSWER_TIMER))
-        body = messages.pack(self.now // MS, expects_answer, keep, rows)
+        body = messages.pack(self.now // MS, expects_answer, to_owner, rows)
         self.actions.append(api.SendPeerMessage(rank, body))
         return True
 
     def _pack_row(
         self, account: Account, reach: int, tokens: float = 0.0, include_own: bool = False
     ) -> bytes:
+        """The account as a row of a message, with the counts that changed last."""
         self._refill(account)
         ranks = account.recent_ranks
         if include_own and self.rank in account.counts:
@@ -778,7 +855,7 @@
             self._send_message(event.sender, messages.fit(rows))
 
     def _resume_waiting(self, account: Account, sender: int) -> None:
-        """The keeper's word has come for the request that waits longest."""
+        """Continue the request that has waited longest for this owner's answer."""
         for request in map(self.requests.get, account.waiting_units):
             if request and self._owner(account, request.owner_index) == sender:
                 request.owner_replied = True
@@ -786,10 +863,13 @@
                 self._advance(request)
                 return
 
-    def _answer_row(self, account: Account, rank: int, wanted: float, keep: bool) -> bytes:
-        """Who is told that there is room will use it: counted in at once, or others would be told of it too.
-        Where it asks once more it has not, so that is taken back."""
-        if keep:
+    def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
+        """The row that answers a query.
+
+        Units that the peer was told are available are reserved at once, or others would be told of them too.
+        A peer that queries again has not used them, so the earlier reservation is returned.
+        """
+        if to_owner:
             units, reserved_at = account.reserved.pop(rank, (0.0, 0))
             if self.now - reserved_at < OWNER_QUERIES_MAX * OWNER_WAIT_TIMEOUT:
                 account.total -= units
@@ -801,27 +881,27 @@
         return row
 
     def _grant_tokens(self, account: Account, wanted: float) -> float:
-        """Rights of a ceiling, off our part before they are told, so that loss is safe."""
+        """Grant ceiling tokens; they are deducted before the answer is sent, so that losing it is safe."""
         if self._owner(account) != self.rank:
             return 0.0
         granted = min(account.ceiling_tokens, wanted)
         account.ceiling_tokens -= granted
         return granted
 
-    def _merge_row(self, row: messages.Row, sender: int, age: int, keep: bool) -> Account:
-        """Newer start, then larger value; the larger limit."""
+    def _merge_row(self, row: messages.Row, sender: int, age: int, to_owner: bool) -> Account:
+        """Merge a peer's row into the account: its counts, total and limit."""
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
         account.unconfirmed = False
         plan = self.settings.plans[account.plan]
         self._refill(account)
-        if not keep:
+        if not to_owner:
             granted = min(row.rights, account.requested_tokens)
             account.ceiling_tokens += granted
             account.requested_tokens -= granted
 
         unreported = 0.0
         for rank, start, value in row.counts:
-            # our own count is ours; an earlier life's is within the total
+            # Only this gateway changes its own count; what it counted before a restart is in the total.
             if rank == self.rank:
                 continue
             is_new = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
@@ -829,19 +909,20 @@
             if growth:
                 account.peer_approvals = (*account.peer_approvals, self.now)[-max(1, plan.max_open) :]
             growth -= self._take_reserved(account, rank, growth)
-            if rank == sender and keep and is_new:
+            if rank == sender and to_owner and is_new:
                 unreported += growth
         if unreported:
-            # what is spread reaches all without
+            # Rows that are broadcast reach all gateways without gossip.
             self.pending_gossip[account.customer] = None
 
-        # The total tells of counts that did not fit or were lost, so that a gateway that missed them knows.
+        # The total covers counts that did not fit into the row or were lost on the way.
         account.total = max(account.total + unreported, account.counted, row.total)
         account.limit = max(account.limit, row.total + row.room + plan.rate * age / SECOND)
         self._refill(account)
         return account
 
     def _take_reserved(self, account: Account, rank: int, growth: float) -> float:
+        """Use a reservation for units that a peer has now reported as spent; returns how many it covered."""
         reserved, reserved_at = account.reserved.get(rank, (0.0, 0))
         taken = min(growth, reserved)
         if taken:
@@ -849,10 +930,14 @@
         return taken
 
     def _ticks(self) -> int:
+        """The time in ticks, the unit in which the start of a count is sent."""
         return self.now // MS // messages.TICK
 
     def _evict_idle(self) -> None:
-        """Full and idle accounts say nothing: forgotten a few at a time, one-off customers cost no memory."""
+        """Evict idle accounts with a full quota, which hold no information, a few at a time.
+
+        Customers that are seen only once would otherwise use memory forever.
+        """
         for _ in range(min(IDLE_SCAN_MAX, len(self.idle_queue))):
             customer = self.idle_queue.popleft()
             account = self.accounts[customer]
