--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -48,7 +48,7 @@
     QUOTA = "quota"  # no room in what its customer may spend
     CEILING = "ceiling"  # no right left under its customer's ceiling
     SLOW = "slow"  # no server is expected to answer in time
-    SPENT = "spent"  # its time or its attempts are used up
+    EXHAUSTED = "spent"  # its time or its attempts are used up
 
 
 class Phase(enum.Enum):
@@ -166,7 +166,7 @@
     topic: ClassVar[str] = "server_banned"
 
     server: Server
-    out: bool
+    banned: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -331,7 +331,7 @@
 
     request: int
     retry_after: int
-    cause: Cause = field(default=Cause.SPENT, compare=False)
+    cause: Cause = field(default=Cause.EXHAUSTED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -418,7 +418,7 @@
         host.open_attempts += 1
         account.open_attempts += 1
 
-    def _reject(self, request: Request, cause: Cause = Cause.SPENT) -> None:
+    def _reject(self, request: Request, cause: Cause = Cause.EXHAUSTED) -> None:
         """Give a final answer: refuse where the client may safely retry, else fail."""
         request_class = request.request_class
         has_run = request.first_possibly_executed is not None
@@ -468,7 +468,7 @@
 
     def _server_banned(self, event: api.ServerBanned) -> None:
         """Apply a ban on top of discovery's list, or lift it, so that the current list applies."""
-        if event.out:
+        if event.banned:
             self.ban(event.server)
         elif event.server in self.banned:
             self._add_servers(self.lift_ban(event.server))
