--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -1,7 +1,7 @@
-"""What a gateway is told (settings, events) and what it answers (actions).
+"""Interface of the decision module: settings and events go in, actions come out.
 
 Times are integers in microseconds of the caller's clock. Servers are opaque, sortable bytes; requests and
-customers are integers. Nothing here decides anything: the decisions are in ``rules.py``.
+customers are integers. The decisions themselves are in ``rules.py``.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class Effect(enum.Enum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
+    SAFE = "safe"  # any number of times
+    KEYED = "keyed"  # servers drop repeats by key, within the dedup window
     UNSAFE = "unsafe"
 
 
 class Group(enum.Enum):
-    """Which servers together drop the repeats of a keyed request."""
+    """Which servers deduplicate keyed requests together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended, or how a probe or a counter call went."""
+    """Outcome of an attempt, a probe or a call to the shared counter."""
 
     SERVED = "served"
     ERROR = "error"
@@ -43,16 +43,16 @@
 
 
 class Cause(enum.Enum):
-    """Why a request gets a final answer of ours; for counters only."""
+    """Why the gateway itself gave a final answer; for metrics only."""
 
-    QUOTA = "quota"  # no room in what its customer may spend
-    CEILING = "ceiling"  # no right left under its customer's ceiling
+    QUOTA = "quota"  # the customer's quota is used up
+    CEILING = "ceiling"  # the customer's ceiling is reached
     SLOW = "slow"  # no server is expected to answer in time
-    EXHAUSTED = "spent"  # its time or its attempts are used up
+    EXHAUSTED = "spent"  # no time or no attempts are left
 
 
 class Phase(enum.Enum):
-    """What discovery says of a server."""
+    """State of a server in discovery's list."""
 
     GONE = 0
     READY = 1
@@ -60,7 +60,7 @@
 
 
 class ListKind(enum.Enum):
-    """How a server list relates to the one before it."""
+    """How a server list relates to the previous one."""
 
     CHANGES = 0
     WHOLE = 1
@@ -82,20 +82,20 @@
 
     target_latency: int
     deadline: int
-    worth: float
-    late_worth: float
+    worth: float  # of an answer within the target latency
+    late_worth: float  # of a later answer, as a part of ``worth``
     effect: Effect
     group: Group
-    dedup_window: int
+    dedup_window: int  # how long servers remember the key of a request
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan; zero rate, open or ceiling_rate means no such limit."""
+    """Limits and prices of one plan; ``rate``, ``max_open`` or ``ceiling_rate`` 0 means no such limit."""
 
-    rate: float
-    burst: float
-    max_open: int
+    rate: float  # units per second
+    burst: float  # units
+    max_open: int  # requests of a customer that may be open at once
     price: float
     beyond_earns: float
     beyond_costs: float
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told when it starts."""
+    """Settings of a gateway, fixed at its start."""
 
     rank: int
     gateways: int
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of a server list; launched 0 means long ago."""
+    """One server of a list; ``launched`` 0 means long ago."""
 
     server: Server
     phase: Phase
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerListed:
-    """Discovery told something."""
+    """Discovery sent a server list, or failed to."""
 
     topic: ClassVar[str] = "server_listed"
 
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerBanned:
-    """Operators took a server out, whatever discovery says of it, or put it back."""
+    """Operators banned a server, whatever discovery reports about it, or lifted the ban."""
 
     topic: ClassVar[str] = "server_banned"
 
@@ -171,7 +171,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; the set names the gateways that the customer may use."""
+    """A client's request.
+
+    ``kind`` is the index of its class in the settings; ``set_first`` and ``set_size`` denote the gateways
+    that the customer may use, as consecutive ranks.
+    """
 
     topic: ClassVar[str] = "request_arrived"
 
@@ -188,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's outcome; answered means that the request needs no more answer."""
+    """Outcome of an attempt; ``answered`` means that the request needs no final answer any more."""
 
     topic: ClassVar[str] = "attempt_ended"
 
@@ -205,7 +209,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptElsewhere:
-    """The process before this one has an attempt out, its units spent; its end is told like any other's."""
+    """The previous process has an open attempt, during an upgrade; its units are spent already.
+
+    Its end is reported by ``AttemptEnded``, like that of any other attempt.
+    """
 
     topic: ClassVar[str] = "attempt_elsewhere"
 
@@ -217,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: no deadline runs any more."""
+    """A streamed answer has begun; the deadline no longer applies."""
 
     topic: ClassVar[str] = "stream_started"
 
@@ -229,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client left; nothing more is owed."""
+    """The client closed its connection; the request needs no answer any more."""
 
     topic: ClassVar[str] = "client_gone"
 
@@ -238,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set is up."""
+    """A timer set by ``SetTimer`` has expired."""
 
     topic: ClassVar[str] = "timer_fired"
 
@@ -247,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """What came of a probe."""
+    """Result of a probe."""
 
     topic: ClassVar[str] = "probe_ended"
 
@@ -259,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another gateway; untrusted."""
+    """A message from another gateway; its bytes are untrusted."""
 
     topic: ClassVar[str] = "peer_message"
 
@@ -269,8 +276,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Membership's view: ranks that are gone or left; ``apart``: this gateway is the one that is cut off, is
-    not heard by most, or stood still and knows nothing fresh."""
+    """The view of the membership protocol has changed.
+
+    ``unavailable`` holds the ranks of gateways that are gone or have left. ``isolated``: this gateway itself
+    is cut off, is not heard by most of the others, or was stalled and has no recent information.
+    """
 
     topic: ClassVar[str] = "members_changed"
 
@@ -280,7 +290,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """What came of a call to the shared counter."""
+    """Result of a call to the shared counter."""
 
     topic: ClassVar[str] = "counter_answered"
 
@@ -308,8 +318,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Begin an attempt; give_up_at 0 leaves it to the client's patience. Where it waits for a connection it
-    may not be sent after send_by (0: no such time)."""
+    """Begin an attempt.
+
+    A ``deadline`` of 0 leaves it to the client's deadline. An attempt that waits for a connection must not be
+    sent after ``send_by`` (0: no such limit).
+    """
 
     request: int
     server: Server
@@ -327,7 +340,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not served, and trying again is harmless."""
+    """Final answer: not served; the client may safely retry."""
 
     request: int
     retry_after: int
@@ -336,14 +349,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: not served, nothing promised."""
+    """Final answer: not served; the request may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired after a span."""
+    """Request a ``TimerFired`` after a delay."""
 
     delay: int
     token: int
@@ -351,7 +364,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one peer."""
+    """Send a message to another gateway."""
 
     peer: int
     body: bytes
@@ -359,19 +372,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its state."""
+    """Ask a server for a load report."""
 
     server: Server
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to discovery."""
+    """Watch discovery's server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask discovery for the whole list once."""
+    """Fetch the whole server list once."""
 
 
 Action = Send | Cancel | Refuse | Fail | SetTimer | SendPeerMessage | Probe | WatchList | FetchList
