--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -255,13 +255,13 @@
 
 def _request_class(c: dict) -> api.RequestClass:
     return api.RequestClass(
-        aim=int(c["target"]),
+        target_latency=int(c["target"]),
         deadline=int(c["deadline"]),
         worth=float(c["credit"]),
         late_worth=float(c["lateWorth"]),
         effect=EFFECTS[c["effect"]],
         group=api.Group(c["group"]),
-        window=int(c["dedupWindow"]),
+        dedup_window=int(c["dedupWindow"]),
     )
 
 
@@ -269,7 +269,7 @@
     return api.Plan(
         rate=float(p["perSecond"]),
         burst=float(p["peakUnits"]),
-        open=int(p["open"]),
+        max_open=int(p["open"]),
         price=float(p["pays"]),
         beyond_earns=float(p["beyondEarns"]),
         beyond_costs=float(p["overrunCost"]),
