--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -751,7 +751,7 @@
             size = section_size
 
     def _gossip(self) -> None:
-        """Send pending changes to one random peer, those of the most exhausted customers first."""
+        """Send one random peer the pending changes of customers it serves, the most exhausted ones first."""
         self.actions.append(api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER))
         if not self.pending_gossip:
             return
