--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -363,7 +363,7 @@
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
     gateway = rig.driver.gateway
     await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [host.out for host in gateway.hosts.values()] == [0]
+    assert [host.open_attempts for host in gateway.hosts.values()] == [0]
 
 
 async def decided(rig: Rig, plain: Plain) -> Callable[[], None]:
@@ -415,7 +415,7 @@
     assert rig.driver.stats["client_gone"] == 1
     gateway = rig.driver.gateway
     await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [known.out for known in gateway.hosts.values()] == [0]
+    assert [known.open_attempts for known in gateway.hosts.values()] == [0]
 
 
 @pytest.mark.parametrize("pings", [COMMANDS_PER_TURN, 2 * COMMANDS_PER_TURN])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -534,11 +534,11 @@
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
-    choose = rig.driver.gateway._choose
-    rig.driver.gateway._choose = lambda request: 1 // 0
+    choose = rig.driver.gateway._choose_server
+    rig.driver.gateway._choose_server = lambda request: 1 // 0
     caller.call("bill")
     assert error((await caller.replied())[0]).startswith("ERR")
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway._choose_server = choose
     caller.call("bill")
     assert (await caller.replied(2))[1] == b"ok"
     assert rig.driver.calls == rig.driver.gateway.requests == {}
@@ -617,7 +617,7 @@
         rig.driver.gateway.actions.append(api.SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._turn = turn
+    rig.driver.gateway._gossip = turn
     await until(lambda: len(turns) >= 3)
 
 
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -125,7 +125,7 @@
     slow, quick = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(slow, quick, permissions=SITE["permissions"] | {"cancel": False, "connectTimeout": 5_000_000})
     gate, caller = Gate(rig, slow.port), await rig.caller()
-    rig.driver.gateway._choose = lambda request: rig.driver.gateway.hosts[b"a"]
+    rig.driver.gateway._choose_server = lambda request: rig.driver.gateway.hosts[b"a"]
     caller.call()
     await until(lambda: rig.hosts.pools[b"a"].waiting)
     (number,) = rig.driver.calls
