--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -1,8 +1,13 @@
 """All decisions of a gateway; its types, events and actions are in ``orchidlane/interface.py``.
 
-A request's life: arrived -> admitted by its customer's counts -> sent to the server that should answer
-soonest -> outcome -> perhaps another attempt -> exactly one final answer. Every send passes ``_send``, every
-answer of ours ``_end``. Quotas are grow-only counts by gateway, spread by gossip.
+A request arrives, is checked against its customer's quota, and is sent to the server that is expected to
+answer soonest. Depending on the outcome it is retried on another server, until it has exactly one final
+answer. Every send passes ``_send_attempt``; every final answer that the gateway itself gives passes
+``_reject``.
+
+Quotas are grow-only counters with one entry per gateway, spread by gossip within the customer's gateway set.
+One gateway of the set, the customer's owner, is notified of each approval, so that it knows what is spent.
+It also grants ceiling tokens to the others.
 """
 
 from __future__ import annotations
@@ -13,625 +18,935 @@
 from . import interface as api
 from . import messages
 from .interface import Cause, Effect, Group, ListKind, Outcome
-from .state import Account, Attempt, Host, Known, Memory, Request
+from .state import Account, Attempt, GatewayState, HealthStats, Host, PendingAnswer, Request
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
 # Gossip
-INTAKE_SHARE = 0.8  # of the intake that every gateway may send: the rest is for jitter
-INTERVAL = 300 * MS  # between two gossip turns: what is pressing does not wait for them
-FAN = 12  # gateways told at once: the rest of a larger set is told by them, each has a part of it
-NEWS_MOST = 3  # counts in a row; older ones are within its total
-LOOK_AT, IDLE_LOOKS = 32, 3  # customers looked at for one message / for being idle, to bound the work
-LATE_MOST = 5 * SECOND  # a message that took longer, or comes from so far ahead, is not believed
-CLOSE, REOPEN = 0.25, 0.6  # of the burst: with less room a customer is refused, until so much is back
-ANSWER_WITHIN = 200 * MS  # a keeper not heard for so long is asked to answer as soon; else the next is told
-KEEPER_STRIDE = 2_654_435_761  # spreads customers over the gateways of their sets
-KEEPERS = 3  # gateways of a set that are tried
-ASK_WITHIN = 100 * MS  # a request of a wide set waits no longer for its keeper's word
-NEW_TICKS = 1000 // messages.TICK  # a count heard of first that began earlier is within a total already
-ASKS = 2  # times that a request waits: the question or the answer may be lost
-CUT_OFF = 4  # gateways asked since the last word of any, and none answered: it is us who are cut off
-AWAY_LOOKS = 4  # members drawn until one is there: where most are away the turn may be lost
-MISSES = 2  # questions in a row without an answer make a keeper silent for a while: one may be lost
+
+INTAKE_SHARE = 0.8  # of the allowed message rate that is used; the rest absorbs jitter
+GOSSIP_INTERVAL = 300 * MS  # urgent changes are broadcast at once
+FAN_OUT = 12  # gateways notified directly by a broadcast; each forwards it to its section of the set
+ROW_COUNTS_MAX = 3  # counts per row; changes of others are covered by the row's total
+
+# Customers examined per message and per eviction pass, to bound the work of one event.
+GOSSIP_SCAN_MAX = 32
+IDLE_SCAN_MAX = 3
+
+MESSAGE_AGE_MAX = 5 * SECOND  # messages older than this, or dated this far ahead, are dropped
+
+# Parts of the burst. Below the first a customer is throttled, until the second is available again.
+THROTTLE_BELOW = 0.25
+RESUME_ABOVE = 0.6
+
+# An owner not heard from for this long is asked to answer; without an answer within the same time the next
+# candidate is notified.
+ANSWER_TIMEOUT = 200 * MS
+OWNER_HASH_MULTIPLIER = 2_654_435_761  # spreads customers over the gateways of their sets
+OWNER_CANDIDATES = 3  # gateways of a set that are tried as owner
+OWNER_WAIT_TIMEOUT = 100 * MS  # longest wait of a request for the owner's answer
+NEW_COUNT_TICKS = 1000 // messages.TICK  # an unknown count that began earlier is in the total already
+OWNER_QUERIES_MAX = 2  # per request, as the query or the answer may be lost
+ISOLATION_MIN_UNRESPONSIVE = 4  # with this many and no message from any gateway, this one is isolated
+PEER_DRAWS_MAX = 4  # draws for an available peer; a round is skipped where most are unavailable
+
+# Unanswered queries in a row after which a gateway is unresponsive for a while; a single one may be lost.
+UNANSWERED_QUERIES_MAX = 2
+NO_OTHER_OWNER = -1  # owner index of a query after which no other candidate is notified
 
 # Servers
-CROWD = 8.0  # attempts out here besides those known, so that a few more or less mean little
-BASE = 2.0  # requests a server is taken to hold besides those known: keeps first guesses level
-START_OF_AIM = 0.25  # of the aim that an idle server is first thought to need
-LEARN = 0.15  # weight of the newest answer time
-FORGET = 3 * SECOND  # after this a slow server's mark has faded to a third: gentle return
-SLOW_MOST = 8.0  # times the idle answer time that one answer may count for
-FAIL_WEIGHT = 3.0  # an attempt that failed makes a server look this much slower
-CHOICES = 12  # servers compared for one request
-HANDSHAKE = 0.5  # dearer is a server at which no connection of ours is free: as one more request there
-KEPT_FOR = 5 * SECOND  # a connection is taken to stay open so long after its last answer
-SPREAD = 0.1  # random part of a comparison, against herding of gateways
-BACK_FOR, BACK_EVERY = 5 * SECOND, SECOND  # a server put back is tried until it served / so often
-BACK_TRIES = 4  # of all gateways in the time in which a cold server may fall: it comes back cold
-COLD_CARE = 0.9  # of the fair share of a cold server's least capacity that is used
+
+CONCURRENCY_SMOOTHING = 8.0  # open attempts added to both sides of a comparison, against small-number noise
+BASE_LOAD = 2.0  # requests added to a server's known load, so that first estimates are alike
+INITIAL_TARGET_SHARE = 0.25  # of the target latency: the response time assumed of an idle server
+EWMA_WEIGHT = 0.15  # weight of the newest sample in moving averages
+DECAY_TIME = 3 * SECOND  # time constant by which health stats decay, so that traffic returns gradually
+SLOWDOWN_MAX = 8.0  # cap on the slowdown that a single answer may show
+FAILURE_WEIGHT = 3.0  # increase of the expected response time per recent failure
+CANDIDATES_MAX = 12  # servers compared for one request
+HANDSHAKE_PENALTY = 0.5  # extra cost of a server without a free connection: one more request at idle load
+CONNECTION_IDLE_TIMEOUT = 5 * SECOND  # connections are assumed closed this long after the last answer
+COST_JITTER = 0.1  # random part of the cost, so that gateways do not pick the same server
+
+# A reinstated server gets trial requests for this time or until it answers, no more often than the interval.
+REINSTATED_TRIAL_TIME = 5 * SECOND
+REINSTATED_TRIAL_INTERVAL = SECOND
+REINSTATED_TRIALS_MAX = 4  # of all gateways per overload period, as the server may come back cold
+COLD_SHARE_FACTOR = 0.9  # of a cold server's fair share that is used, as a margin
 
 # Attempts
-LEAVE, HOLD = 30 * MS, 20 * MS  # a held request ends before its time is up / between looks for a server
-REPEAT_BUDGET, REPEAT_MOST = 0.05, 5.0  # further attempts earned by each request, saved up: no retry storms
-SHED = 0.15  # of the aim beyond the usual time: slower, a request is refused
-SOON = 0.15  # of the aim: who is sent to come back later than that spends quota on an answer that is late
-TURN, ASKED = 0, 1 << 40  # tokens of timers: gossip, answers due; a request's has its id + 1
 
+DEADLINE_MARGIN = 30 * MS  # before the deadline, for the final answer to arrive in time
+SERVER_RETRY_INTERVAL = 20 * MS  # between searches for a server while none is usable
+
+# Retries allowed per request on average, and the largest saved budget, against retry storms.
+RETRY_BUDGET_RATIO = 0.05
+RETRY_BUDGET_MAX = 5.0
+SHED_SHARE = 0.15  # of the time between usual and target latency: longer expected times are shed
+
+# Of the target latency: longest retry-after given to a client. A client that waits longer would spend quota
+# on an answer that is late.
+RETRY_AFTER_SHARE = 0.15
+
+NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
+
+# Timer tokens. The token of a request's timer is its number + 1.
+GOSSIP_TIMER = 0
+ANSWER_TIMER = 1 << 40
 
-class Gateway(Memory):
-    """One gateway's decisions: feed events with the clock, carry out the actions."""
+
+class Gateway(GatewayState):
+    """The decisions of one gateway: the caller feeds events with the time and carries out the actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
         super().__init__()
-        self.s, self.random, self.now, self.filled = settings, random.Random(seed), now, now
-        self.rank, self.alone = settings.rank, not settings.may_tell_peers
-        self.usual = [START_OF_AIM * c.aim for c in settings.classes]
-        self.budget, self.next_try, self.crowd = REPEAT_MOST, 0.0, CROWD
-        self.view: api.MembersChanged | None = None  # None: no membership, silence is all that tells
-        self.away: frozenset[int] = frozenset()
-        self.allowance = self.per_second = INTAKE_SHARE * settings.peer_intake
+        self.settings = settings
+        self.random = random.Random(seed)
+        self.now = now
+        self.rank = settings.rank
+        self.gossip_disabled = not settings.may_tell_peers
+
+        self.usual_times = [INITIAL_TARGET_SHARE * c.target_latency for c in settings.classes]
+        self.retry_budget = RETRY_BUDGET_MAX
+        self.next_trial_at = 0.0
+        self.typical_concurrency = CONCURRENCY_SMOOTHING
+
+        self.membership: api.MembersChanged | None = None  # None: not used, peers are judged by silence
+        self.unavailable: frozenset[int] = frozenset()
+        self.send_rate = INTAKE_SHARE * settings.peer_intake
+        self.send_allowance = self.send_rate
+        self.allowance_refilled_at = now
 
     def start(self) -> list[api.Action]:
-        """The first actions, once the gateway is up."""
-        return [api.SetTimer(INTERVAL, TURN)] + [api.AskList()] * self.s.asks_for_list
+        """The actions to begin with."""
+        actions: list[api.Action] = [api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER)]
+        if self.settings.asks_for_list:
+            actions.append(api.WatchList())
+        return actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """What to do about one event: each goes to the method of its topic."""
-        self.now, self.actions = now, []
-        if method := getattr(self, f"_{event.topic}", None):  # streams, probes, counter: nothing to do
+        """Handle one event, by the method named after its topic; returns the actions to carry out."""
+        self.now = now
+        self.actions = []
+        # Streams, probes and the shared counter need no decision and have no method.
+        if method := getattr(self, f"_{event.topic}", None):
             method(event)
         return self.actions
 
-    # -- a request arrives, is admitted, and is sent ------------------------------------------------------
+    # -- admission and sending ----------------------------------------------------------------------------
 
     def _request_arrived(self, event: api.RequestArrived) -> None:
-        request = Request(event, self.s.classes[event.kind], self.now + event.time_left, self.random.random())
+        request_class = self.settings.classes[event.kind]
+        request = Request(event, request_class, self.now + event.time_left, self.random.random())
         self.requests[event.request] = request
-        self.budget = min(REPEAT_MOST, max(0.0, self.budget) + REPEAT_BUDGET)
+        self.retry_budget = min(RETRY_BUDGET_MAX, max(0.0, self.retry_budget) + RETRY_BUDGET_RATIO)
         self._advance(request)
-        self._drop_idle()
+        self._evict_idle()
 
     def _advance(self, request: Request) -> None:
-        """The next step of a request that is owed an answer."""
-        half = 0 if any(a.ran for a in request.attempts) else request.event.time_left // 2
-        last_call = request.until - max(LEAVE, half)  # kept in vain past half of its time it would cost more
-        if self.now >= last_call or len(request.attempts) >= self.s.max_attempts:
-            return self._end(request)
-        first = not request.attempts
-        if first and (cause := self._refusal(request)):
-            held = cause is Cause.CEILING and self._ask_keeper(request, 1, last_call)  # it gives rights
-            return None if held else self._end(request, cause)
-        host = self._choose(request)
+        """Take the next step for a request that has no final answer yet: send, wait or reject."""
+        latest_send = self._latest_send_time(request)
+        if self.now >= latest_send or len(request.attempts) >= self.settings.max_attempts:
+            self._reject(request)
+            return
+
+        is_first = not request.attempts
+        if is_first and (cause := self._refusal_cause(request)):
+            # The owner may grant tokens for a ceiling that is used up here.
+            if cause is not Cause.CEILING or not self._query_owner(request, 1, latest_send):
+                self._reject(request, cause)
+            return
+
+        host = self._choose_server(request)
         if host is None:
-            span = min(HOLD, last_call - self.now)
-            return self.actions.append(api.SetTimer(span, request.event.request + 1))
-        # Who has the keeper's word goes: it is counted in there already.
-        slow = (
-            first and not request.told and self._expected(host, request.event.kind) > self._patience(request)
-        )
-        if slow and host.entry.server not in self.returned:
-            if host.out or self.now < self.next_try:
-                return self._end(request, Cause.SLOW)
-            self.next_try = self.now + START_OF_AIM * request.cls.aim  # who sends nothing learns nothing
-        if first and self._is_wide(request.account) and self._ask_keeper(request, KEEPERS, last_call):
-            return None
-        return self._send(request, host)
+            delay = min(SERVER_RETRY_INTERVAL, latest_send - self.now)
+            self.actions.append(api.SetTimer(delay, request.event.request + 1))
+            return
+
+        if is_first and self._should_shed(request, host):
+            if host.open_attempts or self.now < self.next_trial_at:
+                self._reject(request, Cause.SLOW)
+                return
+            # A trial request: without any traffic the gateway would not learn that the overload is over.
+            self.next_trial_at = self.now + INITIAL_TARGET_SHARE * request.request_class.target_latency
+
+        asks_owner = is_first and self._outruns_gossip(request.account)
+        if asks_owner and self._query_owner(request, OWNER_CANDIDATES, latest_send):
+            return
+        self._send_attempt(request, host)
 
-    def _ask_keeper(self, request: Request, most: int, last_call: int) -> bool:
-        """Where only a keeper knows what is spent, or has rights to give, a request waits for its word, but
-        shortly."""
-        event, account = request.event, request.account
-        if request.told or request.asks >= ASKS:
+    def _latest_send_time(self, request: Request) -> int:
+        """When a request that could not be sent is rejected.
+
+        One that no server can have run is rejected after half of its time, so that its client can still
+        retry elsewhere.
+        """
+        if any(attempt.may_have_run for attempt in request.attempts):
+            margin = DEADLINE_MARGIN
+        else:
+            margin = max(DEADLINE_MARGIN, request.event.time_left // 2)
+        return request.deadline - margin
+
+    def _should_shed(self, request: Request, host: Host) -> bool:
+        """Whether the request is expected to be answered too late to be sent to this server.
+
+        A request that the owner approved is sent anyway, as its units are spent there already.
+        """
+        if request.owner_replied or host.entry.server in self.reinstated:
             return False
-        keepers = range(min(most, account.size))
-        again = request.asks > 0
-        ranks = [self._keeper(account, n) for n in keepers]
-        there = (n for n in keepers if ranks[n] not in self.away and not self._is_silent(ranks[n], again))
-        number = next(there, None)
-        if number is None:
+        return self._expected_time(host, request.event.kind) > self._latency_limit(request)
+
+    def _query_owner(self, request: Request, candidates: int, latest_send: int) -> bool:
+        """Query the customer's owner and let the request wait for the answer; false: it need not wait.
+
+        The owner is queried where only it knows what is spent, or has ceiling tokens to grant.
+        """
+        event = request.event
+        account = request.account
+        if request.owner_replied or request.owner_queries >= OWNER_QUERIES_MAX:
             return False
-        rank = self._keeper(account, number)
-        account.waiting[event.request] = event.units
-        ceiling = self.s.plans[account.plan].ceiling_rate
-        wanted = self._wanted(account) if ceiling else sum(account.waiting.values())
-        row = self._row(account, 0, wanted, own=True)
-        if rank == self.rank or not self._tell(rank, [row], account.customer, -1, keep=True):
-            del account.waiting[event.request]
+        index = self._responsive_owner(account, candidates, is_repeat=request.owner_queries > 0)
+        if index is None:
             return False
-        request.asked, request.asks = number, request.asks + 1
-        self.actions.append(api.SetTimer(min(ASK_WITHIN, last_call - self.now), event.request + 1))
+
+        rank = self._owner(account, index)
+        account.waiting_units[event.request] = event.units
+        if self.settings.plans[account.plan].ceiling_rate:
+            wanted = self._request_tokens(account)
+        else:
+            wanted = sum(account.waiting_units.values())
+        row = self._pack_row(account, 0, wanted, include_own=True)
+        if rank == self.rank or not self._send_message(
+            rank, [row], account.customer, NO_OTHER_OWNER, to_owner=True
+        ):
+            del account.waiting_units[event.request]
+            return False
+
+        request.owner_index = index
+        request.owner_queries += 1
+        delay = min(OWNER_WAIT_TIMEOUT, latest_send - self.now)
+        self.actions.append(api.SetTimer(delay, event.request + 1))
         return True
 
-    def _refusal(self, request: Request) -> Cause | None:
-        """Quota, open cap and ceiling: the ordinary path of every first send."""
-        event = request.event  # the entry is looked up anew: a held request may outlive an idle one
+    def _responsive_owner(self, account: Account, candidates: int, is_repeat: bool) -> int | None:
+        """Index of the first candidate owner that is available and answers queries."""
+        for index in range(min(candidates, account.set_size)):
+            rank = self._owner(account, index)
+            if rank not in self.unavailable and not self._is_unresponsive(rank, is_repeat):
+                return index
+        return None
+
+    def _refusal_cause(self, request: Request) -> Cause | None:
+        """Check limit of open requests, quota and ceiling before a request is first sent."""
+        # Looked up again each time, as an idle account may be evicted while a request waits.
+        event = request.event
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
-        plan, request.account = self.s.plans[account.plan], account
-        self._lift(account)
-        if plan.open:  # what others approved lately is taken to be out for as long as usual
-            others = sum(self.now - at < self.usual[event.kind] for at in account.others)
-            if account.out + others >= plan.open:
-                return Cause.QUOTA
-        room = account.room
-        if account.fresh and self.rank in account.counts:  # unheard: a share, at least one request
-            room = min(room, plan.burst / account.size - account.counts[self.rank][1])
-        if plan.rate and (account.closed or room < event.units):
+        request.account = account
+        plan = self.settings.plans[account.plan]
+        self._refill(account)
+
+        if plan.max_open and self._open_requests(account, event.kind) >= plan.max_open:
+            return Cause.QUOTA
+
+        remaining = account.remaining
+        if account.unconfirmed and self.rank in account.counts:
+            # What peers spent is unknown: this gateway's share of the burst, but at least one request.
+            _, own_units = account.counts[self.rank]
+            remaining = min(remaining, plan.burst / account.set_size - own_units)
+        if plan.rate and (account.throttled or remaining < event.units):
             return Cause.QUOTA
-        return Cause.CEILING if plan.ceiling_rate and account.ceiling < event.units else None
-
-    def _patience(self, request: Request) -> float:
-        """The longest expected answer time at which a request is let in: it must still be in time."""
-        usual = self.usual[request.event.kind]
-        return usual + SHED * max(0.0, min(request.cls.aim, request.event.time_left) - usual)
-
-    def _choose(self, request: Request) -> Host | None:
-        """The server that should answer soonest among those that the rules allow for this request."""
-        if some := self._one_back(request) or self._cold_one(request):
-            return some
-        ran = [a for a in request.attempts if a.ran]
-        pool = self.near(ran[0].host, request.cls.group) if ran else self.warm.hosts
-        some = pool if len(pool) <= CHOICES else self.random.sample(pool, CHOICES)
-        usable = [host for host in some if self._is_warm(host) and self._may_send(request, host)]
+
+        if plan.ceiling_rate and account.ceiling_tokens < event.units:
+            return Cause.CEILING
+        return None
+
+    def _open_requests(self, account: Account, kind: int) -> int:
+        """Open requests of the customer; those approved by peers are assumed to take the usual time."""
+        usual_time = self.usual_times[kind]
+        recent_approvals = sum(self.now - at < usual_time for at in account.peer_approvals)
+        return account.open_attempts + recent_approvals
+
+    def _latency_limit(self, request: Request) -> float:
+        """The longest expected response time at which a request is not shed: it must still be in time."""
+        usual_time = self.usual_times[request.event.kind]
+        latest = min(request.request_class.target_latency, request.event.time_left)
+        return usual_time + SHED_SHARE * max(0.0, latest - usual_time)
+
+    def _choose_server(self, request: Request) -> Host | None:
+        """The server expected to answer soonest among those that may run this request."""
+        if host := self._due_reinstated_server(request) or self._draw_cold_server(request):
+            return host
+        pool = self.warm.hosts
+        first = request.first_possibly_executed
+        if first is not None:
+            pool = self.group_hosts(first.host, request.request_class.group)
+        candidates = pool if len(pool) <= CANDIDATES_MAX else self.random.sample(pool, CANDIDATES_MAX)
+        usable = [host for host in candidates if self._is_warm(host) and self._may_send(request, host)]
         return min(usable, key=lambda host: self._cost(request, host), default=None)
 
     def _cost(self, request: Request, host: Host) -> float:
-        cost = self._expected(host, request.event.kind) * (1 + SPREAD * self.random.random())
-        if host.out >= host.kept or self.now - host.active >= KEPT_FOR:
-            cost *= 1 + HANDSHAKE
-        cost *= 1 + FAIL_WEIGHT * self.zones_met[host.entry.zone].marks(self.now, FORGET)[1]
-        return cost * (1 + FAIL_WEIGHT * any(a.host is host for a in request.attempts))
+        """Expected response time, raised where a handshake or another failure is likely."""
+        cost = self._expected_time(host, request.event.kind)
+        cost *= 1 + COST_JITTER * self.random.random()
+        is_idle = self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT
+        if host.open_attempts >= host.open_connections or is_idle:
+            cost *= 1 + HANDSHAKE_PENALTY
+        _, zone_failures = self.zone_stats[host.entry.zone].decayed(self.now, DECAY_TIME)
+        cost *= 1 + FAILURE_WEIGHT * zone_failures
+        if any(attempt.host is host for attempt in request.attempts):
+            cost *= 1 + FAILURE_WEIGHT
+        return cost
 
     def _may_send(self, request: Request, host: Host) -> bool:
-        """Rules 2 and 3 for one send."""
-        if not self.in_use(host):
+        """Whether the request may be sent to this server without the risk of being executed twice.
+
+        A keyed request that may have run may only be retried where its key is still known: at servers that
+        deduplicate together with the first one, within the dedup window.
+        """
+        if not self.is_usable(host):
             return False
-        ran = [a for a in request.attempts if a.ran]
-        cls = request.cls
-        if not ran or cls.effect is Effect.SAFE:
+        request_class = request.request_class
+        first = request.first_possibly_executed
+        if first is None or request_class.effect is Effect.SAFE:
             return True
-        if cls.effect is Effect.UNSAFE or self.now >= request.window_ends - LEAVE:
+        if request_class.effect is Effect.UNSAFE or self.now >= request.dedup_window_end - DEADLINE_MARGIN:
             return False
-        return host.shares(cls.group) == ran[0].host.shares(cls.group)
+        return host.group_id(request_class.group) == first.host.group_id(request_class.group)
 
     def _is_warm(self, host: Host) -> bool:
-        return not host.entry.launched or self.now - host.entry.launched >= self.s.warm_within
-
-    def _one_back(self, request: Request) -> Host | None:
-        """A server put back by operators: where few requests come, others would always look better."""
-        for server, (until, after) in list(self.returned.items()):
-            if self.now >= until:
-                del self.returned[server]
-            elif self.now >= after and (host := self.hosts.get(server)) and self._may_send(request, host):
-                self.returned[server] = until, self.now + max(BACK_EVERY, self._back_apart())
+        launched = host.entry.launched
+        return not launched or self.now - launched >= self.settings.warm_within
+
+    def _due_reinstated_server(self, request: Request) -> Host | None:
+        """A reinstated server that is due for a trial request.
+
+        With little traffic it would otherwise not be chosen, as the others have better stats.
+        """
+        for server, (ends_at, next_at) in list(self.reinstated.items()):
+            if self.now >= ends_at:
+                del self.reinstated[server]
+                continue
+            if self.now < next_at:
+                continue
+            host = self.hosts.get(server)
+            if host and self._may_send(request, host):
+                interval = max(REINSTATED_TRIAL_INTERVAL, self._reinstated_trial_spacing())
+                self.reinstated[server] = ends_at, self.now + interval
                 return host
         return None
 
-    def _back_apart(self) -> int:
-        """Rule 4: how long a gateway leaves a server that was put back to all the others."""
-        return (self.s.gateways - 1) * self.s.overload_for // BACK_TRIES
+    def _reinstated_trial_spacing(self) -> int:
+        """Interval between one gateway's trials that keeps those of all gateways below the limit."""
+        return (self.settings.gateways - 1) * self.settings.overload_for // REINSTATED_TRIALS_MAX
+
+    def _draw_cold_server(self, request: Request) -> Host | None:
+        """Slow start: the cold server that this attempt's random draw selects, if any.
 
-    def _cold_one(self, request: Request) -> Host | None:
-        """Rule 4: each attempt draws one of all servers; a cold one serves as often as it can."""
+        Each attempt draws one of all servers, and a cold one is used with a probability that grows with its
+        capacity. This also holds in sum over many gateways that each send to it only rarely.
+        """
         while self.warming and self._is_warm(self.warming[0]):
-            self.warm_first()
+            self.promote_oldest()
         cold = self.cold.hosts
-        number, chance = divmod(request.lot * (len(cold) + len(self.warm.hosts)), 1)
-        if number >= len(cold):
+        draw = request.cold_draw * (len(cold) + len(self.warm.hosts))
+        index, chance = divmod(draw, 1)
+        if index >= len(cold):
             return None
-        host = cold[int(number)]
-        age = max(0, self.now - host.entry.launched) / self.s.warm_within
-        ramp = self.s.cold_from + (1 - self.s.cold_from) * age
-        return host if chance < COLD_CARE * ramp and self._may_send(request, host) else None
+        host = cold[int(index)]
+        warm_fraction = max(0, self.now - host.entry.launched) / self.settings.warm_within
+        capacity = self.settings.cold_from + (1 - self.settings.cold_from) * warm_fraction
+        if chance < COLD_SHARE_FACTOR * capacity and self._may_send(request, host):
+            return host
+        return None
 
-    def _send(self, request: Request, host: Host) -> None:
-        """Every send passes here."""
+    def _send_attempt(self, request: Request, host: Host) -> None:
+        """Send the request to a server; every send passes here."""
         if not request.attempts:
-            request.account.waiting.pop(request.event.request, None)  # a late word sends no second one
+            # An answer of the owner that comes later must not send the request again.
+            request.account.waiting_units.pop(request.event.request, None)
             self._spend(request)
-        if not host.out:
-            host.kept = host.kept if self.now - host.active < KEPT_FOR else 0
-            host.active = self.now
-        by = request.window_ends and request.window_ends - LEAVE  # it may wait for its connection
-        self.begin(request, Attempt(host, self.now, host.out + BASE, len(self.attempts)))
-        request.lot = self.random.random()
-        self.actions.append(api.Send(request.event.request, host.entry.server, request.until, by))
-
-    # -- what becomes of it -------------------------------------------------------------------------------
+        if not host.open_attempts:
+            if self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT:
+                host.open_connections = 0
+            host.last_active = self.now
+        # The attempt may have to wait for its connection, but not beyond the dedup window.
+        window_end = request.dedup_window_end
+        send_by = window_end - DEADLINE_MARGIN if window_end else 0
+        attempt = Attempt(host, self.now, host.open_attempts + BASE_LOAD, len(self.attempts))
+        self.begin_attempt(request, attempt)
+        request.cold_draw = self.random.random()
+        self.actions.append(api.Send(request.event.request, host.entry.server, request.deadline, send_by))
+
+    # -- outcomes and final answers -----------------------------------------------------------------------
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
         if (event.request, event.attempt) not in self.attempts:
             return
-        attempt, kind = self.ended(event.request, event.attempt)
-        self._learn(attempt, kind, event)
-        attempt.ran = event.outcome not in (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
+        attempt, kind = self.finish_attempt(event.request, event.attempt)
+        self._record_outcome(attempt, kind, event)
+        attempt.may_have_run = event.outcome not in NEVER_RAN
         request = self.requests.get(event.request)
-        if request and event.answered:
-            self._drop(request)
-        elif request:  # A budget for repeats: failures must not multiply the load. What never ran is free.
-            self.budget -= attempt.ran
-            repeat = self.budget >= 0 and request.cls.effect is not Effect.UNSAFE
-            (self._advance if repeat or not attempt.ran else self._end)(request)
+        if request is None:
+            return
+        if event.answered:
+            self._forget_request(request)
+            return
+
+        # The retry budget keeps failures from multiplying the load. Attempts that never ran cost nothing.
+        if attempt.may_have_run:
+            self.retry_budget -= 1
+            if self.retry_budget < 0 or request.request_class.effect is Effect.UNSAFE:
+                self._reject(request)
+                return
+        self._advance(request)
 
     def _attempt_elsewhere(self, event: api.AttemptElsewhere) -> None:
-        """Load, open units and what it teaches count here; the process before this one owes the answer."""
-        if host := self.hosts.get(event.server):
-            of = event.arrived
-            account = self._account(of.customer, of.plan, of.set_first, of.set_size, trusted=True)
-            attempt = Attempt(host, event.sent, host.out + BASE)
-            self.attempts[of.request, event.attempt] = (
-                attempt,
-                Request(of, self.s.classes[of.kind], 0, 0, account),
-            )
-            host.out += 1
-            account.out += 1
-
-    def _end(self, request: Request, cause: Cause = Cause.SPENT) -> None:
-        """Every final answer of ours passes here: refuse where a retry is harmless, else fail."""
-        cls = request.cls
-        ran, number = any(a.ran for a in request.attempts), request.event.request
-        repeats = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-        wait = request.back_in(self.s.plans, REOPEN, min(SOON * cls.aim, self.s.max_retry_after))
-        self.actions.append(api.Refuse(number, wait, cause) if repeats or not ran else api.Fail(number))
-        self._drop(request)
-
-    def _drop(self, request: Request) -> None:
-        """Nothing more is owed: forget the request and call off what is still out."""
+        """Register an attempt of the previous process during an upgrade.
+
+        Its load and its outcome count here, while the previous process answers the client.
+        """
+        host = self.hosts.get(event.server)
+        if host is None:
+            return
+        arrived = event.arrived
+        account = self._account(
+            arrived.customer, arrived.plan, arrived.set_first, arrived.set_size, trusted=True
+        )
+        attempt = Attempt(host, event.sent, host.open_attempts + BASE_LOAD)
+        request = Request(arrived, self.settings.classes[arrived.kind], 0, 0, account)
+        self.attempts[arrived.request, event.attempt] = attempt, request
+        host.open_attempts += 1
+        account.open_attempts += 1
+
+    def _reject(self, request: Request, cause: Cause = Cause.EXHAUSTED) -> None:
+        """Give a final answer: refuse where the client may safely retry, else fail."""
+        request_class = request.request_class
+        has_run = request.first_possibly_executed is not None
+        is_repeatable = request_class.effect is Effect.SAFE or (
+            request_class.effect is Effect.KEYED and request_class.group is Group.ALL
+        )
+        if is_repeatable or not has_run:
+            longest = min(RETRY_AFTER_SHARE * request_class.target_latency, self.settings.max_retry_after)
+            retry_after = request.retry_after(self.settings.plans, RESUME_ABOVE, longest)
+            self.actions.append(api.Refuse(request.event.request, retry_after, cause))
+        else:
+            self.actions.append(api.Fail(request.event.request))
+        self._forget_request(request)
+
+    def _forget_request(self, request: Request) -> None:
+        """Drop a request that needs no more answer, and cancel its open attempt."""
         self.requests.pop(request.event.request, None)
         if request.account:
-            request.account.waiting.pop(request.event.request, None)
-        if self.s.may_cancel and request.out:
+            request.account.waiting_units.pop(request.event.request, None)
+        if self.settings.may_cancel and request.open_attempts:
             self.actions.append(api.Cancel(request.event.request, len(request.attempts) - 1))
 
     def _client_gone(self, event: api.ClientGone) -> None:
         if request := self.requests.get(event.request):
-            self._drop(request)
+            self._forget_request(request)
 
     def _timer_fired(self, event: api.TimerFired) -> None:
         request = self.requests.get(event.token - 1)
-        if event.token == TURN:
-            self._turn()
-        elif event.token == ASKED:
-            self._answer_due()
-        elif request and not request.out:
+        if event.token == GOSSIP_TIMER:
+            self._gossip()
+        elif event.token == ANSWER_TIMER:
+            self._check_answer()
+        elif request and not request.open_attempts:
             self._advance(request)
 
     # -- servers ------------------------------------------------------------------------------------------
 
     def _server_listed(self, event: api.ServerListed) -> None:
-        self._use(self.apply_list(event, self.now) if event.kind is not ListKind.FAILED else [])
+        if event.kind is not ListKind.FAILED:
+            self._add_servers(self.apply_server_list(event, self.now))
 
-    def _use(self, hosts: list[Host]) -> None:
+    def _add_servers(self, hosts: list[Host]) -> None:
         for host in hosts:
-            (self.warm if self._is_warm(host) else self.cold).add(host)
+            pool = self.warm if self._is_warm(host) else self.cold
+            pool.add(host)
             self.warming.append(host)
 
     def _server_banned(self, event: api.ServerBanned) -> None:
-        """A ban lies over discovery's list; one that is lifted leaves what discovery says by now."""
-        if event.out:
+        """Apply a ban on top of discovery's list, or lift it, so that the current list applies."""
+        if event.banned:
             self.ban(event.server)
         elif event.server in self.banned:
-            self._use(self.lift_ban(event.server))
-            after = self.now + int(self.random.random() * self._back_apart())
-            self.returned[event.server] = self.now + BACK_FOR, after
-
-    def _expected(self, host: Host, kind: int) -> float:
-        """The expected answer time: what requests met there, how the load changed, how long it is quiet."""
-        fleet, _ = self._met_by(host).marks(self.now, FORGET)
-        (slow, typical), fails = host.marks(self.now, FORGET, fleet)  # not met lately: like all the others
-        time = self.usual[kind] * slow * (1 + FAIL_WEIGHT * fails) * (host.out + BASE) / typical
+            self._add_servers(self.lift_ban(event.server))
+            first_trial_at = self.now + int(self.random.random() * self._reinstated_trial_spacing())
+            self.reinstated[event.server] = self.now + REINSTATED_TRIAL_TIME, first_trial_at
+
+    def _expected_time(self, host: Host, kind: int) -> float:
+        """Expected response time, from recent response times, current load and time of silence."""
+        # A server without recent samples is assumed to be like the others.
+        fleet, _ = self._fleet_stats(host).decayed(self.now, DECAY_TIME)
+        (slowdown, typical_load), failures = host.decayed(self.now, DECAY_TIME, fleet)
+        load = host.open_attempts + BASE_LOAD
+        time = self.usual_times[kind] * slowdown * (1 + FAILURE_WEIGHT * failures) * load / typical_load
         if self._is_warm(host) and len(self.attempts) < len(self.warm.hosts):
-            # Too few are out for a server's own to tell its load: a jam that grows shows in all of them, long
-            # before the answers tell of it.
-            time *= max(1.0, (len(self.attempts) + CROWD) / (self.crowd + CROWD))
-        if host.out:  # guards against a stalling or dead server: it answers nobody
-            time = max(time, self.now - host.active)
+            # With fewer open attempts than servers, the load of a single server says little. A growing
+            # overload shows in the number of all open attempts, long before slow answers arrive.
+            concurrency = len(self.attempts) + CONCURRENCY_SMOOTHING
+            time *= max(1.0, concurrency / (self.typical_concurrency + CONCURRENCY_SMOOTHING))
+        if host.open_attempts:
+            # Guards against a stalled or dead server, which answers nothing.
+            time = max(time, self.now - host.last_active)
         return time
 
-    def _met_by(self, host: Host) -> Known:
-        """What all servers like this one met: one that has just started stood in no jam before."""
-        return self.met if self._is_warm(host) else self.met_cold
-
-    def _learn(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Each outcome tells of its server; a mark fades unless renewed, so that traffic returns gently."""
-        host, zone, met = attempt.host, self.zones_met[attempt.host.entry.zone], self._met_by(attempt.host)
-        for known in (host, zone, met):
-            known.fade(self.now, FORGET)
-        if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
-            host.active = self.now
-            self.returned.pop(event.server, None)
-            host.kept = max(host.kept, host.out + 1)
-        elif host.out == 0:
-            host.kept = 0  # cut off, with all that it had
+    def _fleet_stats(self, host: Host) -> HealthStats:
+        """Stats of all warm or all cold servers: one that just started was not part of an overload."""
+        return self.warm_stats if self._is_warm(host) else self.cold_stats
+
+    def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
+        """Update the health stats by an outcome; they decay, so that traffic returns gradually."""
+        host = attempt.host
+        zone = self.zone_stats[host.entry.zone]
+        fleet = self._fleet_stats(host)
+        for stats in (host, zone, fleet):
+            stats.decay(self.now, DECAY_TIME)
+        self._record_connection(host, event)
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
-            self.crowd += LEARN * (attempt.crowd - self.crowd)
-            # Guards against a jam of all servers, where a gateway meets each of them too seldom to learn.
-            for known in (host, met):
-                known.slow += LEARN * (min(SLOW_MOST, event.took / self.usual[kind]) - known.slow)
-                known.typical += LEARN * (attempt.load - known.typical)
-            # Capped, so that in a jam an idle server still seems worth a try and the end of it is noticed.
-            most = START_OF_AIM * self.s.classes[kind].aim
-            self.usual[kind] = min(most, self.usual[kind] + LEARN / 5 * (event.took - self.usual[kind]))
-        for known in (host, zone):  # in a cut each server of the zone would else be tried in turn
+            self._record_response_time(attempt, kind, event.duration)
+        # Counted for the zone too: in a network partition each of its servers would else be tried in turn.
+        for stats in (host, zone):
             if event.outcome is Outcome.SERVED:
-                known.fails /= 2
+                stats.failures /= 2
             elif event.outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
-                known.fails = min(known.fails + 1, 1 / LEARN)  # soon forgiven
+                stats.failures = min(stats.failures + 1, 1 / EWMA_WEIGHT)  # so that it recovers soon
 
-    # -- counts -------------------------------------------------------------------------------------------
+    def _record_connection(self, host: Host, event: api.AttemptEnded) -> None:
+        """Update the estimate of open connections to a server."""
+        if event.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
+            host.last_active = self.now
+            self.reinstated.pop(event.server, None)
+            host.open_connections = max(host.open_connections, host.open_attempts + 1)
+        elif host.open_attempts == 0:
+            # Its connections are assumed to be lost.
+            host.open_connections = 0
+
+    def _record_response_time(self, attempt: Attempt, kind: int, duration: int) -> None:
+        """Update the moving averages of slowdown, load and usual response time."""
+        usual_time = self.usual_times[kind]
+        self.typical_concurrency += EWMA_WEIGHT * (attempt.concurrency - self.typical_concurrency)
+        # Also for the whole fleet: in an overload of all servers, a gateway that sends to each of them only
+        # rarely would not notice it.
+        slowdown = min(SLOWDOWN_MAX, duration / usual_time)
+        for stats in (attempt.host, self._fleet_stats(attempt.host)):
+            stats.slowdown += EWMA_WEIGHT * (slowdown - stats.slowdown)
+            stats.typical_load += EWMA_WEIGHT * (attempt.load - stats.typical_load)
+        # Capped, so that during an overload an idle server is still tried and the end is noticed.
+        longest = INITIAL_TARGET_SHARE * self.settings.classes[kind].target_latency
+        learned = usual_time + EWMA_WEIGHT / 5 * (duration - usual_time)
+        self.usual_times[kind] = min(longest, learned)
+
+    # -- quotas -------------------------------------------------------------------------------------------
 
     def _account(self, customer: int, plan: int, first: int, size: int, trusted: bool) -> Account:
-        account, key = self.accounts.get(customer), (plan, first, max(1, min(size, self.s.gateways)))
+        """The customer's account, created if there is none.
+
+        The placement given by a request (trusted) replaces a stored one; that given by a peer does not.
+        """
+        placement = plan, first, max(1, min(size, self.settings.gateways))
+        account = self.accounts.get(customer)
         if account is None:
-            account = Account(customer, key, self.s.plans[plan].burst, self.now)
+            account = Account(customer, placement, self.settings.plans[plan].burst, self.now)
             self.accounts[customer] = account
             self.idle_queue.append(customer)
-        elif trusted:  # a request goes before a peer
-            account.key = key
+        elif trusted:
+            account.placement = placement
         return account
 
-    def _lift(self, account: Account) -> None:
-        """Raise the limit by the time gone; room stays within the burst."""
-        plan, span, account.risen = self.s.plans[account.plan], self.now - account.risen, self.now
-        part = self._ceiling_part(account)
-        gained = plan.ceiling_rate * part * span / SECOND
-        account.ceiling = min(plan.ceiling_burst * part, account.ceiling + gained)
-        share = 1 / account.size if self.alone else 1.0  # a silent peer gets no rule: most are down
+    def _refill(self, account: Account) -> None:
+        """Refill the quota and the ceiling for the elapsed time; update whether to throttle the customer."""
+        plan = self.settings.plans[account.plan]
+        elapsed = self.now - account.refilled_at
+        account.refilled_at = self.now
+        self._refill_ceiling(account, plan, elapsed)
+
+        # Peers that are silent do not reduce what is granted here, as most of them are down.
+        share = 1 / account.set_size if self.gossip_disabled else 1.0
         burst = plan.burst * share
-        account.part = (account.part or self._own_part(account)) if self._is_cut_off() else 0.0
-        share = account.part or share
-        # Debt: what went beyond the quota took nothing from the true store, so the limit never lies below.
-        limit = max(account.total, account.limit + plan.rate * share * span / SECOND)
+        if self._is_isolated():
+            account.isolated_share = account.isolated_share or self._local_share(account)
+        else:
+            account.isolated_share = 0.0
+        share = account.isolated_share or share
+
+        # Units spent beyond the quota are not paid back: the limit never lies below the total.
+        limit = max(account.total, account.limit + plan.rate * share * elapsed / SECOND)
         account.limit = min(limit, account.total + burst)
-        nearly = account.room < (REOPEN if account.closed else CLOSE) * burst
-        account.closed = nearly and not self._is_wide(account)  # its keeper is asked instead
-
-    def _ceiling_part(self, account: Account) -> float:
-        """Rule 5: each gateway alone fills its part of the ceiling's store, from nothing at its start. Half
-        is the first keeper's, who gives of it what others want: it takes that off before it tells them."""
-        return (1 + account.size * (self._keeper(account) == self.rank)) / (2 * account.size)
-
-    def _is_cut_off(self) -> bool:
-        """Whether nobody is heard any more: a few that are silent are down, and their clients come here."""
-        if self.view:
-            return self.view.apart
-        return len(self.unanswered) >= CUT_OFF and self.now - self.any_heard > 2 * ANSWER_WITHIN
-
-    def _own_part(self, account: Account) -> float:
-        """Of what the customer spent, the part spent here; where nothing is known, its share."""
-        burst, own = self.s.plans[account.plan].burst, account.counts.get(self.rank, (0, 0.0))[1]
-        return min(1.0, (own + burst / account.size) / (account.total + burst)) if burst else 1.0
-
-    def _is_wide(self, account: Account) -> bool:
-        """Whether news of it takes longer to go round its set than its burst takes to come back."""
-        plan = self.s.plans[account.plan]
-        return not self.alone and INTERVAL * (account.size - 1) * plan.rate > plan.burst * SECOND
+
+        threshold = RESUME_ABOVE if account.throttled else THROTTLE_BELOW
+        is_low = account.remaining < threshold * burst
+        # Where gossip is too slow, the owner is queried instead.
+        account.throttled = is_low and not self._outruns_gossip(account)
+
+    def _refill_ceiling(self, account: Account, plan: api.Plan, elapsed: int) -> None:
+        """Add the ceiling tokens of the elapsed time, up to this gateway's part of the ceiling's burst."""
+        share = self._ceiling_share(account)
+        gained = plan.ceiling_rate * share * elapsed / SECOND
+        account.ceiling_tokens = min(plan.ceiling_burst * share, account.ceiling_tokens + gained)
+
+    def _ceiling_share(self, account: Account) -> float:
+        """Part of the ceiling that this gateway may send without a grant.
+
+        Each gateway refills its part from empty at its start. Half of the ceiling belongs to the owner, which
+        grants tokens from it and deducts them before it answers.
+        """
+        is_owner = self._owner(account) == self.rank
+        parts = 1 + account.set_size if is_owner else 1
+        return parts / (2 * account.set_size)
+
+    def _is_isolated(self) -> bool:
+        """Whether this gateway is cut off from its peers.
+
+        A few silent peers are assumed to be down, with their clients coming here.
+        """
+        if self.membership:
+            return self.membership.isolated
+        if len(self.unresponsive) < ISOLATION_MIN_UNRESPONSIVE:
+            return False
+        return self.now - self.any_received_at > 2 * ANSWER_TIMEOUT
+
+    def _local_share(self, account: Account) -> float:
+        """Part of the customer's spending that went through this gateway; 1 / set size if unknown."""
+        burst = self.settings.plans[account.plan].burst
+        if not burst:
+            return 1.0
+        _, own_units = account.counts.get(self.rank, (0, 0.0))
+        return min(1.0, (own_units + burst / account.set_size) / (account.total + burst))
+
+    def _outruns_gossip(self, account: Account) -> bool:
+        """Whether the burst refills faster than gossip reaches the whole gateway set."""
+        if self.gossip_disabled:
+            return False
+        plan = self.settings.plans[account.plan]
+        return GOSSIP_INTERVAL * (account.set_size - 1) * plan.rate > plan.burst * SECOND
 
     def _spend(self, request: Request) -> None:
-        account, units = request.account, request.event.units
-        start, value = account.counts.get(self.rank, (self.now // MS // messages.TICK, 0.0))
-        account.total += self._count(account, self.rank, start, value + units)
-        account.ceiling -= units if self.s.plans[account.plan].ceiling_rate else 0.0
-        if account.size > 1 and not self.alone:
-            self.changed[account.customer] = None
-            if not request.told or self.s.plans[account.plan].ceiling_rate:  # else it is counted in already
-                self._tell_keeper(account, request.asked)
-
-    def _count(self, account: Account, rank: int, start: int, value: float) -> float:
-        """Newer start, then larger value; what was spent in an earlier life stays spent. The growth."""
-        known = account.counts.get(rank, (-1, 0.0))
-        if (start, value) <= known:
+        """Count the units of a request and notify the owner."""
+        account = request.account
+        units = request.event.units
+        has_ceiling = bool(self.settings.plans[account.plan].ceiling_rate)
+        start, value = account.counts.get(self.rank, (self._ticks(), 0.0))
+        account.total += self._merge_count(account, self.rank, start, value + units)
+        if has_ceiling:
+            account.ceiling_tokens -= units
+        if account.set_size == 1 or self.gossip_disabled:
+            return
+        self.pending_gossip[account.customer] = None
+        # An owner that approved the request has counted its units already.
+        if not request.owner_replied or has_ceiling:
+            self._notify_owner(account, request.owner_index)
+
+    def _merge_count(self, account: Account, rank: int, start: int, value: float) -> float:
+        """Merge a gateway's count: a newer start wins, then a larger value. Returns the growth.
+
+        Units counted before that gateway restarted stay counted.
+        """
+        known_start, known_value = account.counts.get(rank, (-1, 0.0))
+        if (start, value) <= (known_start, known_value):
             return 0.0
         account.counts[rank] = start, value
-        account.news = (*(r for r in account.news if r != rank), rank)[-NEWS_MOST:]
-        growth = value - known[1] if start == known[0] else value
-        account.spent += growth
+        other_ranks = (other for other in account.recent_ranks if other != rank)
+        account.recent_ranks = (*other_ranks, rank)[-ROW_COUNTS_MAX:]
+        growth = value - known_value if start == known_start else value
+        account.counted += growth
         return growth
 
     # -- gossip -------------------------------------------------------------------------------------------
 
-    def _keeper(self, account: Account, number: int = 0) -> int:
-        return self._member(account, (account.customer * KEEPER_STRIDE >> 16) + number)
+    def _owner(self, account: Account, index: int = 0) -> int:
+        """Rank of the customer's owner, or of the candidate with this index that stands in for it."""
+        start = account.customer * OWNER_HASH_MULTIPLIER >> 16
+        return self._member_rank(account, start + index)
+
+    def _member_rank(self, account: Account, position: int) -> int:
+        """Rank of the gateway at a position in the customer's gateway set."""
+        return (account.set_first + position % account.set_size) % self.settings.gateways
 
-    def _member(self, account: Account, place: int) -> int:
-        return (account.first + place % account.size) % self.s.gateways
+    def _notify_owner(self, account: Account, index: int) -> None:
+        """Notify the owner of an approval, so that it can add up those of all gateways.
 
-    def _tell_keeper(self, account: Account, number: int) -> None:
-        """Every approval is told to one gateway of the set, which adds them up; the next one stands in."""
-        rank = self._keeper(account, number)
-        if number >= min(KEEPERS, account.size):
-            account.fresh = False  # nobody answers: it is not kept to its first share for good
+        The next candidate stands in for an owner that is unavailable or does not answer.
+        """
+        if index >= min(OWNER_CANDIDATES, account.set_size):
+            # No candidate answers: the customer must not stay limited to its initial share.
+            account.unconfirmed = False
             return
-        if rank in self.away:
-            self._tell_keeper(account, number + 1)
-        elif rank != self.rank:
-            self._lift(account)
-            wanted = self._wanted(account)
-            asks = account.fresh or wanted or self.now - self.heard.get(rank, 0) > ANSWER_WITHIN
-            row = self._row(account, 0, wanted)
-            self._tell(rank, [row], account.customer, number if asks else None, keep=True)
-        elif account.fresh:
-            self._tell_keeper(account, number + 1)
+        rank = self._owner(account, index)
+        if rank in self.unavailable or (rank == self.rank and account.unconfirmed):
+            self._notify_owner(account, index + 1)
+        elif rank == self.rank:
+            self._broadcast_if_throttled(account)
         else:
-            self._keep(account)
+            self._refill(account)
+            wanted = self._request_tokens(account)
+            is_silent = self.now - self.last_received.get(rank, 0) > ANSWER_TIMEOUT
+            expects_answer = account.unconfirmed or wanted or is_silent
+            row = self._pack_row(account, 0, wanted)
+            self._send_message(
+                rank, [row], account.customer, index if expects_answer else None, to_owner=True
+            )
 
-    def _wanted(self, account: Account) -> float:
-        """What there is room for of a ceiling's rights; several questions may be out."""
-        burst = self.s.plans[account.plan].ceiling_burst
-        wanted = max(0.0, burst * self._ceiling_part(account) - account.ceiling)
-        account.asked = min(burst, account.asked + wanted)
+    def _request_tokens(self, account: Account) -> float:
+        """Ceiling tokens to request: what this gateway's part lacks; several requests may be pending."""
+        burst = self.settings.plans[account.plan].ceiling_burst
+        wanted = max(0.0, burst * self._ceiling_share(account) - account.ceiling_tokens)
+        account.requested_tokens = min(burst, account.requested_tokens + wanted)
         return wanted
 
-    def _is_silent(self, rank: int, again: bool) -> bool:
-        """Whether it left questions unanswered; it is tried anew now and then, once a request."""
-        misses, last = self.missed.get(rank, (0, 0))
-        return misses >= MISSES and (again or self.now - last < FORGET)
+    def _is_unresponsive(self, rank: int, is_repeat: bool) -> bool:
+        """Whether a gateway left its last queries unanswered; it is retried at times, once per request."""
+        count, last_at = self.unanswered_queries.get(rank, (0, 0))
+        if count < UNANSWERED_QUERIES_MAX:
+            return False
+        return is_repeat or self.now - last_at < DECAY_TIME
 
-    def _answer_due(self) -> None:
-        """Guards against cuts and dead keepers: no answer in time is told to the next keeper."""
-        at, rank, customer, number = self.asked.popleft()
-        if self.now - at > 2 * ANSWER_WITHIN:  # we stood still ourselves: nothing is known of the other
+    def _check_answer(self) -> None:
+        """Notify the next candidate if the owner did not answer in time, as it may be down or unreachable."""
+        query = self.pending_answers.popleft()
+        if self.now - query.sent_at > 2 * ANSWER_TIMEOUT:
+            # This process was stalled itself, so the missing answer says nothing about the peer.
+            return
+        if self.last_received.get(query.rank, -1) >= query.sent_at:
             return
-        if self.heard.get(rank, -1) >= at:
+        count, _ = self.unanswered_queries.get(query.rank, (0, 0))
+        self.unanswered_queries[query.rank] = count + 1, self.now
+        self.unresponsive.add(query.rank)
+        account = self.accounts.get(query.customer)
+        if account and query.owner_index != NO_OTHER_OWNER:
+            self._notify_owner(account, query.owner_index + 1)
+
+    def _broadcast_if_throttled(self, account: Account) -> None:
+        """Broadcast to the gateway set that a customer is throttled, repeated in case a message is lost."""
+        if not account.throttled:
             return
-        self.missed[rank] = self.missed.get(rank, (0, 0))[0] + 1, self.now
-        self.unanswered.add(rank)
-        if number >= 0 and (account := self.accounts.get(customer)):
-            self._tell_keeper(account, number + 1)
-
-    def _keep(self, account: Account) -> None:
-        """A customer was fast, its room is low: its set is told at once, and again if some miss it."""
-        plan = self.s.plans[account.plan]
-        if account.closed and plan.rate * (self.now - account.spread) > CLOSE * plan.burst * SECOND:
-            account.spread = self.now
-            self._hand_on(account, account.size - 1)
-
-    def _hand_on(self, account: Account, reach: int) -> None:
-        """Tell the next so many of the set: a few of them, each handing on to a part of the rest."""
-        place = self._place(self.rank, account.first)
-        step = -(-reach // FAN)
-        done, part = 0, 1 + self.random.randrange(step) if reach else 0
+        plan = self.settings.plans[account.plan]
+        gained = plan.rate * (self.now - account.broadcast_at)
+        if gained > THROTTLE_BELOW * plan.burst * SECOND:
+            account.broadcast_at = self.now
+            self._broadcast(account, account.set_size - 1)
+
+    def _broadcast(self, account: Account, reach: int) -> None:
+        """Notify the next ``reach`` gateways of the set.
+
+        They are divided into sections, and the first available gateway of each forwards the row to the rest
+        of its section. The first section has a random size, so that the forwarding gateways vary.
+        """
+        if not reach:
+            return
+        own_position = self._position(self.rank, account.set_first)
+        section_size = -(-reach // FAN_OUT)
+        size = 1 + self.random.randrange(section_size)
+        done = 0
         while done < reach:
-            part = min(part, reach - done)
-            ranks = [self._member(account, place + 1 + done + i) for i in range(part)]
-            first = next((i for i, rank in enumerate(ranks) if rank not in self.away), None)
-            if first is not None:
-                self._tell(ranks[first], [self._row(account, part - 1 - first)])
-            done, part = done + part, step
-
-    def _turn(self) -> None:
-        """The pending changes that concern one random peer, those of the fastest customers first."""
-        self.actions.append(api.SetTimer(INTERVAL, TURN))
-        if not self.changed:
+            size = min(size, reach - done)
+            first_position = own_position + 1 + done
+            ranks = [self._member_rank(account, first_position + i) for i in range(size)]
+            index = next((i for i, rank in enumerate(ranks) if rank not in self.unavailable), None)
+            if index is not None:
+                row = self._pack_row(account, size - 1 - index)
+                self._send_message(ranks[index], [row])
+            done += size
+            size = section_size
+
+    def _gossip(self) -> None:
+        """Send one random peer the pending changes of customers it serves, the most exhausted ones first."""
+        self.actions.append(api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER))
+        if not self.pending_gossip:
             return
-        account = self.accounts[next(iter(self.changed))]
-        place = self._place(self.rank, account.first)
-        for _ in range(AWAY_LOOKS):
-            rank = self._member(account, place + 1 + self.random.randrange(account.size - 1))
-            if rank not in self.away:
-                break
-        else:
+        rank = self._draw_peer(self.accounts[next(iter(self.pending_gossip))])
+        if rank is None:
             return
-        looked = [self.accounts[customer] for customer in islice(self.changed, LOOK_AT)]
-        shared = [a for a in looked if self._place(rank, a.first) < a.size]
-        shared.sort(key=lambda a: a.room / (self.s.plans[a.plan].burst or 1.0))
-        rows = messages.fit(self._row(a, 0) for a in shared)
-        if self._tell(rank, rows, number=-1):
-            for told in shared[: len(rows)]:
-                del self.changed[told.customer]
-
-    def _place(self, rank: int, first: int) -> int:
-        return (rank - first) % self.s.gateways
-
-    def _tell(self, rank: int, rows: list[bytes], customer=0, number: int | None = None, keep=False) -> bool:
-        """Every message passes here: all that one gateway sends stays below what one takes in."""
-        gained = self.per_second * (self.now - self.filled) / SECOND
-        self.allowance, self.filled = min(self.per_second, self.allowance + gained), self.now
-        if self.allowance < 1:
+        scanned = [self.accounts[customer] for customer in islice(self.pending_gossip, GOSSIP_SCAN_MAX)]
+        shared = [a for a in scanned if self._position(rank, a.set_first) < a.set_size]
+        shared.sort(key=lambda a: a.remaining / (self.settings.plans[a.plan].burst or 1.0))
+        rows = messages.fit(self._pack_row(a, 0) for a in shared)
+        if self._send_message(rank, rows, owner_index=NO_OTHER_OWNER):
+            for account in shared[: len(rows)]:
+                del self.pending_gossip[account.customer]
+
+    def _draw_peer(self, account: Account) -> int | None:
+        """A random available peer of the customer's gateway set."""
+        own_position = self._position(self.rank, account.set_first)
+        for _ in range(PEER_DRAWS_MAX):
+            distance = 1 + self.random.randrange(account.set_size - 1)
+            rank = self._member_rank(account, own_position + distance)
+            if rank not in self.unavailable:
+                return rank
+        return None
+
+    def _position(self, rank: int, first: int) -> int:
+        """Position of a gateway in a set that begins with rank ``first``."""
+        return (rank - first) % self.settings.gateways
+
+    def _send_message(
+        self,
+        rank: int,
+        rows: list[bytes],
+        customer: int = 0,
+        owner_index: int | None = None,
+        to_owner: bool = False,
+    ) -> bool:
+        """Send a message to a peer unless the rate limit is reached; every message passes here.
+
+        With an ``owner_index`` an answer is requested and checked for.
+        """
+        gained = self.send_rate * (self.now - self.allowance_refilled_at) / SECOND
+        self.send_allowance = min(self.send_rate, self.send_allowance + gained)
+        self.allowance_refilled_at = self.now
+        if self.send_allowance < 1:
             return False
-        self.allowance -= 1
-        if number is not None:
-            self.asked.append((self.now, rank, customer, number))
-            self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
-        body = messages.pack(self.now // MS, number is not None, keep, rows)
-        self.actions.append(api.TellPeer(rank, body))
+        self.send_allowance -= 1
+        expects_answer = owner_index is not None
+        if expects_answer:
+            self.pending_answers.append(PendingAnswer(self.now, rank, customer, owner_index))
+            self.actions.append(api.SetTimer(ANSWER_TIMEOUT, ANSWER_TIMER))
+        body = messages.pack(self.now // MS, expects_answer, to_owner, rows)
+        self.actions.append(api.SendPeerMessage(rank, body))
         return True
 
-    def _row(self, account: Account, reach: int, rights: float = 0.0, own: bool = False) -> bytes:
-        self._lift(account)
-        news = (
-            (*account.news, self.rank)[-NEWS_MOST:] if own and self.rank in account.counts else account.news
+    def _pack_row(
+        self, account: Account, reach: int, tokens: float = 0.0, include_own: bool = False
+    ) -> bytes:
+        """The account as a row of a message, with the counts that changed last."""
+        self._refill(account)
+        ranks = account.recent_ranks
+        if include_own and self.rank in account.counts:
+            ranks = (*ranks, self.rank)[-ROW_COUNTS_MAX:]
+        counts = tuple((rank, *account.counts[rank]) for rank in dict.fromkeys(ranks))
+        row = messages.Row(
+            account.customer, *account.placement, reach, account.remaining, account.total, tokens, counts
         )
-        counts = tuple((rank, *account.counts[rank]) for rank in dict.fromkeys(news))
-        row = messages.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
-        return messages.pack_row(row, self.now // MS, self.s.gateways)
+        return messages.pack_row(row, self.now // MS, self.settings.gateways)
 
     def _members_changed(self, event: api.MembersChanged) -> None:
-        self.view, self.away = event, event.away
+        self.membership = event
+        self.unavailable = event.unavailable
 
     def _peer_message(self, event: api.PeerMessage) -> None:
-        message = messages.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
-        age = self.now - message.sent * MS if message else LATE_MOST
-        if self.alone or not 0 <= event.sender < self.s.gateways or abs(age) >= LATE_MOST:
+        settings = self.settings
+        message = messages.unpack(event.body, self.now // MS, settings.gateways, len(settings.plans))
+        if message is None or self.gossip_disabled or not 0 <= event.sender < settings.gateways:
+            return
+        age = self.now - message.sent * MS
+        if abs(age) >= MESSAGE_AGE_MAX:
             return
-        self.heard[event.sender] = self.any_heard = self.now
-        self.unanswered.clear()
-        self.missed.pop(event.sender, None)
+
+        self.any_received_at = self.now
+        self.last_received[event.sender] = self.now
+        self.unresponsive.clear()
+        self.unanswered_queries.pop(event.sender, None)
+
         merged = []
         for row in message.rows:
-            if self._place(self.rank, row.set_first) < row.set_size:
-                account = self._merge(row, event.sender, max(0, age), message.keep)
+            if self._position(self.rank, row.set_first) < row.set_size:
+                account = self._merge_row(row, event.sender, max(0, age), message.keep)
                 merged.append((account, row.rights if message.keep else 0.0))
-                self._hand_on(account, min(row.reach, account.size - 1))
+                self._broadcast(account, min(row.reach, account.set_size - 1))
                 if message.keep:
-                    self._keep(account)
+                    self._broadcast_if_throttled(account)
                 else:
-                    self._answered(account, event.sender)
+                    self._resume_waiting(account, event.sender)
         if message.ask:
-            rows = (self._answer(account, event.sender, wanted, message.keep) for account, wanted in merged)
-            self._tell(event.sender, messages.fit(rows))
-
-    def _answered(self, account: Account, sender: int) -> None:
-        """The keeper's word has come for the request that waits longest."""
-        for request in map(self.requests.get, account.waiting):
-            if request and self._keeper(account, request.asked) == sender:
-                request.told = True
-                del account.waiting[request.event.request]
-                return self._advance(request)
-
-    def _answer(self, account: Account, rank: int, wanted: float, keep: bool) -> bytes:
-        """Who is told that there is room will use it: counted in at once, or others would be told of it too.
-        Where it asks once more it has not, so that is taken back."""
-        if keep:
-            held, at = account.promised.pop(rank, (0.0, 0))
-            account.total -= held * (self.now - at < ASKS * ASK_WITHIN)
-        row = self._row(account, 0, self._give(account, wanted))
-        if self._is_wide(account) and not self.s.plans[account.plan].ceiling_rate and wanted <= account.room:
-            account.promised[rank] = wanted, self.now
+            rows = (
+                self._answer_row(account, event.sender, wanted, message.keep) for account, wanted in merged
+            )
+            self._send_message(event.sender, messages.fit(rows))
+
+    def _resume_waiting(self, account: Account, sender: int) -> None:
+        """Continue the request that has waited longest for this owner's answer."""
+        for request in map(self.requests.get, account.waiting_units):
+            if request and self._owner(account, request.owner_index) == sender:
+                request.owner_replied = True
+                del account.waiting_units[request.event.request]
+                self._advance(request)
+                return
+
+    def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
+        """The row that answers a query.
+
+        Units that the peer was told are available are reserved at once, or others would be told of them too.
+        A peer that queries again has not used them, so the earlier reservation is returned.
+        """
+        if to_owner:
+            units, reserved_at = account.reserved.pop(rank, (0.0, 0))
+            if self.now - reserved_at < OWNER_QUERIES_MAX * OWNER_WAIT_TIMEOUT:
+                account.total -= units
+        row = self._pack_row(account, 0, self._grant_tokens(account, wanted))
+        has_ceiling = bool(self.settings.plans[account.plan].ceiling_rate)
+        if self._outruns_gossip(account) and not has_ceiling and wanted <= account.remaining:
+            account.reserved[rank] = wanted, self.now
             account.total += wanted
         return row
 
-    def _give(self, account: Account, wanted: float) -> float:
-        """Rights of a ceiling, off our part before they are told, so that loss is safe."""
-        given = min(account.ceiling, wanted) if self._keeper(account) == self.rank else 0.0
-        account.ceiling -= given
-        return given
+    def _grant_tokens(self, account: Account, wanted: float) -> float:
+        """Grant ceiling tokens; they are deducted before the answer is sent, so that losing it is safe."""
+        if self._owner(account) != self.rank:
+            return 0.0
+        granted = min(account.ceiling_tokens, wanted)
+        account.ceiling_tokens -= granted
+        return granted
 
-    def _merge(self, row: messages.Row, sender: int, age: int, keep: bool) -> Account:
-        """Newer start, then larger value; the larger limit."""
+    def _merge_row(self, row: messages.Row, sender: int, age: int, to_owner: bool) -> Account:
+        """Merge a peer's row into the account: its counts, total and limit."""
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
-        account.fresh, plan = False, self.s.plans[account.plan]
-        self._lift(account)
-        told, given = 0.0, 0.0 if keep else min(row.rights, account.asked)
-        account.ceiling, account.asked = account.ceiling + given, account.asked - given
+        account.unconfirmed = False
+        plan = self.settings.plans[account.plan]
+        self._refill(account)
+        if not to_owner:
+            granted = min(row.rights, account.requested_tokens)
+            account.ceiling_tokens += granted
+            account.requested_tokens -= granted
+
+        unreported = 0.0
         for rank, start, value in row.counts:
-            if rank != self.rank:  # our own count is ours; an earlier life's is within the total
-                new = rank in account.counts or self.now // MS // messages.TICK - start < NEW_TICKS
-                grown = self._count(account, rank, start, value)
-                promised, at = account.promised.get(rank, (0.0, 0))
-                known = min(grown, promised)
-                if known:
-                    account.promised[rank] = promised - known, at
-                told += (grown - known) * (rank == sender and keep and new)
-                if grown:
-                    account.others = (*account.others, self.now)[-max(1, plan.open) :]
-        if told:  # what is spread reaches all without
-            self.changed[account.customer] = None
-        # The total tells of counts that did not fit or were lost, so that a gateway that missed them knows.
-        account.total = max(account.total + told, account.spent, row.total)
+            # Only this gateway changes its own count; what it counted before a restart is in the total.
+            if rank == self.rank:
+                continue
+            is_new = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
+            growth = self._merge_count(account, rank, start, value)
+            if growth:
+                account.peer_approvals = (*account.peer_approvals, self.now)[-max(1, plan.max_open) :]
+            growth -= self._take_reserved(account, rank, growth)
+            if rank == sender and to_owner and is_new:
+                unreported += growth
+        if unreported:
+            # Rows that are broadcast reach all gateways without gossip.
+            self.pending_gossip[account.customer] = None
+
+        # The total covers counts that did not fit into the row or were lost on the way.
+        account.total = max(account.total + unreported, account.counted, row.total)
         account.limit = max(account.limit, row.total + row.room + plan.rate * age / SECOND)
-        self._lift(account)
+        self._refill(account)
         return account
 
-    def _drop_idle(self) -> None:
-        """Full and idle accounts say nothing: forgotten a few at a time, one-off customers cost no memory."""
-        for _ in range(min(IDLE_LOOKS, len(self.idle_queue))):
+    def _take_reserved(self, account: Account, rank: int, growth: float) -> float:
+        """Use a reservation for units that a peer has now reported as spent; returns how many it covered."""
+        reserved, reserved_at = account.reserved.get(rank, (0.0, 0))
+        taken = min(growth, reserved)
+        if taken:
+            account.reserved[rank] = reserved - taken, reserved_at
+        return taken
+
+    def _ticks(self) -> int:
+        """The time in ticks, the unit in which the start of a count is sent."""
+        return self.now // MS // messages.TICK
+
+    def _evict_idle(self) -> None:
+        """Evict idle accounts with a full quota, which hold no information, a few at a time.
+
+        Customers that are seen only once would otherwise use memory forever.
+        """
+        for _ in range(min(IDLE_SCAN_MAX, len(self.idle_queue))):
             customer = self.idle_queue.popleft()
-            self._lift(account := self.accounts[customer])
-            plan = self.s.plans[account.plan]
-            full = account.ceiling >= plan.ceiling_burst / account.size and account.room >= plan.burst
-            if account.out or account.waiting or not full:
+            account = self.accounts[customer]
+            self._refill(account)
+            plan = self.settings.plans[account.plan]
+            has_full_ceiling = account.ceiling_tokens >= plan.ceiling_burst / account.set_size
+            is_full = has_full_ceiling and account.remaining >= plan.burst
+            if account.open_attempts or account.waiting_units or not is_full:
                 self.idle_queue.append(customer)
                 continue
             del self.accounts[customer]
-            self.changed.pop(customer, None)
+            self.pending_gossip.pop(customer, None)
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -255,13 +255,13 @@
 
 def _request_class(c: dict) -> api.RequestClass:
     return api.RequestClass(
-        aim=int(c["target"]),
+        target_latency=int(c["target"]),
         deadline=int(c["deadline"]),
         worth=float(c["credit"]),
         late_worth=float(c["lateWorth"]),
         effect=EFFECTS[c["effect"]],
         group=api.Group(c["group"]),
-        window=int(c["dedupWindow"]),
+        dedup_window=int(c["dedupWindow"]),
     )
 
 
@@ -269,7 +269,7 @@
     return api.Plan(
         rate=float(p["perSecond"]),
         burst=float(p["peakUnits"]),
-        open=int(p["open"]),
+        max_open=int(p["open"]),
         price=float(p["pays"]),
         beyond_earns=float(p["beyondEarns"]),
         beyond_costs=float(p["overrunCost"]),
@@ -290,7 +290,7 @@
         """One action of one gateway."""
         match action:
             case api.Send():
-                raw = _SEND.pack(65, gateway, action.request, action.server, action.give_up_at)
+                raw = _SEND.pack(65, gateway, action.request, action.server, action.deadline)
             case api.Refuse():
                 raw = _REFUSE.pack(66, gateway, action.request, action.retry_after)
             case api.Fail():
@@ -298,12 +298,12 @@
             case api.Cancel():
                 raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
             case api.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.span, action.token)
+                raw = _SET_TIMER.pack(69, gateway, action.delay, action.token)
             case api.Probe():
                 raw = _SERVER_ONLY.pack(70, gateway, action.server)
-            case api.TellPeer():
+            case api.SendPeerMessage():
                 raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
-            case api.AskList():
+            case api.WatchList():
                 raw = _WATCH.pack(75, gateway, 1)
             case api.FetchList():
                 raw = _BARE.pack(76, gateway)
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -228,7 +228,7 @@
 
     def ban(self, server: api.Server, is_banned: bool) -> bool:
         """Ban a host for an operator, or lift the ban; returns False if discovery has never listed it."""
-        if server not in self.gateway.names:
+        if server not in self.gateway.server_names:
             return False
         unsent = self.hosts.ban_host(server) if is_banned else []
         self.feed(api.ServerBanned(server, is_banned))
@@ -328,7 +328,7 @@
         if call is None:
             return
         now = self.clock()
-        expires_at = min(action.give_up_at or call.deadline, call.deadline)
+        expires_at = min(action.deadline or call.deadline, call.deadline)
         attempt = Attempt(call, len(call.attempts), action.server, now, expires_at, action.send_by)
         call.attempts.append(attempt)
         if action.send_by:
@@ -365,9 +365,9 @@
             self._finish(call, FAILED_REPLY)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self._call_after(action.span, self.feed, api.TimerFired(action.token))
+        self._call_after(action.delay, self.feed, api.TimerFired(action.token))
 
-    def _send_to_peer(self, action: api.TellPeer) -> None:
+    def _send_to_peer(self, action: api.SendPeerMessage) -> None:
         self.stats["peer_out"] += 1
         self.send_to_peer(action.peer, action.body)
 
@@ -380,8 +380,8 @@
         api.Refuse: _refuse,
         api.Fail: _fail,
         api.SetTimer: _set_timer,
-        api.TellPeer: _send_to_peer,
-        api.AskList: _ignore,
+        api.SendPeerMessage: _send_to_peer,
+        api.WatchList: _ignore,
         api.FetchList: _ignore,
         api.Probe: _ignore,
     }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -93,7 +93,7 @@
     def _note(self, actions) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.span, action.token))
+                self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         """One event now; the actions that it led to."""
@@ -144,7 +144,7 @@
 
     def _carry(self, rank: int, actions) -> None:
         for action in actions:
-            if isinstance(action, api.TellPeer):
+            if isinstance(action, api.SendPeerMessage):
                 self.messages += 1
                 if self.random.random() >= self.loss:
                     self.on_way.append((self.now + self.LATER, rank, action.peer, action.body))
@@ -334,7 +334,7 @@
         self.config = config.parse(json.dumps(text))
         self.driver = Driver(self.config.settings, self.config.seed, self.loop)
         # With one host or two the policy would refuse most of what these tests hold at once.
-        self.driver.gateway._patience = lambda request: float("inf")
+        self.driver.gateway._latency_limit = lambda request: float("inf")
         self.hosts = self.driver.hosts = Hosts(
             self.driver,
             self.config.settings.report_names,
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -377,7 +377,7 @@
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
     gateway = rig.driver.gateway
     await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [host.out for host in gateway.hosts.values()] == [0]
+    assert [host.open_attempts for host in gateway.hosts.values()] == [0]
 
 
 async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
@@ -429,7 +429,7 @@
     assert rig.driver.stats["client_gone"] == 1
     gateway = rig.driver.gateway
     await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [known.out for known in gateway.hosts.values()] == [0]
+    assert [known.open_attempts for known in gateway.hosts.values()] == [0]
 
 
 @pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -536,11 +536,11 @@
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
-    choose = rig.driver.gateway._choose
-    rig.driver.gateway._choose = lambda request: 1 // 0
+    choose = rig.driver.gateway._choose_server
+    rig.driver.gateway._choose_server = lambda request: 1 // 0
     caller.call("bill")
     assert error((await caller.replied())[0]).startswith("ERR")
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway._choose_server = choose
     caller.call("bill")
     assert (await caller.replied(2))[1] == b"ok"
     assert rig.driver.calls == rig.driver.gateway.requests == {}
@@ -619,7 +619,7 @@
         rig.driver.gateway.actions.append(api.SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._turn = tick
+    rig.driver.gateway._gossip = tick
     await until(lambda: len(ticks) >= 3)
 
 
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -11,7 +11,7 @@
 
 
 def receivers(actions) -> set[int]:
-    return {action.peer for action in of(actions, api.TellPeer)}
+    return {action.peer for action in of(actions, api.SendPeerMessage)}
 
 
 def served_request(bench: Bench, number: int, customer: int) -> list[api.Action]:
@@ -62,4 +62,4 @@
 
 def test_without_membership_no_gateway_counts_as_absent():
     bench = Bench(gateways=GATEWAYS)
-    assert bench.gateway.view is None and bench.gateway.away == frozenset()
+    assert bench.gateway.membership is None and bench.gateway.unavailable == frozenset()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -91,7 +91,7 @@
             assert not ran, "an unsafe request may run twice"
         elif request.cls.effect is Effect.KEYED and ran:
             first = ran[0]
-            ends = first.at + request.cls.window
+            ends = first.at + request.cls.dedup_window
             assert self.bench.now < ends and 0 < action.send_by < ends, "after the window"
             other = self.entries[first.server]
             same = {
@@ -110,18 +110,24 @@
     draw = random.Random(seed)
     classes = tuple(
         api.RequestClass(
-            c.aim, c.deadline, c.worth, c.late_worth, c.effect, c.group, SHORT if c.window else 0
+            c.target_latency,
+            c.deadline,
+            c.worth,
+            c.late_worth,
+            c.effect,
+            c.group,
+            SHORT if c.dedup_window else 0,
         )
         for c in CLASSES
     )
     bench = Bench(servers=0, seed=seed, classes=classes)
-    bench.gateway._patience = lambda request: float("inf")
+    bench.gateway._latency_limit = lambda request: float("inf")
     checker = Checker(bench)
     checker.list(*(entry(n, cell=n % 3, zone=n % 2) for n in range(8)))
     for number in range(1, 150):
         kind = draw.randrange(len(classes))
         checker.requests[number] = Watched(classes[kind])
-        bench.gateway.budget = 5.0  # what the rules allow is at stake, not how much of it
+        bench.gateway.retry_budget = 5.0  # what the rules allow is at stake, not how much of it
         bench.ask(number, kind=kind, customer=draw.randrange(40))
         for _ in range(draw.randrange(5)):
             out = [
@@ -160,7 +166,7 @@
                 bench.outcome(number, sent.server, Outcome.TIMED_OUT, place, answered=watched.is_over)
     assert all(watched.is_over for watched in checker.requests.values())
     assert bench.gateway.requests == bench.gateway.attempts == {}
-    assert all(host.out == 0 for host in bench.gateway.hosts.values())
+    assert all(host.open_attempts == 0 for host in bench.gateway.hosts.values())
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -241,14 +241,14 @@
 
 def test_a_keeper_gives_rights_of_a_ceiling_only_once():
     """What it gives is off its own part first; together no more than the ceiling's store goes out."""
-    keeper = next(r for r in range(3) if Bench(rank=r).gateway._keeper(Account(1, (2, 0, 3), 8.0, T0)) == r)
+    keeper = next(r for r in range(3) if Bench(rank=r).gateway._owner(Account(1, (2, 0, 3), 8.0, T0)) == r)
     bench = Bench(rank=keeper)
     other = (keeper + 1) % 3
     hear(bench, other, ceiling_row(0.0), keep=True)
     bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
     given = 0.0
     for _ in range(5):
-        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.TellPeer):
+        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.SendPeerMessage):
             message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].rights if not message.keep else 0.0
     assert 10.0 < given <= 16 * 2 / 3
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 
 from orchidlane import handover
 from orchidlane import interface as api
-from orchidlane.rules import HOLD, Gateway
+from orchidlane.rules import SERVER_RETRY_INTERVAL, Gateway
 
 OK = b"*1\r\n$2\r\nok\r\n"
 # A quota that is hardly refilled during a test.
@@ -294,7 +294,9 @@
         for control in (predecessor_control, service.control):
             await service.say(b"HEALTH", control)
         agents[1].transport.write(answered(serving | {"seq": 7}))
-        deadline = loop.time() + 10 * HOLD / 1e6  # HOLD: interval at which held requests are retried
+        deadline = (
+            loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6
+        )  # SERVER_RETRY_INTERVAL: interval at which held requests are retried
         while loop.time() < deadline:
             assert await send_request(service, b"other") == b"ok"
         assert {command[2] for host in hosts for command in host.commands} == {b"held", b"other"}
@@ -401,11 +403,14 @@
     gateway = restored_copy(bench)
     assert len(gateway.accounts) == 5
     for customer, account in bench.gateway.accounts.items():
-        assert gateway.accounts[customer] == dataclasses.replace(account, out=0)
+        assert gateway.accounts[customer] == dataclasses.replace(account, open_attempts=0)
     for server, host in bench.gateway.hosts.items():
         # Connections stay with the process that opened them.
-        assert dataclasses.replace(host, out=0, kept=0) == gateway.hosts[server]
-    assert gateway.usual == bench.gateway.usual and gateway.changed == bench.gateway.changed
+        assert dataclasses.replace(host, open_attempts=0, open_connections=0) == gateway.hosts[server]
+    assert (
+        gateway.usual_times == bench.gateway.usual_times
+        and gateway.pending_gossip == bench.gateway.pending_gossip
+    )
     assert handover.head(gateway) == handover.head(bench.gateway)
 
 
@@ -418,13 +423,15 @@
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
         assert gateway.handle(bench.now, dataclasses.replace(event, arrived=arrived)) == []
     assert len(events) == 2
-    assert gateway.accounts[7].out == 2 == sum(host.out for host in gateway.hosts.values())
+    assert (
+        gateway.accounts[7].open_attempts == 2 == sum(host.open_attempts for host in gateway.hosts.values())
+    )
     refused = gateway.handle(bench.now, api.RequestArrived(9, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of(refused, api.Refuse)  # its plan allows two open attempts
     gateway.handle(
         bench.now, api.AttemptEnded(-1, 0, events[0].server, api.Outcome.SERVED, 9, True, 0, 0.0, ())
     )
-    assert gateway.accounts[7].out == 1
+    assert gateway.accounts[7].open_attempts == 1
     sent_again = gateway.handle(bench.now, api.RequestArrived(10, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of(sent_again, api.Send)
 
