--- a/ops/http.py
+++ b/ops/http.py
@@ -19,19 +19,19 @@
 
 log = logs.get(__name__)
 
-HEAD_MOST = 8_192  # bytes of a request's head, and of what may come behind it before it is answered
-BODY_MOST = 4_096
-WHOLE_WITHIN = 5.0  # seconds from a connection's first moment, or a request's first byte, to its last
-IDLE_FOR = 60.0  # seconds without a request
-UNREAD_FOR = 10.0  # seconds in which a caller reads nothing of its answer
-LINGER = 1.0  # seconds that a caller who was turned away has to read why
+HEAD_BYTES_MAX = 8_192  # bytes of a request's head, and of what may come behind it before it is answered
+BODY_BYTES_MAX = 4_096
+REQUEST_TIMEOUT = 5.0  # seconds from a connection's first moment, or a request's first byte, to its last
+IDLE_TIMEOUT = 60.0  # seconds without a request
+WRITE_TIMEOUT = 10.0  # seconds in which a caller reads nothing of its answer
+LINGER_TIMEOUT = 1.0  # seconds that a caller who was turned away has to read why
 
 
 class Invalid(ValueError):
     """Something from outside that makes no sense; the text says what, in one line."""
 
 
-class Refused(Exception):
+class HTTPError(Exception):
     """An answer other than 200: its status, one line of reason, and what else the caller may need."""
 
     def __init__(self, status: int, reason: str, headers: dict[str, str] | None = None, **more: Any) -> None:
@@ -58,7 +58,7 @@
         if len(self.query) != len(pairs):
             raise Invalid("a parameter is named twice")
 
-    def terms(self, *may: str) -> None:
+    def check_parameters(self, *may: str) -> None:
         """Raise Invalid where the query names anything else."""
         if unknown := self.query.keys() - set(may):
             raise Invalid(
@@ -77,11 +77,11 @@
     return h11.Response(status_code=status, headers=lines, reason=HTTPStatus(status).phrase)
 
 
-class Exchange(asyncio.Protocol):
-    """One connection. A request is handed to ``Server.handle``, which calls ``answer`` now or later."""
+class Connection(asyncio.Protocol):
+    """One connection. A request is handed to ``Server.handle``, which calls ``respond`` now or later."""
 
     def __init__(self, server: Server) -> None:
-        self.server, self.http = server, h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+        self.server, self.http = server, h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_BYTES_MAX)
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.head: h11.Request | None = None
@@ -90,22 +90,22 @@
         self.bodiless = False  # an answer to HEAD
         self.behind = 0  # bytes that came while one was
         self.paused = False  # the caller has yet to read what it was told
-        self.ended = False  # the caller has sent its last byte
+        self.input_closed = False  # the caller has sent its last byte
         self.over = False  # the last answer is out
         self.timer: asyncio.TimerHandle | None = None
         self.unread: asyncio.TimerHandle | None = None
-        self.gone: Callable[[], None] | None = None  # called where the caller goes before its answer
+        self.on_disconnect: Callable[[], None] | None = None  # called where the caller goes before its answer
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Connected: a caller beyond the bound hears why, one far beyond it nothing."""
         self.transport = transport
-        self.server.exchanges.add(self)
-        over = len(self.server.exchanges) - self.server.most
-        if over > self.server.most // 4 + 4:
+        self.server.connections.add(self)
+        over = len(self.server.connections) - self.server.max_connections
+        if over > self.server.max_connections // 4 + 4:
             self.server.counts["cut_crowded"] += 1
             transport.abort()
             return
-        self._time(LINGER if over > 0 else self.server.whole_within, self._slow)
+        self._time(LINGER_TIMEOUT if over > 0 else self.server.request_timeout, self._slow)
 
     def _time(self, span: float, then: Callable[[], None]) -> None:
         if self.timer:
@@ -116,7 +116,7 @@
         """No whole request in time."""
         self.server.counts["closed_slow"] += 1
         if self.head or self.http.trailing_data[0]:
-            self._wrong(Refused(408, "the request did not come whole in time"))
+            self._wrong(HTTPError(408, "the request did not come whole in time"))
         else:
             self.transport.abort()
 
@@ -130,21 +130,21 @@
             return
         if self.open or self.paused:
             self.behind += len(data)
-            if self.behind > HEAD_MOST:
+            if self.behind > HEAD_BYTES_MAX:
                 self.server.counts["cut_unasked"] += 1
                 self.transport.abort()
                 return
         elif (
             self.head is None
             and not self.http.trailing_data[0]
-            and len(self.server.exchanges) <= self.server.most
+            and len(self.server.connections) <= self.server.max_connections
         ):
-            self._time(self.server.whole_within, self._slow)  # the first bytes of a request
+            self._time(self.server.request_timeout, self._slow)  # the first bytes of a request
         try:
             self.http.receive_data(data)
             self._read()
         except h11.RemoteProtocolError as wrong:
-            self._wrong(Refused(wrong.error_status_hint, f"no HTTP/1.1 request: {wrong}"[:200]))
+            self._wrong(HTTPError(wrong.error_status_hint, f"no HTTP/1.1 request: {wrong}"[:200]))
 
     def _read(self) -> None:
         while not self.open and not self.paused and not self.transport.is_closing():
@@ -158,14 +158,14 @@
                 return
             if isinstance(event, h11.Request):
                 self.head, self.bodiless = event, event.method == b"HEAD"
-                if len(self.server.exchanges) > self.server.most:
-                    self._wrong(Refused(429, "too many connections"))
-                elif len(event.target) + sum(len(n) + len(v) + 4 for n, v in event.headers) > HEAD_MOST:
-                    self._wrong(Refused(431, f"a head may have {HEAD_MOST} bytes"))
+                if len(self.server.connections) > self.server.max_connections:
+                    self._wrong(HTTPError(429, "too many connections"))
+                elif len(event.target) + sum(len(n) + len(v) + 4 for n, v in event.headers) > HEAD_BYTES_MAX:
+                    self._wrong(HTTPError(431, f"a head may have {HEAD_BYTES_MAX} bytes"))
             elif isinstance(event, h11.Data):
                 self.content += event.data
-                if len(self.content) > BODY_MOST:
-                    self._wrong(Refused(413, f"a body may have {BODY_MOST} bytes"))
+                if len(self.content) > BODY_BYTES_MAX:
+                    self._wrong(HTTPError(413, f"a body may have {BODY_BYTES_MAX} bytes"))
             elif isinstance(event, h11.EndOfMessage):
                 head, body = self.head, bytes(self.content)
                 self.head, self.content, self.open, self.behind = None, bytearray(), True, 0
@@ -176,36 +176,36 @@
         try:
             self.server.handle(self, Request(head.method.decode(), head.target.decode(), body))
         except Invalid as wrong:
-            self.refuse(Refused(400, str(wrong)))
-        except Refused as refused:
-            self.refuse(refused)
+            self.respond_error(HTTPError(400, str(wrong)))
+        except HTTPError as refused:
+            self.respond_error(refused)
         except Exception:
             log.exception("request_failed", target=head.target)
-            self.refuse(Refused(500, "it could not be handled, see the log"))
+            self.respond_error(HTTPError(500, "it could not be handled, see the log"))
 
-    def _wrong(self, refused: Refused) -> None:
+    def _wrong(self, refused: HTTPError) -> None:
         """Framing is lost or the caller is turned away: the reason, then the end."""
         self.open, self.head = True, None
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             self.transport.abort()
             return
-        self.refuse(refused, last=True)
+        self.respond_error(refused, last=True)
 
-    def refuse(self, refused: Refused, last: bool = False) -> None:
+    def respond_error(self, refused: HTTPError, last: bool = False) -> None:
         """An answer that says no."""
         self.server.counts[f"answered_{refused.status}"] += 1
         self._send(refused.status, refused.body(), refused.headers, last)
 
-    def answer(self, body: bytes, headers: dict[str, str] | None = None) -> None:
+    def respond(self, body: bytes, headers: dict[str, str] | None = None) -> None:
         """The answer that was asked for."""
         self.server.counts["answered"] += 1
         self._send(200, body, headers or {})
 
     def _send(self, status: int, body: bytes, headers: dict[str, str], last: bool = False) -> None:
-        self.gone = None
+        self.on_disconnect = None
         if not self.open or self.transport.is_closing():
             return
-        last = last or self.ended or self.server.ending
+        last = last or self.input_closed or self.server.shutting_down
         response = head(status, len(body), last, self.server.date(), *headers.items())
         data = self.http.send(response)
         if body and not self.bodiless:
@@ -218,7 +218,7 @@
         self.http.start_next_cycle()
         self.open = False
         self.behind = 0
-        self._time(self.server.idle_for, self._idle)
+        self._time(self.server.idle_timeout, self._idle)
         if self.http.trailing_data[0] and not self.paused:
             self.loop.call_soon(self._go_on)
 
@@ -226,26 +226,26 @@
         """What came behind the request before."""
         if self.open or self.paused or self.transport.is_closing():
             return
-        self._time(self.server.whole_within, self._slow)
+        self._time(self.server.request_timeout, self._slow)
         try:
             self._read()
         except h11.RemoteProtocolError as wrong:
-            self._wrong(Refused(wrong.error_status_hint, f"no HTTP/1.1 request: {wrong}"[:200]))
+            self._wrong(HTTPError(wrong.error_status_hint, f"no HTTP/1.1 request: {wrong}"[:200]))
 
     def _end(self) -> None:
         """No more requests. Bytes that nobody reads would reset the connection and take the answer along, so
         the caller has a moment to close first."""
         self.over = True
-        if self.ended:
+        if self.input_closed:
             self.transport.close()
         elif not self.transport.is_closing():
             self.transport.write_eof()
-            self._time(LINGER, self.transport.abort)
+            self._time(LINGER_TIMEOUT, self.transport.abort)
 
     def pause_writing(self) -> None:
         """The caller reads too slowly: what it asks for next waits."""
         self.paused = True
-        self.unread = self.loop.call_later(self.server.unread_for, self._unread)
+        self.unread = self.loop.call_later(self.server.write_timeout, self._unread)
 
     def resume_writing(self) -> None:
         """It has read on."""
@@ -261,17 +261,17 @@
 
     def eof_received(self) -> bool:
         """The caller sends nothing more: a watch is of no use then, any other answer still is."""
-        self.ended = True
-        return self.open and self.gone is None and self.http.our_state is h11.SEND_RESPONSE
+        self.input_closed = True
+        return self.open and self.on_disconnect is None and self.http.our_state is h11.SEND_RESPONSE
 
     def connection_lost(self, error: Exception | None) -> None:
         """Gone, and so is all that it held."""
-        self.server.exchanges.discard(self)
+        self.server.connections.discard(self)
         for timer in (self.timer, self.unread):
             if timer:
                 timer.cancel()
-        if self.gone:
-            gone, self.gone = self.gone, None
+        if self.on_disconnect:
+            gone, self.on_disconnect = self.on_disconnect, None
             gone()
 
 
@@ -280,25 +280,29 @@
 
     def __init__(
         self,
-        handle: Callable[[Exchange, Request], None],
-        most: int,
-        whole_within: float = WHOLE_WITHIN,
-        idle_for: float = IDLE_FOR,
-        unread_for: float = UNREAD_FOR,
+        handle: Callable[[Connection, Request], None],
+        max_connections: int,
+        request_timeout: float = REQUEST_TIMEOUT,
+        idle_timeout: float = IDLE_TIMEOUT,
+        write_timeout: float = WRITE_TIMEOUT,
     ) -> None:
-        self.handle, self.most = handle, most
-        self.whole_within, self.idle_for, self.unread_for = whole_within, idle_for, unread_for
-        self.exchanges: set[Exchange] = set()
+        self.handle, self.max_connections = handle, max_connections
+        self.request_timeout, self.idle_timeout, self.write_timeout = (
+            request_timeout,
+            idle_timeout,
+            write_timeout,
+        )
+        self.connections: set[Connection] = set()
         self.counts: Counter[str] = Counter()
         self.bytes_out = 0
-        self.ending = False
+        self.shutting_down = False
         self.server: asyncio.Server | None = None
         self._date = (0, "")
 
     async def listen(self, address: tuple[str, int]) -> None:
         """Open the address; raises OSError."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Exchange(self), *address, backlog=1024)
+        self.server = await loop.create_server(lambda: Connection(self), *address, backlog=1024)
 
     def date(self) -> str:
         """The time as HTTP tells it."""
@@ -307,16 +311,16 @@
             self._date = (second, formatdate(second, usegmt=True))
         return self._date[1]
 
-    async def end(self, within: float) -> None:
+    async def shut_down(self, timeout: float) -> None:
         """No new connections; those that are owed an answer get it, in this many seconds at most."""
-        self.ending = True
+        self.shutting_down = True
         if self.server:
             self.server.close()
-        for exchange in tuple(self.exchanges):
-            if not exchange.open:
-                exchange.transport.close()
-        ends = time.monotonic() + within
-        while self.exchanges and time.monotonic() < ends:
+        for connection in tuple(self.connections):
+            if not connection.open:
+                connection.transport.close()
+        ends = time.monotonic() + timeout
+        while self.connections and time.monotonic() < ends:
             await asyncio.sleep(0.02)
-        for exchange in tuple(self.exchanges):
-            exchange.transport.abort()
+        for connection in tuple(self.connections):
+            connection.transport.abort()
--- a/ops/metrics.py
+++ b/ops/metrics.py
@@ -14,7 +14,7 @@
 from prometheus_client.registry import Collector
 
 from . import logs
-from .http import Exchange, Refused, Request
+from .http import Connection, HTTPError, Request
 
 PATH = ["metrics"]
 CALLERS_MOST = 8  # connections at once at an address of its own
@@ -40,15 +40,15 @@
         """Nothing is read at registration: the program may not be whole yet."""
         return ()
 
-    def tell(self, exchange: Exchange) -> None:
+    def tell(self, connection: Connection) -> None:
         """Answer a scrape."""
-        exchange.answer(generate_latest(self.registry), {"Content-Type": CONTENT_TYPE_PLAIN_0_0_4})
+        connection.respond(generate_latest(self.registry), {"Content-Type": CONTENT_TYPE_PLAIN_0_0_4})
 
-    def handle(self, exchange: Exchange, request: Request) -> None:
+    def handle(self, connection: Connection, request: Request) -> None:
         """At an address of its own: this call and no other."""
         if (request.method, request.path) != ("GET", PATH):
-            raise Refused(404, "no such call: GET /metrics")
-        self.tell(exchange)
+            raise HTTPError(404, "no such call: GET /metrics")
+        self.tell(connection)
 
 
 def labelled(family: GaugeMetricFamily | CounterMetricFamily, values: Iterable[tuple[str, float]]) -> Metric:
--- a/registry/meeting.py
+++ b/registry/meeting.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ops.http import Refused
+from ops.http import HTTPError
 
 from .entries import MIN_LEASE_MS, check_fields, parse_address, parse_integer, parse_name
 
@@ -41,7 +41,7 @@
     def announce(self, cluster: str, raw: dict[str, Any]) -> dict[str, Any]:
         """Record a gateway's address and return the others of its cluster, the most recent first.
 
-        Raises Invalid for malformed input, and Refused if the table is full.
+        Raises Invalid for malformed input, and HTTPError if the table is full.
         """
         parse_name(cluster, "cluster")
         check_fields(raw, ("rank", "life", "dial", "lease_ms"))
@@ -56,7 +56,7 @@
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 self._remove_expired(now)
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
-                raise Refused(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
+                raise HTTPError(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
             self.announcements[at] = Announcement(rank, life, raw["dial"], now, now + lease_ms / 1_000)
         # Of two processes with one rank, the predecessor also receives its successor's address, and yields.
         others = [
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ops import logs
-from ops.http import Exchange, Refused, Request
+from ops.http import Connection, HTTPError, Request
 
 from .entries import (
     DELETED,
@@ -68,13 +68,13 @@
         return seq, entry.born_ms if entry else 0
 
     def check_version(self, host: str, version: int) -> Record:
-        """Return the host's record; raises Refused if its version is not the given one (compare-and-set)."""
+        """Return the host's record; raises HTTPError if its version differs (compare-and-set)."""
         record = self.get(host)
         if record is None:
-            raise Refused(404, "not on the list: register first", version=self.last_removal(host)[0])
+            raise HTTPError(404, "not on the list: register first", version=self.last_removal(host)[0])
         if record.version != version:
             current = parse_json(record.entry.json_text.encode())
-            raise Refused(
+            raise HTTPError(
                 409, "version conflict: a newer write exists", version=record.version, entry=current
             )
         return record
@@ -117,7 +117,7 @@
         self.seq_above = seq_above
         self.promote = promote
         self.readable_at = 0.0  # loop time; before it a new list may still lack most hosts
-        self.write_queue: list[tuple[Operation, Exchange | None]] = []
+        self.write_queue: list[tuple[Operation, Connection | None]] = []
         self.write_queued = asyncio.Event()
         self.committing = False
 
@@ -170,27 +170,27 @@
         while (self.write_queue or self.committing) and not self.failed and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
 
-    def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
+    def handle_gateway(self, connection: Connection, request: Request, cluster: str) -> None:
         """Record a gateway's address and answer with those of the others."""
-        exchange.answer(to_json(self.rendezvous.announce(cluster, parse_json(request.body))))
+        connection.respond(to_json(self.rendezvous.announce(cluster, parse_json(request.body))))
 
     # -- requests about one host -----------------------------------------------------------------------
 
-    def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
+    def handle_host(self, connection: Connection, request: Request, host: str, verb: str = "") -> None:
         """Handle GET, PUT (register) and DELETE of a host, and the verbs renew and drain."""
         parse_name(host, "host")
         call = (request.method, verb)
         if call == ("GET", ""):
-            request.terms()
-            exchange.answer(to_json(self._describe(host)))
+            request.check_parameters()
+            connection.respond(to_json(self._describe(host)))
         elif call == ("PUT", ""):
-            request.terms()
-            self._register(exchange, host, parse_json(request.body))
+            request.check_parameters()
+            self._register(connection, host, parse_json(request.body))
         elif call == ("DELETE", ""):
-            request.terms("version")
+            request.check_parameters("version")
             version = parse_digits(request.query.get("version", ""), "version")
             self._enqueue(
-                exchange,
+                connection,
                 lambda draft, seq: (draft.check_version(host, version).entry.with_health(DELETED), None),
             )
         elif call == ("POST", "renew"):
@@ -198,19 +198,19 @@
             record = Draft(self.ledger).check_version(host, version)
             self.leases.renew(host, record.lease_ms)
             self.counts["renewed"] += 1
-            exchange.answer(to_json({"version": record.version, "lease_ms": record.lease_ms}))
+            connection.respond(to_json({"version": record.version, "lease_ms": record.lease_ms}))
         elif call == ("POST", "drain"):
             version = self._requested_version(request)
-            self._enqueue(exchange, lambda draft, seq: self._drain(draft, seq, host, version))
+            self._enqueue(connection, lambda draft, seq: self._drain(draft, seq, host, version))
         elif verb in ("", "renew", "drain"):
             allow = "POST" if verb else "GET, PUT, DELETE"
-            raise Refused(405, f"allowed here: {allow}", {"Allow": allow})
+            raise HTTPError(405, f"allowed here: {allow}", {"Allow": allow})
         else:
-            raise Refused(404, "no such path: a host has the verbs renew and drain")
+            raise HTTPError(404, "no such path: a host has the verbs renew and drain")
 
     @staticmethod
     def _requested_version(request: Request) -> int:
-        request.terms()
+        request.check_parameters()
         raw = parse_json(request.body)
         check_fields(raw, ("version",))
         return parse_integer(raw["version"], "version")
@@ -218,11 +218,11 @@
     def _describe(self, host: str) -> dict[str, Any]:
         record = self.ledger.records.get(host)
         if record is None:
-            raise Refused(404, "not on the list", version=Draft(self.ledger).last_removal(host)[0])
+            raise HTTPError(404, "not on the list", version=Draft(self.ledger).last_removal(host)[0])
         entry = parse_json(record.entry.json_text.encode())
         return {"version": record.version, "lease_ms": record.lease_ms, "entry": entry}
 
-    def _register(self, exchange: Exchange, host: str, raw: dict[str, Any]) -> None:
+    def _register(self, connection: Connection, host: str, raw: dict[str, Any]) -> None:
         check_fields(
             raw, ("dial", "site", "class", "block", "share", "lease_ms", "version"), ("health", "born_ms")
         )
@@ -251,16 +251,16 @@
             else:
                 removed_version, started = draft.last_removal(host)
                 if removed_version != version:
-                    raise Refused(409, "version conflict: the host was removed", version=removed_version)
+                    raise HTTPError(409, "version conflict: the host was removed", version=removed_version)
                 if draft.host_count >= self.max_hosts:
-                    raise Refused(403, f"the list is full: {self.max_hosts} hosts")
+                    raise HTTPError(403, f"the list is full: {self.max_hosts} hosts")
             if requested_born_ms is not None and requested_born_ms < started:
-                raise Refused(409, "a later start of this host is known", version=version, born_ms=started)
+                raise HTTPError(409, "a later start of this host is known", version=version, born_ms=started)
             born_ms = max(now_us() // 1_000, started + 1) if requested_born_ms is None else requested_born_ms
             registered = replace(entry, born_ms=born_ms)
             return registered, Record(registered, seq, lease_ms)
 
-        self._enqueue(exchange, register)
+        self._enqueue(connection, register)
 
     @staticmethod
     def _drain(draft: Draft, seq: int, host: str, version: int) -> tuple[Entry, Record]:
@@ -277,12 +277,12 @@
         log.warning("lease_expired", host=host)
         return record.entry.with_health(DELETED), None
 
-    def _enqueue(self, exchange: Exchange, operation: Operation) -> None:
-        if self.reader_server.ending:
-            raise Refused(503, "shutting down", {"Retry-After": "1"})
+    def _enqueue(self, connection: Connection, operation: Operation) -> None:
+        if self.reader_server.shutting_down:
+            raise HTTPError(503, "shutting down", {"Retry-After": "1"})
         if len(self.write_queue) >= MAX_QUEUED_WRITES:
-            raise Refused(503, "write queue is full", {"Retry-After": "1"})
-        self.write_queue.append((operation, exchange))
+            raise HTTPError(503, "write queue is full", {"Retry-After": "1"})
+        self.write_queue.append((operation, connection))
         self.write_queued.set()
 
     # -- transactions ----------------------------------------------------------------------------------
@@ -301,43 +301,43 @@
                 self.committing, self.write_failed = False, True
                 self.leases.expiring.clear()
                 log.error("writes_refused", writes=len(batch), error=error)
-                for _, exchange in batch:
-                    if exchange:
-                        exchange.refuse(
-                            Refused(503, "write failed, nothing has changed", {"Retry-After": "1"})
+                for _, connection in batch:
+                    if connection:
+                        connection.respond_error(
+                            HTTPError(503, "write failed, nothing has changed", {"Retry-After": "1"})
                         )
                 if not is_transient(error):
                     raise  # the state on disk is uncertain: the service stops, and a restart verifies it
 
-    async def _commit_batch(self, batch: list[tuple[Operation, Exchange | None]]) -> None:
+    async def _commit_batch(self, batch: list[tuple[Operation, Connection | None]]) -> None:
         """Apply the writes in order to a draft, commit it, then publish to readers and answer the writers."""
         draft, seq = Draft(self.ledger), self.ledger.seq
-        answers: list[tuple[Exchange, Refused | bytes]] = []
-        for operation, exchange in batch:
+        answers: list[tuple[Connection, HTTPError | bytes]] = []
+        for operation, connection in batch:
             next_seq = self.next_seq(seq)
             try:
                 outcome = operation(draft, next_seq)
-            except Refused as refused:
-                answers.append((exchange, refused))
+            except HTTPError as error:
+                answers.append((connection, error))
                 continue
             if outcome is None:
                 continue
             seq, (entry, record) = next_seq, outcome
             draft.put(seq, entry, record)
-            if exchange:
+            if connection:
                 body = {"version": seq, "born_ms": entry.born_ms}
                 if record:
                     body["lease_ms"] = record.lease_ms
-                answers.append((exchange, to_json(body)))
+                answers.append((connection, to_json(body)))
         if draft.changes:
             await self.commit(self.ledger.life, seq, draft.changes, draft.records, self.ledger.max_changes)
             self.write_failed = False
             self._publish(draft)
-        for exchange, answer in answers:
-            if isinstance(answer, Refused):
-                exchange.refuse(answer)
+        for connection, answer in answers:
+            if isinstance(answer, HTTPError):
+                connection.respond_error(answer)
             else:
-                exchange.answer(answer)
+                connection.respond(answer)
 
     def _publish(self, draft: Draft) -> None:
         index, records = self.ledger.seq, draft.records
@@ -369,23 +369,23 @@
             self.write_queue.append((lambda draft, seq, host=host: self._expire(draft, host), None))
             self.write_queued.set()
 
-    def handle_operator(self, exchange: Exchange, request: Request) -> None:
+    def handle_operator(self, connection: Connection, request: Request) -> None:
         """Add GET and POST /hold, which list the held hosts and confirm their removal."""
         held = self.leases.held
         if request.path != ["hold"]:
-            super().handle_operator(exchange, request)
+            super().handle_operator(connection, request)
         elif request.method == "GET":
-            exchange.answer(to_json({"held": len(held), "hosts": sorted(held)}))
+            connection.respond(to_json({"held": len(held), "hosts": sorted(held)}))
         elif request.method == "POST":
             raw = parse_json(request.body)
             check_fields(raw, ("held",))
             if parse_integer(raw["held"], "held") != len(held) or not held:
-                raise Refused(409, f"the number of held hosts is {len(held)}: check again", held=len(held))
+                raise HTTPError(409, f"the number of held hosts is {len(held)}: check again", held=len(held))
             log.warning("hold_confirmed", hosts=len(held))
             self._enqueue_removals(self.leases.confirm_held())
-            exchange.answer(to_json({"taken_off": len(held)}))
+            connection.respond(to_json({"taken_off": len(held)}))
         else:
-            raise Refused(405, "allowed here: GET, POST", {"Allow": "GET, POST"})
+            raise HTTPError(405, "allowed here: GET, POST", {"Allow": "GET, POST"})
 
     def figures(self) -> dict[str, Any]:
         """Add the lease and write queue gauges."""
--- a/registry/reading.py
+++ b/registry/reading.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ops.http import Exchange, Refused, Request
+from ops.http import Connection, HTTPError, Request
 
 from .entries import parse_digits
 from .follow import LIFE_HEADER
@@ -23,12 +23,12 @@
     ) -> None:
         self.ledger, self.age, self.unavailable_reason = ledger, age, unavailable_reason
         self.watches: dict[
-            Exchange, asyncio.TimerHandle
+            Connection, asyncio.TimerHandle
         ] = {}  # long polls with their timers; all have the ledger's seq as index
 
-    def handle(self, exchange: Exchange, request: Request) -> None:
+    def handle(self, connection: Connection, request: Request) -> None:
         """Handle ``GET /registry/instances`` with the optional parameters ``index`` and ``wait``."""
-        request.terms("index", "wait")
+        request.check_parameters("index", "wait")
         if "index" not in request.query:
             if "wait" in request.query:
                 parse_digits(request.query["wait"], "wait", MAX_WAIT_MS)
@@ -37,28 +37,33 @@
             index = parse_digits(request.query["index"], "index")
             wait = parse_digits(request.query.get("wait", "0"), "wait", MAX_WAIT_MS)
         if reason := self.unavailable_reason():
-            raise Refused(503, reason, {"Retry-After": "1"})
-        if wait and index == self.ledger.seq and not exchange.server.ending and not exchange.ended:
+            raise HTTPError(503, reason, {"Retry-After": "1"})
+        if (
+            wait
+            and index == self.ledger.seq
+            and not connection.server.shutting_down
+            and not connection.input_closed
+        ):
             loop = asyncio.get_running_loop()
-            self.watches[exchange] = loop.call_later(wait / 1_000, self._on_wait_expired, exchange)
-            exchange.gone = lambda: self.watches.pop(exchange).cancel()
+            self.watches[connection] = loop.call_later(wait / 1_000, self._on_wait_expired, connection)
+            connection.on_disconnect = lambda: self.watches.pop(connection).cancel()
         else:
-            self._answer(exchange, index)
+            self._answer(connection, index)
 
-    def _answer(self, exchange: Exchange, index: int | None) -> None:
+    def _answer(self, connection: Connection, index: int | None) -> None:
         headers = {LIFE_HEADER: str(self.ledger.life)}
         if age := self.age():
             headers["Age"] = str(int(age))
-        exchange.answer(self.ledger.body(index), headers)
+        connection.respond(self.ledger.body(index), headers)
 
-    def _on_wait_expired(self, exchange: Exchange) -> None:
+    def _on_wait_expired(self, connection: Connection) -> None:
         """Answer a long poll whose wait ended without a change."""
-        del self.watches[exchange]
-        self._answer(exchange, self.ledger.seq)
+        del self.watches[connection]
+        self._answer(connection, self.ledger.seq)
 
     def notify(self, index: int) -> None:
         """Answer all long polls, which have this index; on shutdown it is still the ledger's current seq."""
         watches, self.watches = self.watches, {}
-        for exchange, timer in watches.items():
+        for connection, timer in watches.items():
             timer.cancel()
-            self._answer(exchange, index)
+            self._answer(connection, index)
--- a/registry/service.py
+++ b/registry/service.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ops import logs
-from ops.http import Exchange, Refused, Request, Server
+from ops.http import Connection, HTTPError, Request, Server
 
 from .follow import Address, UpstreamWatch
 from .ledger import Ledger
@@ -63,46 +63,46 @@
         """Return why readers can't be answered now, or None if they can."""
         return None if self.ledger.seq else "no list yet"
 
-    def handle(self, exchange: Exchange, request: Request) -> None:
+    def handle(self, connection: Connection, request: Request) -> None:
         """Route a request of a reader, a host or a gateway."""
         if request.path == INSTANCES_PATH:
             if request.method != "GET":
-                raise Refused(405, "only GET is allowed here", {"Allow": "GET"})
-            self.watch_endpoint.handle(exchange, request)
+                raise HTTPError(405, "only GET is allowed here", {"Allow": "GET"})
+            self.watch_endpoint.handle(connection, request)
         elif request.path[:2] == INSTANCES_PATH and 3 <= len(request.path) <= 4:
-            self.handle_host(exchange, request, *request.path[2:])
+            self.handle_host(connection, request, *request.path[2:])
         elif request.path[:2] == GATEWAYS_PATH and len(request.path) == 3:
             if request.method != "POST":
-                raise Refused(405, "only POST is allowed here", {"Allow": "POST"})
-            request.terms()
-            self.handle_gateway(exchange, request, request.path[2])
+                raise HTTPError(405, "only POST is allowed here", {"Allow": "POST"})
+            request.check_parameters()
+            self.handle_gateway(connection, request, request.path[2])
         else:
-            raise Refused(404, "no such path: see /registry/instances, /registry/gateways")
+            raise HTTPError(404, "no such path: see /registry/instances, /registry/gateways")
 
-    def handle_host(self, exchange: Exchange, request: Request, host: str, verb: str = "") -> None:
+    def handle_host(self, connection: Connection, request: Request, host: str, verb: str = "") -> None:
         """Handle a request about one host; only a primary accepts these."""
         primary = ":".join(map(str, self.upstream.services[0]))
-        raise Refused(421, f"writes go to the primary, {primary}", primary=primary)
+        raise HTTPError(421, f"writes go to the primary, {primary}", primary=primary)
 
-    def handle_gateway(self, exchange: Exchange, request: Request, cluster: str) -> None:
+    def handle_gateway(self, connection: Connection, request: Request, cluster: str) -> None:
         """Handle a gateway's announcement; only a primary accepts these, so that all share one table."""
         primary = ":".join(map(str, self.upstream.services[0]))
-        raise Refused(421, f"gateways meet at the primary, {primary}", primary=primary)
+        raise HTTPError(421, f"gateways meet at the primary, {primary}", primary=primary)
 
-    def handle_operator(self, exchange: Exchange, request: Request) -> None:
+    def handle_operator(self, connection: Connection, request: Request) -> None:
         """Handle an operator's request."""
-        request.terms()
+        request.check_parameters()
         call = (request.method, *request.path)
         if call == ("GET", "health"):
             if reason := self.health_problem():
-                raise Refused(503, reason)
-            exchange.answer(b'{"ok":true}')
+                raise HTTPError(503, reason)
+            connection.respond(b'{"ok":true}')
         elif call == ("GET", "figures"):
-            exchange.answer(to_json(self.figures()))
+            connection.respond(to_json(self.figures()))
         elif call == ("GET", "metrics") and self.metrics_page:
-            self.metrics_page.tell(exchange)
+            self.metrics_page.tell(connection)
         else:
-            raise Refused(
+            raise HTTPError(
                 404,
                 "no such call: available are GET /health, GET /figures, GET /metrics (with --metrics), "
                 "GET and POST /hold (at a primary)",
@@ -125,7 +125,7 @@
             "changes_kept": len(ledger.seqs),
             "answers_made": ledger.bodies_built,
             "watches": len(self.watch_endpoint.watches),
-            "connections": len(self.reader_server.exchanges),
+            "connections": len(self.reader_server.connections),
             "bytes_out": self.reader_server.bytes_out,
             "cpu_s": round(used.ru_utime + used.ru_stime, 3),
             "rss_kb_most": used.ru_maxrss,
@@ -146,14 +146,14 @@
             seq=self.ledger.seq,
         )
         await self.stop.wait()
-        self.reader_server.ending = True
+        self.reader_server.shutting_down = True
         await self.finish_writes()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.watch_endpoint.notify(self.ledger.seq)
-        await self.reader_server.end(SHUTDOWN_TIMEOUT)
-        await self.operator_server.end(0.0)
+        await self.reader_server.shut_down(SHUTDOWN_TIMEOUT)
+        await self.operator_server.shut_down(0.0)
         await self.on_stop()
         log.info("ended", role=self.role, life=self.ledger.life, seq=self.ledger.seq)
         return 1 if self.failed else 0
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -132,7 +132,7 @@
     async def end(self) -> None:
         """Stop serving scrapes."""
         if self.server:
-            await self.server.end(0.0)
+            await self.server.shut_down(0.0)
 
     def _zone(self, server: api.Server) -> str:
         host = self.driver.gateway.hosts.get(server)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -12,7 +12,7 @@
 
 from lab.defects import DoesNotPassOn, TakesHearsay, TakesSource
 from lab.placing import Land
-from ops.http import Invalid, Refused
+from ops.http import HTTPError, Invalid
 from orchidlane import member_messages as messages
 from registry import meeting as table
 from saffrongw import meeting, places
@@ -184,7 +184,7 @@
     kept = table.Rendezvous(lambda: now[0])
     for rank in range(3):
         kept.announce("valley", word(rank))
-    with pytest.raises(Refused, match="full"):
+    with pytest.raises(HTTPError, match="full"):
         kept.announce("valley", word(3))
     assert kept.announce("valley", word(2))["gateways"]
     now[0] = 31.0
--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -286,14 +286,14 @@
 
 @asyncio_test
 async def test_idle_connection_is_closed_after_timeout():
-    server = Server(lambda exchange, request: exchange.answer(b"{}"), 4, idle_for=0.1)
+    server = Server(lambda connection, request: connection.respond(b"{}"), 4, idle_timeout=0.1)
     await server.listen(("127.0.0.1", 0))
     wire = await Wire.open(address_of(server.server))
     for _ in range(3):  # requests keep the connection open
         assert (await wire.call("GET", "/")).status == 200
     assert await asyncio.wait_for(wire.reader.read(), 5) == b""
-    assert server.counts["closed_idle"] == 1 and not server.exchanges
-    await server.end(0.1)
+    assert server.counts["closed_idle"] == 1 and not server.connections
+    await server.shut_down(0.1)
 
 
 @asyncio_test
