--- a/ops/metrics.py
+++ b/ops/metrics.py
@@ -17,10 +17,10 @@
 from .http import Connection, HTTPError, Request
 
 PATH = ["metrics"]
-CALLERS_MOST = 8  # connections at once at an address of its own
+SCRAPE_CONNECTIONS_MAX = 8  # connections at once at an address of its own
 
 
-class Page(Collector):
+class MetricsPage(Collector):
     """One program's page. ``families`` is asked at each scrape, histograms register with ``registry``."""
 
     def __init__(self, families: Callable[[], Iterable[Metric]]) -> None:
@@ -40,7 +40,7 @@
         """Nothing is read at registration: the program may not be whole yet."""
         return ()
 
-    def tell(self, connection: Connection) -> None:
+    def respond(self, connection: Connection) -> None:
         """Answer a scrape."""
         connection.respond(generate_latest(self.registry), {"Content-Type": CONTENT_TYPE_PLAIN_0_0_4})
 
@@ -48,7 +48,7 @@
         """At an address of its own: this call and no other."""
         if (request.method, request.path) != ("GET", PATH):
             raise HTTPError(404, "no such call: GET /metrics")
-        self.tell(connection)
+        self.respond(connection)
 
 
 def labelled(family: GaugeMetricFamily | CounterMetricFamily, values: Iterable[tuple[str, float]]) -> Metric:
--- a/registry/metrics.py
+++ b/registry/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.metrics_core import Metric
 
-from ops.metrics import Page, counter, gauge, labelled
+from ops.metrics import MetricsPage, counter, gauge, labelled
 
 
 class Service(Protocol):
@@ -30,9 +30,9 @@
 }
 
 
-def page(service: Service) -> Page:
+def page(service: Service) -> MetricsPage:
     """The metrics page of a primary, follower or agent."""
-    return Page(lambda: families(service))
+    return MetricsPage(lambda: families(service))
 
 
 def families(service: Service) -> Iterable[Metric]:
--- a/registry/service.py
+++ b/registry/service.py
@@ -18,7 +18,7 @@
 from .store import Store
 
 if TYPE_CHECKING:
-    from ops.metrics import Page
+    from ops.metrics import MetricsPage
 
 log = logs.get(__name__)
 
@@ -45,7 +45,7 @@
         self.reader_server = Server(self.handle, connections)
         self.operator_server = Server(self.handle_operator, MAX_OPERATOR_CONNECTIONS)
         self.tasks: list[asyncio.Task] = []
-        self.metrics_page: Page | None = None  # set if metrics are enabled
+        self.metrics_page: MetricsPage | None = None  # set if metrics are enabled
         self.stop = asyncio.Event()
         self.failed = False  # a background task has failed
 
@@ -100,7 +100,7 @@
         elif call == ("GET", "figures"):
             connection.respond(to_json(self.figures()))
         elif call == ("GET", "metrics") and self.metrics_page:
-            self.metrics_page.tell(connection)
+            self.metrics_page.respond(connection)
         else:
             raise HTTPError(
                 404,
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -13,7 +13,7 @@
 from prometheus_client.metrics_core import Metric
 
 from ops.http import Server
-from ops.metrics import CALLERS_MOST, Page, counter, gauge, labelled
+from ops.metrics import SCRAPE_CONNECTIONS_MAX, MetricsPage, counter, gauge, labelled
 from orchidlane import interface as api
 
 from .config import Address, Config
@@ -105,7 +105,7 @@
     def __init__(self, driver: Driver, config: Config) -> None:
         self.driver, self.zones = driver, config.zones
         self.class_names = [name.decode() for name in config.classes]
-        self.page = Page(self._collect)
+        self.page = MetricsPage(self._collect)
         registry = self.page.registry
         self.answers = Histogram(
             "birchdrum_answer_seconds",
@@ -125,7 +125,7 @@
 
     async def listen(self, address: Address) -> None:
         """Start to serve scrapes; raises OSError."""
-        server = Server(self.page.handle, CALLERS_MOST)
+        server = Server(self.page.handle, SCRAPE_CONNECTIONS_MAX)
         await server.listen(address)
         self.server = server
 
