--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -95,7 +95,7 @@
         return platform.parse(json.dumps(whole.platform))
 
     config = parsed(first)
-    logs.start(config.log_form, config.log_level)
+    logs.configure(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, lambda: parsed(configuration.load(file, flags))))
     except NoStart as wrong:
--- a/ops/http.py
+++ b/ops/http.py
@@ -17,7 +17,7 @@
 
 from . import logs
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 HEAD_BYTES_MAX = 8_192  # bytes of a request's head, and of what may come behind it before it is answered
 BODY_BYTES_MAX = 4_096
--- a/ops/metrics.py
+++ b/ops/metrics.py
@@ -33,7 +33,7 @@
         """What the program counts, and what every program here does."""
         yield from self.families()
         kept_back = CounterMetricFamily("birchdrum_log_lines_kept_back", "Log lines beyond the bound")
-        kept_back.add_metric([], logs.bound.kept_back_all)
+        kept_back.add_metric([], logs.rate_limiter.suppressed_total)
         yield kept_back
 
     def describe(self) -> Iterable[Metric]:
--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -91,7 +91,7 @@
             "--metrics", action="store_true", help="also serve GET /metrics at the operators' address"
         )
         service_parser.add_argument(
-            "--log-form", choices=logs.FORMS, default="text", help="logfmt or JSON lines (%(default)s)"
+            "--log-form", choices=logs.FORMATS, default="text", help="logfmt or JSON lines (%(default)s)"
         )
         service_parser.add_argument(
             "--log-level",
@@ -198,7 +198,7 @@
     """Run a command; on failure it prints one line and returns 1."""
     args = (parser or build_parser()).parse_args(argv)
     if args.call != "backup":
-        logs.start(args.log_form, args.log_level)
+        logs.configure(args.log_form, args.log_level)
     try:
         if args.call == "backup":
             backup(args.store, args.to)
--- a/registry/copies.py
+++ b/registry/copies.py
@@ -15,7 +15,7 @@
 from .service import Service, StoredService
 from .store import FOLLOWER, Store, StoreError, is_transient
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 SAVE_INTERVAL = 1.0  # seconds between two writes of an agent's list file
 
--- a/registry/follow.py
+++ b/registry/follow.py
@@ -17,7 +17,7 @@
 from .entries import Invalid, ListUpdate, parse_digits, parse_update
 from .ledger import Ledger
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 INSTANCES_TARGET = "/registry/instances"
 LIFE_HEADER = "Registry-Life"  # the life of the list; a greater one supersedes all sequence numbers
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -36,7 +36,7 @@
 from .service import SHUTDOWN_TIMEOUT, StoredService, to_json
 from .store import PRIMARY, Store, StoreError, is_transient
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 MAX_BATCH = 256  # writes per transaction
 MAX_QUEUED_WRITES = 4_096
--- a/registry/service.py
+++ b/registry/service.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from ops.metrics import MetricsPage
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 GATEWAYS_PATH = ["registry", "gateways"]
 MAX_OPERATOR_CONNECTIONS = 16
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -28,7 +28,7 @@
     except CONFIG_ERRORS as error:
         print(f"saffrongw: no usable configuration: {error!r}", file=sys.stderr)
         return 1
-    logs.start(config.log_form, config.log_level)
+    logs.configure(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, read))
     except NoStart as error:
--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -48,7 +48,7 @@
     memory: int  # bytes
     control: Address | None  # listen address for operators' calls; None: off
     metrics: Address | None  # listen address for GET /metrics; None: off
-    log_form: str  # one of ops.logs.FORMS
+    log_form: str  # one of ops.logs.FORMATS
     log_level: str  # one of ops.logs.LEVELS
     peer_listen: Address | None
     peers: tuple[Address, ...]
@@ -118,7 +118,7 @@
         memory=int(float(raw["limits"].get("memory_mb", DEFAULT_MEMORY_MB)) * 1024 * 1024),
         control=address(raw["control"]) if raw.get("control") else None,
         metrics=address(raw["metrics"]) if raw.get("metrics") else None,
-        log_form=_checked_choice(logs.FORMS, log_settings.get("form", "text")),
+        log_form=_checked_choice(logs.FORMATS, log_settings.get("form", "text")),
         log_level=_checked_choice(logs.LEVELS, log_settings.get("level", "info")),
         peer_listen=address(raw["peer_listen"]) if has_peer_discovery and raw.get("peer_listen") else None,
         peers=tuple(address(peer) for peer in peers),
--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from .members import Members
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 CONNECTIONS_MAX = 12  # open connections: a new one beyond this closes the oldest
 LINE_BYTES_MAX = 512  # length of a call
--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -15,7 +15,7 @@
 
 from .config import Address, HostList, parse_hosts
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 PATH = "/registry/instances"
 RESPONSE_BYTES_MAX = 4 * 1024 * 1024  # bounds memory use if a response never ends
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from .clients import Clients
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 # Drain, in seconds after an operator's LEAVE.
 DRAIN_NOTICE_DELAY = 0.6  # by now the load balancer in front has seen the drain and sends no new connections
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -20,7 +20,7 @@
 from .readiness import Readiness
 from .stats import Stats
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 MS = 1_000  # microseconds
 # The client's clock started when it sent: so much before its time is up the last answer must be on its way.
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -10,7 +10,7 @@
 
 from .config import Address
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 RETRY_INTERVAL = 0.5  # seconds until an address that is taken is tried again
 
--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -15,7 +15,7 @@
 from .config import Address, address
 from .places import Places
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 PATH = "/registry/gateways"
 LEASE_TIME = 30.0  # seconds that the list service keeps an address for
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -21,7 +21,7 @@
 from .meeting import Meeting
 from .peers import Peers
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 MS = 1_000  # microseconds
 TIMER_RESOLUTION = 5 * MS  # two times that lie nearer are one
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -37,7 +37,7 @@
 CONFIG_ERRORS = (OSError, KeyError, ValueError, TypeError, AttributeError, WireError)
 PER_START_FIELDS = ("seed", "known")  # differ with every start: not reported as changes
 RELOADABLE = ("discovery", "log_form", "log_level")  # applied on SIGHUP; all others need a restart
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
@@ -208,7 +208,7 @@
         # Logged in the previous format and at the previous level.
         log.info("config_read", in_force=applied, needs_restart=after_restart)
         if "log_form" in applied or "log_level" in applied:
-            logs.start(self.config.log_form, self.config.log_level)
+            logs.configure(self.config.log_form, self.config.log_level)
         self.watch.set_address(self.config.discovery)
 
 
--- a/saffrongw/stats.py
+++ b/saffrongw/stats.py
@@ -14,7 +14,7 @@
 
 from ops import logs
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 REPORT_INTERVAL = 5.0  # seconds between two events
 
@@ -42,7 +42,7 @@
             "rss_kb": rss_kb(),
             "cpu_ms": int(1000 * (cpu_seconds - previous_cpu_seconds)),
         }
-        log.info("stats", **{logs.ALWAYS: True}, **fields, **dict(sorted(self.items())))
+        log.info("stats", **{logs.UNLIMITED: True}, **fields, **dict(sorted(self.items())))
         self.reported.update(self)
         self.clear()
         loop.call_later(REPORT_INTERVAL, self._write_event, loop, cpu_seconds)
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -30,7 +30,7 @@
 from .driver import FAILED_REPLY, REPLY_MARGIN, Driver
 from .peers import Peers
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 VERSION = 1
 MESSAGE_BYTES_MAX = 2 * 1024 * 1024  # fits a request with the largest body, or one batch of accounts
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -22,13 +22,13 @@
     output = io.StringIO()
 
     def start(form: str, level: str = "info") -> io.StringIO:
-        logs.bound.__init__()
-        logs.start(form, level, output)
+        logs.rate_limiter.__init__()
+        logs.configure(form, level, output)
         return output
 
     yield start
     structlog.reset_defaults()
-    logs.bound.__init__()
+    logs.rate_limiter.__init__()
 
 
 def test_an_event_has_the_gauges_and_the_counts_since_the_previous_event(monkeypatch):
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(("value", "expected"), FIELDS)
 def test_fields_keep_their_types_and_stay_on_one_line_of_bounded_length(log_output, value, expected):
     output = log_output("json")
-    logs.get("test").warning("seen", value=value)
+    logs.get_logger("test").warning("seen", value=value)
     [line] = output.getvalue().splitlines()
     event = json.loads(line)
     assert (event["event"], event["level"], event["value"]) == ("seen", "warning", expected)
@@ -73,43 +73,45 @@
 
 def test_a_flood_is_rate_limited_suppressed_lines_are_counted_and_stats_pass(log_output):
     output = log_output("text")
-    log = logs.get("test")
-    for _ in range(5 * logs.BURST):
+    log = logs.get_logger("test")
+    for _ in range(5 * logs.BURST_LINES):
         log.info("flood", text="a b\n\x00=")
         logging.getLogger("some.library").error("%d things", 7)
-    log.info("stats", **{logs.ALWAYS: True}, calls=1)
+    log.info("stats", **{logs.UNLIMITED: True}, calls=1)
     lines = output.getvalue().splitlines()
-    assert logs.BURST < len(lines) <= logs.BURST + 30  # plus the allowance refilled meanwhile
-    assert lines[-1].endswith(f"event=stats calls=1 lines_kept_back={10 * logs.BURST - len(lines) + 1}") or (
+    assert logs.BURST_LINES < len(lines) <= logs.BURST_LINES + 30  # plus the allowance refilled meanwhile
+    assert lines[-1].endswith(
+        f"event=stats calls=1 lines_kept_back={10 * logs.BURST_LINES - len(lines) + 1}"
+    ) or (
         sum(int(line.rsplit("lines_kept_back=")[1]) for line in lines if "lines_kept_back=" in line)
-        == 10 * logs.BURST - len(lines) + 1
+        == 10 * logs.BURST_LINES - len(lines) + 1
     )
     assert any("event=library_said" in line and "some.library" in line for line in lines)
 
 
 def test_level_and_format_can_change_at_run_time(log_output):
     output = log_output("text", "warning")
-    log = logs.get("test")
+    log = logs.get_logger("test")
     log.info("left_out")
-    logs.start("json", "info", output)
+    logs.configure("json", "info", output)
     log.info("told")
     assert [json.loads(line)["event"] for line in output.getvalue().splitlines()] == ["told"]
     with pytest.raises(ValueError, match="text, json"):
-        logs.start("xml")
+        logs.configure("xml")
 
 
 def test_an_unwritable_log_does_not_raise_and_its_lines_are_counted(log_output):
     log_output("text")
     with contextlib.suppress(OSError), open("/dev/full", "w", buffering=1) as full:  # closing it fails, too
-        logs.start("text", "info", full)
-        logs.get("test").info("lost")
-    assert logs.bound.kept_back_all == 1
+        logs.configure("text", "info", full)
+        logs.get_logger("test").info("lost")
+    assert logs.rate_limiter.suppressed_total == 1
     output = io.StringIO()
-    logs.start("json", "info", output)
-    logs.get("test").info("told")
+    logs.configure("json", "info", output)
+    logs.get_logger("test").info("told")
     assert json.loads(output.getvalue())["lines_kept_back"] == 1
     closed = io.StringIO()
     closed.close()
-    logs.start("text", "info", closed)
-    logs.get("test").info("lost")
-    assert logs.bound.kept_back_all == 2
+    logs.configure("text", "info", closed)
+    logs.get_logger("test").info("lost")
+    assert logs.rate_limiter.suppressed_total == 2
