--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -137,11 +137,11 @@
 @config.command("schema")
 def show_schema() -> None:
     """Print the JSON schema of the file, for editors that check TOML by one."""
-    from ops.checking import schema
+    from ops.checking import json_schema
 
     from .model import Config
 
-    click.echo(json.dumps(schema(Config), indent=2))
+    click.echo(json.dumps(json_schema(Config), indent=2))
 
 
 @config.command()
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -17,7 +17,7 @@
 
 import tomlkit
 
-from ops.checking import Mistake, Text, plain
+from ops.checking import UntypedText, Violation, to_plain
 from saffrongw import config as platform
 
 from . import checking, convert
@@ -95,7 +95,7 @@
     given += [(key, text, "flag") for key, text in (flags or {}).items()]
     for key, text, origin in given:
         try:
-            _override(values, key, Text(text))
+            _override(values, key, UntypedText(text))
             origins[key] = origin
         except ValueError as wrong:
             odd.append(f"{key} ({origin}): {wrong}")
@@ -106,7 +106,7 @@
     if theirs is not None:
         typed = _with_rest(typed, theirs, {key for key, _, _ in given}, file)
     try:
-        whole = convert.to_platform(plain(typed))
+        whole = convert.to_platform(to_plain(typed))
         platform.parse(json.dumps(whole))
     except (KeyError, ValueError, TypeError, IndexError, AttributeError) as wrong:
         raise Unusable([f"{file}: platform: does not fit to the rest: {wrong!r}"]) from None
@@ -117,13 +117,13 @@
     """With what the platform's file says besides; what a flag or the environment set is not put back."""
     without = checking.check(convert.from_platform(theirs))[0]
     base = typed if without is None else without
-    rest = convert.keep_rest(theirs, convert.to_platform(plain(base)))
+    rest = convert.keep_rest(theirs, convert.to_platform(to_plain(base)))
     mapped = {"/" + convert.FIELDS[key][0] for key in overridden if key in convert.FIELDS}
     if "values" in rest:
         rest["values"] = {at: text for at, text in rest["values"].items() if at not in mapped}
     if "absent" in rest:
         rest["absent"] = [at for at in rest["absent"] if not any(m.startswith(at) for m in mapped)]
-    whole, mistakes = checking.check(plain(typed) | ({"platform": rest} if rest else {}))
+    whole, mistakes = checking.check(to_plain(typed) | ({"platform": rest} if rest else {}))
     if whole is None:
         raise Unusable(_told(mistake, file, {}) for mistake in mistakes)
     return whole
@@ -137,7 +137,7 @@
             yield at + key
 
 
-def _override(values: dict[str, Any], key: str, text: Text) -> None:
+def _override(values: dict[str, Any], key: str, text: UntypedText) -> None:
     """Set one key; a row of a list is named by its place, as in ``plans.0.rate``."""
     *above, last = key.split(".")
     tree: Any = values
@@ -155,7 +155,7 @@
     tree[last] = text
 
 
-def _told(mistake: Mistake, file: Path, origins: Mapping[str, str]) -> str:
+def _told(mistake: Violation, file: Path, origins: Mapping[str, str]) -> str:
     words = re.sub(r"\[(\d+)\]", r".\1", mistake.key).split(".")
     for length in range(len(words), 0, -1):  # a row's mistake lies where its list was given
         if where := origins.get(".".join(words[:length])):
@@ -165,7 +165,7 @@
 
 def as_toml(loaded: Loaded, all_keys: bool = False) -> str:
     """As a file: the keys that were given, or all with their defaults. Read again it is the same."""
-    values = plain(loaded.typed)
+    values = to_plain(loaded.typed)
     if not all_keys:
         values = _without_defaults(values, loaded)
     order = sorted(values, key=lambda key: isinstance(values[key], dict | list) and key != "zones")
@@ -177,7 +177,7 @@
     typed = loaded.typed
     least = {"listen", "discovery", "classes", "plans"}
     blank = Config(listen=typed.listen, discovery=typed.discovery, classes=typed.classes, plans=typed.plans)
-    usual = plain(blank)
+    usual = to_plain(blank)
     done: dict[str, Any] = {}
     for key, value in values.items():
         if key in least or key not in usual:
--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ops.checking import plain
+from ops.checking import to_plain
 from registry.agreement import NEVER, RULES, TOGETHER, WITHIN
 
 from .model import Config
@@ -159,7 +159,7 @@
 
 def changes(old: Config, new: Config) -> list[Change]:
     """What differs of the keys that all share, in the order of the rules."""
-    was, becomes = plain(old), plain(new)
+    was, becomes = to_plain(old), to_plain(new)
     found = []
     for path, (rule, why) in SHARED.items():
         head, star, key = path.partition(".*.")
--- a/birchdrum/model.py
+++ b/birchdrum/model.py
@@ -9,7 +9,7 @@
 
 from msgspec import Meta, field
 
-from ops.checking import Amount, Count, Many, Part, Positive, Strict, usual
+from ops.checking import NonNegative, NonNegativeInt, Positive, PositiveInt, Ratio, Strict, default_quantity
 from ops.units import Address, Duration, Size
 
 Name = Annotated[
@@ -32,16 +32,16 @@
 class Limits(Strict):
     """What the process may take up."""
 
-    memory: Size = usual(Size("64MiB"))
-    descriptors: Many = 256
+    memory: Size = default_quantity(Size("64MiB"))
+    descriptors: PositiveInt = 256
     cores: Positive = 1.0
 
 
 class Fleet(Strict):
     """All gateways that keep the quotas together."""
 
-    rank: Count = 0
-    gateways: Many = 1
+    rank: NonNegativeInt = 0
+    gateways: PositiveInt = 1
     peers: list[Address] = field(default_factory=list)
     listen: Address | None = None
     everyone: Address | None = None
@@ -49,48 +49,48 @@
     join: list[Address] = field(default_factory=list)
     meet: Address | None = None
     advertise: Address | None = None
-    intake: Amount = 50.0
+    intake: NonNegative = 50.0
     shared_counter: bool = False
 
 
 class Hosts(Strict):
     """What holds for all hosts."""
 
-    connect_timeout: Duration = usual(Duration("250ms"))
-    idle_close: Duration = usual(Duration("15s"))
+    connect_timeout: Duration = default_quantity(Duration("250ms"))
+    idle_close: Duration = default_quantity(Duration("15s"))
     reports: Annotated[
         Literal["inline", "on_probe", "off"], Meta(description='"inline", "on_probe" or "off"')
     ] = "off"
     report_names: list[str] = field(default_factory=list)
-    cold_from: Part = 0.25
-    warm_within: Duration = usual(Duration("10s"))
+    cold_from: Ratio = 0.25
+    warm_within: Duration = default_quantity(Duration("10s"))
     fall_multiple: Positive = 2.0
-    overload_for: Duration = usual(Duration("2s"))
-    drain_within: Duration = usual(Duration("250ms"))
+    overload_for: Duration = default_quantity(Duration("2s"))
+    drain_within: Duration = default_quantity(Duration("250ms"))
     lists: Annotated[Literal["pushed", "on_request"], Meta(description='"pushed" or "on_request"')] = "pushed"
-    ask_within: Duration = usual(Duration("10s"))
+    ask_within: Duration = default_quantity(Duration("10s"))
 
 
 class Requests(Strict):
     """What may be done for a request."""
 
-    attempts: Many = 4
+    attempts: PositiveInt = 4
     cancel: bool = True
     second_copies: bool = True
     probes: bool = False
     gossip: bool = True
     retry_after: bool = True
-    retry_after_most: Duration = usual(Duration("1s"))
-    units_most: Many = 1
+    retry_after_most: Duration = default_quantity(Duration("1s"))
+    units_most: PositiveInt = 1
 
 
 class Prices(Strict):
     """What the decisions weigh: parts of a request's worth."""
 
-    cross_zone: Amount = 0.0
-    peer: Amount = 0.0
-    probe: Amount = 0.0
-    waste: Amount = 0.0
+    cross_zone: NonNegative = 0.0
+    peer: NonNegative = 0.0
+    probe: NonNegative = 0.0
+    waste: NonNegative = 0.0
 
 
 class Class(Strict):
@@ -103,24 +103,24 @@
     deadline: Duration
     aim: Duration
     group: Annotated[Literal["all", "zone", "cell"], Meta(description='"all", "zone" or "cell"')] = "all"
-    repeat_window: Duration = usual(Duration("0s"))
-    worth: Amount = 1.0
-    late_worth: Part = 0.0
+    repeat_window: Duration = default_quantity(Duration("0s"))
+    worth: NonNegative = 1.0
+    late_worth: Ratio = 0.0
 
 
 class Plan(Strict):
     """Quotas of each customer of a plan, over all gateways together."""
 
     name: Name
-    rate: Amount
-    burst: Amount
-    open: Count = 0
-    price: Amount = 1.0
-    beyond_earns: Amount = 0.0
-    beyond_costs: Amount = 1.0
-    ceiling_rate: Amount = 0.0
-    ceiling_burst: Amount = 0.0
-    ceiling_slack: Amount = 0.0
+    rate: NonNegative
+    burst: NonNegative
+    open: NonNegativeInt = 0
+    price: NonNegative = 1.0
+    beyond_earns: NonNegative = 0.0
+    beyond_costs: NonNegative = 1.0
+    ceiling_rate: NonNegative = 0.0
+    ceiling_burst: NonNegative = 0.0
+    ceiling_slack: NonNegative = 0.0
 
 
 class KnownHost(Strict):
@@ -130,16 +130,16 @@
     dial: Address
     site: str
     kind: str = "host"
-    block: Count = 0
+    block: NonNegativeInt = 0
     health: Annotated[Literal["SERVING", "DRAINING"], Meta(description="SERVING or DRAINING")] = "SERVING"
     share: Positive = 1.0
-    born_ms: Count = 0
+    born_ms: NonNegativeInt = 0
 
 
 class Known(Strict):
     """The list of hosts as it was last known; discovery's replaces it."""
 
-    version: Count = 0
+    version: NonNegativeInt = 0
     whole: bool = True
     hosts: list[KnownHost] = field(default_factory=list)
 
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -16,7 +16,15 @@
 import numpy as np
 from msgspec import Meta, field
 
-from ops.checking import Amount, Count, Many, Mistake, Strict, typed, usual
+from ops.checking import (
+    NonNegative,
+    NonNegativeInt,
+    PositiveInt,
+    Strict,
+    Violation,
+    default_quantity,
+    validate,
+)
 from ops.units import Duration
 
 FOLDER = Path(__file__).parent / "schedules"
@@ -41,11 +49,11 @@
 
     what: What
     at: Duration
-    lasts: Duration = usual(Duration("0s"))
+    lasts: Duration = default_quantity(Duration("0s"))
     links: list[str] = field(default_factory=list)
     nodes: list[str] = field(default_factory=list)
-    amount: Amount = 0.0
-    by: Duration = usual(Duration("0s"))
+    amount: NonNegative = 0.0
+    by: Duration = default_quantity(Duration("0s"))
 
 
 class Draw(Strict):
@@ -53,12 +61,12 @@
     all that are named."""
 
     what: What
-    count: Many
+    count: PositiveInt
     at: list[Duration]
     lasts: list[Duration]
     links: list[str] = field(default_factory=list)
     nodes: list[str] = field(default_factory=list)
-    amount: list[Amount] = field(default_factory=lambda: [0.0, 0.0])
+    amount: list[NonNegative] = field(default_factory=lambda: [0.0, 0.0])
     by: list[Duration] = field(default_factory=lambda: [Duration("0s"), Duration("0s")])
 
 
@@ -71,14 +79,14 @@
     two, or the list service's."""
 
     about: str = ""
-    gateways: Many = 5
-    hosts: Many = 4
-    agents: Count = 0
-    customers: Count = 6
+    gateways: PositiveInt = 5
+    hosts: PositiveInt = 4
+    agents: NonNegativeInt = 0
+    customers: NonNegativeInt = 6
     membership: bool = True
     found: Found = "fixed"
-    lasts: Duration = usual(Duration("10s"))
-    settle: Duration = usual(Duration("6s"))
+    lasts: Duration = default_quantity(Duration("10s"))
+    settle: Duration = default_quantity(Duration("6s"))
     faults: list[Fault] = field(default_factory=list)
     draws: list[Draw] = field(default_factory=list)
 
@@ -134,7 +142,7 @@
         raise Impossible([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
         raise Impossible([f"{file}: is no whole TOML: {wrong}"]) from None
-    schedule, mistakes = typed(raw, Schedule)
+    schedule, mistakes = validate(raw, Schedule)
     if schedule is not None:
         mistakes = list(_relations(schedule))
     if mistakes or schedule is None:
@@ -150,39 +158,39 @@
     return done
 
 
-def _relations(schedule: Schedule) -> Iterator[Mistake]:
+def _relations(schedule: Schedule) -> Iterator[Violation]:
     names = gateways(schedule.gateways)
     for i, fault in enumerate(schedule.faults):
         at = f"faults[{i}]"
         wanted, other = ("links", "nodes") if fault.what in ON_LINKS else ("nodes", "links")
         if not getattr(fault, wanted) or getattr(fault, other):
-            yield Mistake(
+            yield Violation(
                 f"{at}.{wanted}", "", f"{fault.what} happens to {wanted}: name some, and no {other}"
             )
             continue
         if fault.what == "move" and schedule.found == "fixed":
-            yield Mistake(f"{at}.what", '"move"', 'expected where found is "members" or "list" only')
+            yield Violation(f"{at}.what", '"move"', 'expected where found is "members" or "list" only')
         try:
             _nodes(fault.nodes, names)
             _links(fault.links, names)
         except ValueError as wrong:
-            yield Mistake(f"{at}.{wanted}", str(getattr(fault, wanted)), str(wrong))
+            yield Violation(f"{at}.{wanted}", str(getattr(fault, wanted)), str(wrong))
         if fault.what in ("loss", "double", "garble") and not 0 < fault.amount <= 1:
-            yield Mistake(f"{at}.amount", f"{fault.amount:g}", "expected a part above 0, of 1 at most")
+            yield Violation(f"{at}.amount", f"{fault.amount:g}", "expected a part above 0, of 1 at most")
         if fault.at.base > schedule.lasts.base:
-            yield Mistake(f"{at}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
+            yield Violation(f"{at}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
     for i, draw in enumerate(schedule.draws):
         wrong_key = "nodes" if draw.what in ON_LINKS else "links"
         if getattr(draw, wrong_key):
-            yield Mistake(f"draws[{i}].{wrong_key}", "", f"{draw.what} does not happen to {wrong_key}")
+            yield Violation(f"draws[{i}].{wrong_key}", "", f"{draw.what} does not happen to {wrong_key}")
         try:
             _nodes(draw.nodes, names)
             _links(draw.links, names)
         except ValueError as wrong:
-            yield Mistake(f"draws[{i}]", str([*draw.nodes, *draw.links]), str(wrong))
+            yield Violation(f"draws[{i}]", str([*draw.nodes, *draw.links]), str(wrong))
         for key in ("at", "lasts", "amount", "by"):
             if len(getattr(draw, key)) != 2:
-                yield Mistake(
+                yield Violation(
                     f"draws[{i}].{key}", str(getattr(draw, key)), "expected two values, least and most"
                 )
 
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -20,7 +20,7 @@
 import numpy as np
 from scipy import stats
 
-from ops.checking import plain
+from ops.checking import to_plain
 from ops.files import write_whole
 
 from .baselines import VARIANTS
@@ -46,7 +46,7 @@
     def described(self) -> dict[str, Any]:
         """All that a worker needs."""
         name = "birchdrum" if self.variant.startswith(AGAINST) else self.variant
-        return {"scenario": plain(self.scenario), "seed": self.seed, "variant": name}
+        return {"scenario": to_plain(self.scenario), "seed": self.seed, "variant": name}
 
     def digest(self) -> str:
         """Of what is played, so that a file of another scenario under the same name is not taken for it."""
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -9,7 +9,17 @@
 
 from msgspec import Meta, field
 
-from ops.checking import Amount, Count, Many, Mistake, Part, Positive, Strict, typed, usual
+from ops.checking import (
+    NonNegative,
+    NonNegativeInt,
+    Positive,
+    PositiveInt,
+    Ratio,
+    Strict,
+    Violation,
+    default_quantity,
+    validate,
+)
 from ops.units import Duration
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,48}$", description="1 to 48 small letters, digits or '-'")]
@@ -21,16 +31,16 @@
 class Hosts(Strict):
     """Machines that do the work, spread evenly over the zones."""
 
-    count: Many = 8
-    slots: Many = 8
-    waiting: Count = 32
-    spread: Amount = 0.6
-    error_rate: Part = 0.0
-    cold_from: Part = 0.3
-    warm_within: Duration = usual(Duration("8s"))
-    connections: Many = 256
-    handshake: Duration = usual(Duration("2ms"))
-    idle_close: Duration = usual(Duration("15s"))
+    count: PositiveInt = 8
+    slots: PositiveInt = 8
+    waiting: NonNegativeInt = 32
+    spread: NonNegative = 0.6
+    error_rate: Ratio = 0.0
+    cold_from: Ratio = 0.3
+    warm_within: Duration = default_quantity(Duration("8s"))
+    connections: PositiveInt = 256
+    handshake: Duration = default_quantity(Duration("2ms"))
+    idle_close: Duration = default_quantity(Duration("15s"))
 
 
 class Kind(Strict):
@@ -44,10 +54,10 @@
         Literal["repeatable", "by_key", "once"], Meta(description='"repeatable", "by_key" or "once"')
     ] = "repeatable"
     group: Annotated[Literal["all", "zone", "cell"], Meta(description='"all", "zone" or "cell"')] = "all"
-    repeat_window: Duration = usual(Duration("0s"))
+    repeat_window: Duration = default_quantity(Duration("0s"))
     share: Positive = 1.0
-    worth: Amount = 1.0
-    late_worth: Part = 0.0
+    worth: NonNegative = 1.0
+    late_worth: Ratio = 0.0
 
 
 class Plan(Strict):
@@ -57,58 +67,58 @@
     rate: Positive
     burst: Positive
     share: Positive = 1.0
-    price: Amount = 1.0
-    beyond_costs: Amount = 0.8
+    price: NonNegative = 1.0
+    beyond_costs: NonNegative = 0.8
 
 
 class Customers(Strict):
     """Who asks. Parts ask steadily for ``steady_use`` of their quota, nearly all, more, or in bursts."""
 
-    count: Many = 100
-    set: Many = 3
-    steady_use: Amount = 0.5
-    nearly_full: Part = 0.2
-    nearly_full_use: Amount = 0.95
-    over: Part = 0.0
-    over_use: Amount = 3.0
-    bursting: Part = 0.1
-    burst_use: Amount = 1.0
+    count: PositiveInt = 100
+    set: PositiveInt = 3
+    steady_use: NonNegative = 0.5
+    nearly_full: Ratio = 0.2
+    nearly_full_use: NonNegative = 0.95
+    over: Ratio = 0.0
+    over_use: NonNegative = 3.0
+    bursting: Ratio = 0.1
+    burst_use: NonNegative = 1.0
     burst_factor: Positive = 5.0
-    burst_lasts: Duration = usual(Duration("2s"))
-    burst_every: Duration = usual(Duration("12s"))
+    burst_lasts: Duration = default_quantity(Duration("2s"))
+    burst_every: Duration = default_quantity(Duration("12s"))
 
 
 class Clients(Strict):
     """What they do after a no."""
 
-    retry: Part = 0.5
-    tries: Many = 3
-    backoff: Duration = usual(Duration("200ms"))
-    honour: Part = 0.8
+    retry: Ratio = 0.5
+    tries: PositiveInt = 3
+    backoff: Duration = default_quantity(Duration("200ms"))
+    honour: Ratio = 0.8
 
 
 class Network(Strict):
     """Delays one way; each is longer by up to ``jitter`` of itself."""
 
-    client: Duration = usual(Duration("600us"))
-    host: Duration = usual(Duration("300us"))
-    across: Duration = usual(Duration("700us"))
-    peer: Duration = usual(Duration("500us"))
-    jitter: Part = 0.3
-    peer_loss: Part = 0.03
+    client: Duration = default_quantity(Duration("600us"))
+    host: Duration = default_quantity(Duration("300us"))
+    across: Duration = default_quantity(Duration("700us"))
+    peer: Duration = default_quantity(Duration("500us"))
+    jitter: Ratio = 0.3
+    peer_loss: Ratio = 0.03
 
 
 class Discovery(Strict):
     """How long a change of the list takes to each gateway: at least, and up to so much more."""
 
-    notice: Duration = usual(Duration("600ms"))
-    more: Duration = usual(Duration("2s"))
+    notice: Duration = default_quantity(Duration("600ms"))
+    more: Duration = default_quantity(Duration("2s"))
 
 
 class Front(Strict):
     """How long until a dead gateway gets no more requests."""
 
-    notice: Duration = usual(Duration("2s"))
+    notice: Duration = default_quantity(Duration("2s"))
 
 
 TROUBLES = Literal[
@@ -130,9 +140,9 @@
     what: Annotated[TROUBLES, Meta(description="one of " + ", ".join(TROUBLES.__args__))]
     at: Duration
     lasts: Duration
-    share: Part = 1.0
+    share: Ratio = 1.0
     zone: Name | None = None
-    factor: Amount = 1.0
+    factor: NonNegative = 1.0
 
 
 class Scenario(Strict):
@@ -143,7 +153,7 @@
     lasts: Duration
     kinds: list[Kind]
     plans: list[Plan]
-    gateways: Many = 3
+    gateways: PositiveInt = 3
     zones: list[Name] = field(default_factory=lambda: ["a"])
     hosts: Hosts = field(default_factory=Hosts)
     customers: Customers = field(default_factory=Customers)
@@ -170,7 +180,7 @@
         raise Impossible([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
         raise Impossible([f"{file}: is no whole TOML: {wrong}"]) from None
-    scenario, mistakes = typed(raw, Scenario)
+    scenario, mistakes = validate(raw, Scenario)
     if scenario is not None:
         mistakes = list(relations(scenario))
     if scenario is None or mistakes:
@@ -202,42 +212,42 @@
     return requests_a_second(scenario) * work / (scenario.hosts.count * scenario.hosts.slots)
 
 
-def relations(scenario: Scenario) -> Iterator[Mistake]:
+def relations(scenario: Scenario) -> Iterator[Violation]:
     """What can't be."""
     customers = scenario.customers
     if not scenario.lasts.base:
-        yield Mistake("lasts", f'"{scenario.lasts}"', "expected above 0")
+        yield Violation("lasts", f'"{scenario.lasts}"', "expected above 0")
     for key, rows in (("kinds", scenario.kinds), ("plans", scenario.plans), ("zones", scenario.zones)):
         if not rows:
-            yield Mistake(key, "[]", "expected one at least")
+            yield Violation(key, "[]", "expected one at least")
             return
     if customers.set > scenario.gateways:
         wanted = f"expected at most gateways, {scenario.gateways}"
-        yield Mistake("customers.set", str(customers.set), wanted)
+        yield Violation("customers.set", str(customers.set), wanted)
     parts = customers.nearly_full + customers.bursting + customers.over
     if parts > 1:
         wanted = "with nearly_full and over: expected 1 at most"
-        yield Mistake("customers.bursting", f"{parts:g}", wanted)
+        yield Violation("customers.bursting", f"{parts:g}", wanted)
     if customers.bursting and customers.burst_every.base <= customers.burst_lasts.base:
         wanted = f"expected more than burst_lasts, {customers.burst_lasts}"
-        yield Mistake("customers.burst_every", f'"{customers.burst_every}"', wanted)
+        yield Violation("customers.burst_every", f'"{customers.burst_every}"', wanted)
     for i, kind in enumerate(scenario.kinds):
         if not 0 < kind.aim.base <= kind.deadline.base:
             wanted = f"expected above 0 and at most its deadline, {kind.deadline}"
-            yield Mistake(f"kinds[{i}].aim", f'"{kind.aim}"', wanted)
+            yield Violation(f"kinds[{i}].aim", f'"{kind.aim}"', wanted)
     if requests_a_second(scenario) * scenario.lasts.base / 1e6 > REQUESTS_MOST:
         wanted = f"with these quotas over {REQUESTS_MOST} requests: expected fewer"
-        yield Mistake("customers.count", str(customers.count), wanted)
+        yield Violation("customers.count", str(customers.count), wanted)
     for i, trouble in enumerate(scenario.troubles):
         at = f"troubles[{i}]"
         if trouble.at.base >= scenario.lasts.base:
-            yield Mistake(f"{at}.at", f'"{trouble.at}"', f"expected before the end, {scenario.lasts}")
+            yield Violation(f"{at}.at", f'"{trouble.at}"', f"expected before the end, {scenario.lasts}")
         if trouble.zone is not None and trouble.zone not in scenario.zones:
             wanted = f"expected one of zones: {', '.join(scenario.zones)}"
-            yield Mistake(f"{at}.zone", f'"{trouble.zone}"', wanted)
+            yield Violation(f"{at}.zone", f'"{trouble.zone}"', wanted)
         if trouble.what == "cut-zone" and (trouble.zone is None or len(scenario.zones) < 2):
-            yield Mistake(f"{at}.zone", "", "is missing, expected one of two zones at least to cut off")
+            yield Violation(f"{at}.zone", "", "is missing, expected one of two zones at least to cut off")
         if trouble.what in ("slow-hosts", "overload") and not trouble.factor:
-            yield Mistake(f"{at}.factor", "0", "expected above 0")
+            yield Violation(f"{at}.factor", "0", "expected above 0")
         if trouble.what == "wrong-hosts" and trouble.factor > 1:
-            yield Mistake(f"{at}.factor", f"{trouble.factor:g}", "expected an error rate, 1 at most")
+            yield Violation(f"{at}.factor", f"{trouble.factor:g}", "expected an error rate, 1 at most")
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import orchidlane
-from ops.checking import typed
+from ops.checking import validate
 
 from . import runs
 from .scenario import Scenario, relations
@@ -19,7 +19,7 @@
 
 def play(wanted: dict[str, Any]) -> dict[str, Any]:
     """The play that is described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
-    scenario, mistakes = typed(wanted["scenario"], Scenario)
+    scenario, mistakes = validate(wanted["scenario"], Scenario)
     if scenario is None or (mistakes := list(relations(scenario))):
         raise runs.Unknown("; ".join(map(str, mistakes)))
     result, cost = runs.Play(scenario, int(wanted["seed"]), wanted["variant"]).run()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -203,7 +203,7 @@
     paths = set(convert.FIELDS) | {"zone", "classes", "plans", "known.hosts", "platform"}
     hints = checking.typing.get_type_hints(configuration.Config)
     for name, kind in hints.items():
-        kind = checking._without_none(kind)
+        kind = checking._unwrap_optional(kind)
         if isinstance(kind, type) and issubclass(kind, checking.Strict) and name != "platform":
             inner = {f"{name}.{key}" for key in checking.typing.get_type_hints(kind)}
             assert inner - paths == set()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 
 from lab import experiment, judge, runs, scenario, virtual
 from lab.station import FAILED, FULL, LATE, SERVED, Machine, Station, Ticket
-from ops.checking import plain
+from ops.checking import to_plain
 from ops.units import Duration
 from orchidlane import interface as api
 
@@ -302,7 +302,7 @@
     """A scenario that takes a moment."""
     small = replace(SMALL, name=name, lasts=Duration("2s"), troubles=[])
     file = tmp_path / f"{name}.toml"
-    file.write_text(tomlkit.dumps(plain(small)))
+    file.write_text(tomlkit.dumps(to_plain(small)))
     return file
 
 
