--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -150,7 +150,7 @@
 @click.option("-o", "--output", type=A_FILE, help="By default standard output.")
 def convert(file: Path, to: str | None, output: Path | None) -> None:
     """Turn the platform's JSON to TOML or back, without loss; environment and flags are left aside."""
-    from ops.files import write_whole
+    from ops.files import write_atomically
 
     from . import configuration
 
@@ -165,6 +165,6 @@
         click.echo(text, nl=False)
         return
     try:
-        write_whole(output, text)
+        write_atomically(output, text)
     except OSError as wrong:
         raise Ended(NOT_DONE, f"{output}: {(wrong.strerror or str(wrong)).lower()}") from None
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ops.units import Duration, Size, megabytes, of_megabytes
+from ops.units import Duration, Size, from_mebibytes, to_mebibytes
 
 Json = dict[str, Any]
 
@@ -18,11 +18,11 @@
 def _micro(value: Any) -> Any:
     if isinstance(value, bool) or not isinstance(value, int | float) or value != int(value) or value < 0:
         raise ValueError
-    return str(Duration.of(int(value)))
+    return str(Duration.from_base(int(value)))
 
 
 def _memory(value: Any) -> Any:
-    size = None if isinstance(value, bool) else of_megabytes(value)
+    size = None if isinstance(value, bool) else from_mebibytes(value)
     if size is None:
         raise ValueError
     return str(size)
@@ -37,7 +37,7 @@
 To = Callable[[Any], Any]
 PLAIN: tuple[To, To] = (_same, _same)
 TIME: tuple[To, To] = (_micro, lambda text: Duration(text).base)
-MEMORY: tuple[To, To] = (_memory, lambda text: megabytes(Size(text)))
+MEMORY: tuple[To, To] = (_memory, lambda text: to_mebibytes(Size(text)))
 
 CLASS = {
     "name": ("name", PLAIN),
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -21,7 +21,7 @@
 from scipy import stats
 
 from ops.checking import to_plain
-from ops.files import write_whole
+from ops.files import write_atomically
 
 from .baselines import VARIANTS
 from .runs import Unknown
@@ -159,7 +159,7 @@
             else:
                 whole = {"format": FORMAT, "digest": wanted.digest(), "revision": at, "versions": versions}
                 whole |= wanted.described() | {"of": wanted.variant} | raw
-                write_whole(wanted.file(folder), json.dumps(whole, indent=1))
+                write_atomically(wanted.file(folder), json.dumps(whole, indent=1))
                 done.results[key] = whole
         told(len(done.results) + len(done.failures), len(plays), f"{wanted.scenario.name} {wanted.variant}")
 
--- a/ops/checking.py
+++ b/ops/checking.py
@@ -53,7 +53,7 @@
 
 
 def _unit(kind: type, value: Any) -> Any:
-    if kind in units.KINDS:
+    if kind in units.UNIT_TYPES:
         if not isinstance(value, str):
             raise ValueError(f"expected {kind.EXPECTED}")
         return kind(value)
@@ -144,7 +144,7 @@
 def expected(kind: Any, said: str = "") -> str:
     """What may stand there, in words; ``said`` is the decoder's word for kinds that have none."""
     kind = _unwrap_optional(kind)
-    if kind in units.KINDS:
+    if kind in units.UNIT_TYPES:
         return said if said.startswith("expected a whole") else f"expected {kind.EXPECTED}"
     if get_origin(kind) is Annotated:
         for meta in get_args(kind)[1:]:
@@ -192,7 +192,7 @@
     """The JSON schema of a file of this type."""
 
     def hook(unit: type) -> dict[str, Any]:
-        if unit not in units.KINDS:
+        if unit not in units.UNIT_TYPES:
             raise NotImplementedError(unit)
         return {"type": "string", "description": unit.EXPECTED}
 
--- a/ops/files.py
+++ b/ops/files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 
-def write_whole(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Put a text in a file's place at once, on disk by then; raises OSError and leaves what was there."""
     handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
--- a/ops/units.py
+++ b/ops/units.py
@@ -8,7 +8,7 @@
 from fractions import Fraction
 from typing import ClassVar
 
-NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]+)", re.ASCII)
+QUANTITY_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]+)", re.ASCII)
 
 
 class Quantity:
@@ -16,12 +16,12 @@
 
     UNITS: ClassVar[dict[str, int]] = {}  # the base unit first, each in base units
     EXPECTED: ClassVar[str] = ""
-    ZERO: ClassVar[str] = ""  # the unit in which nothing is told
+    ZERO_UNIT: ClassVar[str] = ""  # the unit in which nothing is told
     __slots__ = ("base",)
 
     def __init__(self, text: str) -> None:
         """Raises ValueError where it is no such quantity, or no whole number of base units."""
-        found = NUMBER.fullmatch(text.strip())
+        found = QUANTITY_PATTERN.fullmatch(text.strip())
         if not found or found[2] not in self.UNITS:
             raise ValueError(f"expected {self.EXPECTED}")
         exact = Fraction(found[1]) * self.UNITS[found[2]]
@@ -30,14 +30,14 @@
         self.base = int(exact)
 
     @classmethod
-    def of(cls, base: int) -> Quantity:
+    def from_base(cls, base: int) -> Quantity:
         """So many base units."""
         return cls(f"{base}{next(iter(cls.UNITS))}")
 
     def __str__(self) -> str:
         """In the largest unit in which it is a whole number."""
         unit = max((u for u, n in self.UNITS.items() if self.base % n == 0), key=self.UNITS.__getitem__)
-        return f"{self.base // self.UNITS[unit]}{unit}" if self.base else f"0{self.ZERO}"
+        return f"{self.base // self.UNITS[unit]}{unit}" if self.base else f"0{self.ZERO_UNIT}"
 
     def __repr__(self) -> str:
         return f"{type(self).__name__}({str(self)!r})"
@@ -60,7 +60,7 @@
         "h": 3_600_000_000,
     }
     EXPECTED = 'a duration in us, ms, s, min or h, such as "250ms" or "1.5s"'
-    ZERO = "s"
+    ZERO_UNIT = "s"
 
 
 class Size(Quantity):
@@ -68,7 +68,7 @@
 
     UNITS: ClassVar[dict[str, int]] = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
     EXPECTED = 'a size in B, KiB, MiB or GiB, such as "64MiB"'
-    ZERO = "MiB"
+    ZERO_UNIT = "MiB"
 
 
 class Address:
@@ -98,16 +98,16 @@
         return hash(str(self))
 
 
-KINDS = (Duration, Size, Address)
+UNIT_TYPES = (Duration, Size, Address)
 
 
-def megabytes(size: Size) -> float | int:
+def to_mebibytes(size: Size) -> float | int:
     """In MiB, as the platform's ``memory_mb`` counts."""
     exact = Decimal(size.base) / (1 << 20)
     return int(exact) if exact == exact.to_integral_value() else float(exact)
 
 
-def of_megabytes(number: float) -> Size | None:
+def from_mebibytes(number: float) -> Size | None:
     """The same back; None where that is no whole number of bytes."""
     if not math.isfinite(number) or number < 0:
         return None
