--- a/tests/listing.py
+++ b/tests/listing.py
@@ -13,7 +13,7 @@
 PATH = "/registry/instances"
 
 
-class Answer(dict):
+class Response(dict):
     """A JSON answer with its status and headers."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
@@ -21,14 +21,14 @@
         self.status, self.headers, self.size = status, headers, len(body)
 
 
-class Wire:
+class Connection:
     """One kept connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def open(cls, where: str) -> Wire:
+    async def open(cls, where: str) -> Connection:
         host, _, port = where.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
@@ -38,42 +38,42 @@
         length = f"Content-Length: {len(body)}\r\n" if body is not None else ""
         self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: x\r\n{length}\r\n".encode() + (body or b""))
 
-    async def answer(self, bodiless=False) -> Answer:
+    async def read_response(self, bodiless=False) -> Response:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
         body = b"" if bodiless else await self.reader.readexactly(int(headers["content-length"]))
-        return Answer(int(head[0].split()[1]), headers, body)
+        return Response(int(head[0].split()[1]), headers, body)
 
-    async def call(self, method: str, target: str, body: bytes | dict | None = None) -> Answer:
+    async def call(self, method: str, target: str, body: bytes | dict | None = None) -> Response:
         self.send(method, target, body)
-        return await self.answer(method == "HEAD")
+        return await self.read_response(method == "HEAD")
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-async def call(where: str, method: str, target: str, body: bytes | dict | None = None) -> Answer:
+async def call(where: str, method: str, target: str, body: bytes | dict | None = None) -> Response:
     """One call on a connection of its own."""
-    wire = await Wire.open(where)
+    connection = await Connection.open(where)
     try:
-        return await asyncio.wait_for(wire.call(method, target, body), 10)
+        return await asyncio.wait_for(connection.call(method, target, body), 10)
     finally:
-        wire.close()
+        connection.close()
 
 
-def host(number: int = 1, **changes) -> dict:
+def registration(number: int = 1, **changes) -> dict:
     """What a host registers with."""
     line = {"dial": f"127.0.0.1:{6000 + number}", "site": "hall-a", "class": "m", "block": 1, "share": 1.0}
     return line | {"lease_ms": 60_000, "version": 0} | changes
 
 
-async def word(wire: Wire, name: str, state: str, version: int) -> Answer:
+async def change_state(connection: Connection, name: str, state: str, version: int) -> Response:
     """A host's word that leads to this state."""
     if state == "SERVING":
-        return await wire.call("PUT", f"{PATH}/{name}", host(version=version))
+        return await connection.call("PUT", f"{PATH}/{name}", registration(version=version))
     if state == "DRAINING":
-        return await wire.call("POST", f"{PATH}/{name}/drain", {"version": version})
-    return await wire.call("DELETE", f"{PATH}/{name}?version={version}")
+        return await connection.call("POST", f"{PATH}/{name}/drain", {"version": version})
+    return await connection.call("DELETE", f"{PATH}/{name}?version={version}")
 
 
 class Registry:
@@ -99,7 +99,7 @@
         self.processes.append(process)
         return process
 
-    async def refused(self, *words: str) -> str:
+    async def failed_start(self, *words: str) -> str:
         """A start that must fail; its one line."""
         process = await self.run(*words)
         said = (await asyncio.wait_for(process.communicate(), 10))[1].decode()
@@ -122,16 +122,16 @@
         self.process: asyncio.subprocess.Process | None = None
         self.log = bytearray()
 
-    def words(self, *flags: str) -> list[str]:
+    def arguments(self, *flags: str) -> list[str]:
         words = ["serve", "--listen", self.listen, "--operators", self.operators, "--store", self.store]
         for option, value in self.options.items():
             words += [f"--{option.replace('_', '-')}", value]
         return [*words, *flags]
 
     async def start(self, *flags: str, ready=True) -> Node:
-        self.process = await self.registry.run(*self.words(*flags))
-        self.reading = asyncio.create_task(self._read(self.process.stderr))
-        while ready and not await self.up():
+        self.process = await self.registry.run(*self.arguments(*flags))
+        self.log_reader = asyncio.create_task(self._read(self.process.stderr))
+        while ready and not await self.is_up():
             assert self.process.returncode is None, self.log.decode()
             await asyncio.sleep(0.02)
         return self
@@ -140,7 +140,7 @@
         while line := await stream.read(65_536):
             self.log += line
 
-    async def up(self) -> bool:
+    async def is_up(self) -> bool:
         try:
             return (await call(self.listen, "GET", "/")).status == 404
         except (OSError, asyncio.IncompleteReadError):
@@ -154,22 +154,22 @@
         self.process.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(self.process.wait(), 10)
 
-    async def list(self, query="") -> Answer:
+    async def list(self, query="") -> Response:
         return await call(self.listen, "GET", PATH + query)
 
-    async def put(self, name: str, body: dict | None = None, **changes) -> Answer:
-        return await call(self.listen, "PUT", f"{PATH}/{name}", body or host(**changes))
+    async def put(self, name: str, body: dict | None = None, **changes) -> Response:
+        return await call(self.listen, "PUT", f"{PATH}/{name}", body or registration(**changes))
 
-    async def post(self, name: str, verb: str, version: int) -> Answer:
+    async def post(self, name: str, verb: str, version: int) -> Response:
         return await call(self.listen, "POST", f"{PATH}/{name}/{verb}", {"version": version})
 
-    async def remove(self, name: str, version: int) -> Answer:
+    async def remove(self, name: str, version: int) -> Response:
         return await call(self.listen, "DELETE", f"{PATH}/{name}?version={version}")
 
-    async def figures(self) -> Answer:
+    async def figures(self) -> Response:
         return await call(self.operators, "GET", "/figures")
 
-    async def told(self, condition, within=10.0) -> Answer:
+    async def wait_for_list(self, condition, within=10.0) -> Response:
         """Ask for the whole list until it is as it should be."""
         async with asyncio.timeout(within):
             while True:
@@ -185,7 +185,7 @@
 class AgentNode(Node):
     """An agent."""
 
-    def words(self, *flags: str) -> list[str]:
+    def arguments(self, *flags: str) -> list[str]:
         words = ["agent", "--listen", self.listen, "--operators", self.operators]
         for option, value in self.options.items():
             if option != "settle":
@@ -193,7 +193,7 @@
         return [*words, *flags]
 
 
-def names(answer: Answer) -> set[str]:
+def host_names(answer: Response) -> set[str]:
     """Hosts that an answer names."""
     return {line["host"] for line in answer["hosts"]}
 
--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -12,8 +12,7 @@
 import pytest
 from command import COMMAND, FILE, alive, environment, powerless, refused, run
 from conftest import FakeHost, asyncio_test, free_address, until
-from listing import PATH, call
-from listing import host as listed_host
+from listing import PATH, call, registration
 
 PORT_IN_USE = "another process listens there: end it or choose another port"
 
@@ -211,7 +210,7 @@
         async with asyncio.timeout(20):
             while True:
                 try:
-                    assert (await call(listen, "PUT", f"{PATH}/s-1", listed_host())).status == 200
+                    assert (await call(listen, "PUT", f"{PATH}/s-1", registration())).status == 200
                     break
                 except OSError:
                     await asyncio.sleep(0.05)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from conftest import SITE, FakeHost, Service, asyncio_test, free_address
-from listing import Registry, Wire, call
+from listing import Connection, Registry, call
 from prometheus_client.parser import text_string_to_metric_families
 
 from saffrongw import metrics
@@ -16,10 +16,10 @@
 
 async def scrape(address: str) -> dict[tuple[str, tuple], float]:
     """Return all samples by name and labels."""
-    wire = await Wire.open(address)
-    wire.writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-    head, _, body = (await wire.reader.read()).partition(b"\r\n\r\n")
-    wire.close()
+    connection = await Connection.open(address)
+    connection.writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+    head, _, body = (await connection.reader.read()).partition(b"\r\n\r\n")
+    connection.close()
     assert b" 200 " in head.split(b"\r\n")[0] and b"text/plain" in head, head
     families = text_string_to_metric_families(body.decode())
     return {(s.name, tuple(sorted(s.labels.items()))): s.value for f in families for s in f.samples}
--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import PATH, Registry, Wire, address_of, call, host, names
+from listing import PATH, Connection, Registry, address_of, call, host_names, registration
 
 from ops.http import Server
 
@@ -44,16 +44,16 @@
         seq = (await node.list())["seq"]
         empty = await node.list(f"?index={seq}&wait=50")
         assert (empty["seq"], empty["whole"], empty["hosts"]) == (seq, False, [])
-        wire = await Wire.open(node.listen)
-        wire.send("GET", f"{PATH}?index={seq}&wait=60000")
+        connection = await Connection.open(node.listen)
+        connection.send("GET", f"{PATH}?index={seq}&wait=60000")
         while (await node.figures())["watches"] == 0:
             await asyncio.sleep(0.01)
         put = await node.put("s-1")
-        change = await wire.answer()
-        assert (change["seq"], change["whole"], names(change)) == (put["version"], False, {"s-1"})
-        wire.send("GET", f"{PATH}?index={change['seq']}&wait=60000")  # on the same connection
+        change = await connection.read_response()
+        assert (change["seq"], change["whole"], host_names(change)) == (put["version"], False, {"s-1"})
+        connection.send("GET", f"{PATH}?index={change['seq']}&wait=60000")  # on the same connection
         await node.remove("s-1", put["version"])
-        assert [line["health"] for line in (await wire.answer())["hosts"]] == ["DELETED"]
+        assert [line["health"] for line in (await connection.read_response())["hosts"]] == ["DELETED"]
 
 
 @asyncio_test
@@ -61,16 +61,16 @@
     async with Registry(tmp_path) as registry:
         node = await started_node(registry)
         seq = (await node.list())["seq"]
-        wires = [await Wire.open(node.listen) for _ in range(20)]
-        for wire in wires:
-            wire.send("GET", f"{PATH}?index={seq}&wait=60000")
+        connections = [await Connection.open(node.listen) for _ in range(20)]
+        for connection in connections:
+            connection.send("GET", f"{PATH}?index={seq}&wait=60000")
         while (await node.figures())["watches"] < 20:
             await asyncio.sleep(0.01)
-        for number, wire in enumerate(wires):
+        for number, connection in enumerate(connections):
             if number % 2:
-                wire.close()
+                connection.close()
             else:
-                wire.writer.write_eof()  # a half-closed connection can't send another request
+                connection.writer.write_eof()  # a half-closed connection can't send another request
         while (figures := await node.figures())["watches"] or figures["connections"]:
             await asyncio.sleep(0.01)
         assert (await node.put("s-1")).status == 200
@@ -83,7 +83,9 @@
         put = await node.put("s-1")
         for index in (0, 41, put["version"] - 1, put["version"] + 1, 2**53 - 1):
             answer = await asyncio.wait_for(node.list(f"?index={index}&wait=60000"), 5)
-            assert answer["whole"] is True and answer["seq"] == put["version"] and names(answer) == {"s-1"}
+            assert (
+                answer["whole"] is True and answer["seq"] == put["version"] and host_names(answer) == {"s-1"}
+            )
 
 
 @asyncio_test
@@ -117,13 +119,13 @@
     async with Registry(tmp_path) as registry:
         node = await started_node(registry)
         old = await node.put("s-1")
-        wires = [await Wire.open(node.listen) for _ in range(16)]
-        for number, wire in enumerate(wires):
+        connections = [await Connection.open(node.listen) for _ in range(16)]
+        for number, connection in enumerate(connections):
             if number % 2:
-                wire.send("DELETE", f"{PATH}/s-1?version={old['version']}")
+                connection.send("DELETE", f"{PATH}/s-1?version={old['version']}")
             else:
-                wire.send("PUT", f"{PATH}/s-1", host(version=old["version"], block=number))
-        answers = [await wire.answer() for wire in wires]
+                connection.send("PUT", f"{PATH}/s-1", registration(version=old["version"], block=number))
+        answers = [await connection.read_response() for connection in connections]
         assert [answer.status for answer in answers].count(200) == 1
 
 
@@ -137,7 +139,7 @@
         while (await node.list(f"?index={seq}"))["hosts"] == []:
             assert (await node.post("kept", "renew", kept["version"])).status == 200
             await asyncio.sleep(0.1)
-        assert names(await node.list()) == {"kept"}
+        assert host_names(await node.list()) == {"kept"}
         late = await node.post("lost", "renew", lost["version"])
         assert late.status == 404 and late["version"] > lost["version"]
         same = await node.put("lost", version=late["version"], born_ms=lost["born_ms"])
@@ -200,7 +202,7 @@
     b'{"version":NaN}',
     b'{"share":1' + b"0" * 400 + b"}",
     b"[" * 3000,
-    json.dumps(host())[:-1].encode() + b',"block":2}',
+    json.dumps(registration())[:-1].encode() + b',"block":2}',
 ]
 
 
@@ -210,26 +212,28 @@
         node = await started_node(registry)
         put = await node.put("s-1")
         before = await node.list()
-        wire = await Wire.open(node.listen)
+        connection = await Connection.open(node.listen)
         calls = [("GET", PATH + target, None) for target in BAD_TARGETS]
-        calls += [("PUT", f"{PATH}/s-2", host(**bad)) for bad in BAD_FIELDS]
+        calls += [("PUT", f"{PATH}/s-2", registration(**bad)) for bad in BAD_FIELDS]
         calls += [("PUT", f"{PATH}/s-2", bad) for bad in BAD_BODIES]
         calls += [("PUT", f"{PATH}/s-2", {key: 1}) for key in ("dial", "version")]
-        calls += [("PUT", f"{PATH}/{bad}", host()) for bad in ("-x", "a%20b", "x" * 65, "%ff", "a%00")]
+        calls += [
+            ("PUT", f"{PATH}/{bad}", registration()) for bad in ("-x", "a%20b", "x" * 65, "%ff", "a%00")
+        ]
         calls += [
             ("POST", f"{PATH}/s-1/drain", bad) for bad in (b"", {"version": "x"}, {"v": put["version"]})
         ]
         calls += [("DELETE", f"{PATH}/s-1{bad}", None) for bad in ("", "?version=", "?version=1&x=2")]
         for method, target, body in calls:
-            answer = await wire.call(method, target, body)
+            answer = await connection.call(method, target, body)
             assert answer.status == 400, (target, body)
             assert answer["error"] and "\n" not in answer["error"]
         others = [("POST", PATH, 405), ("PATCH", f"{PATH}/s-1", 405), ("GET", "/", 404), ("GET", "/x", 404)]
         others += [("GET", f"{PATH}/s-1/renew", 405), ("POST", f"{PATH}/s-1/kill", 404), ("HEAD", PATH, 405)]
         others += [("GET", f"{PATH}/s-1/a/b", 404), ("GET", f"{PATH}/s-3", 404)]
         for method, target, status in others:
-            assert (await wire.call(method, target)).status == status
-        assert await wire.call("GET", PATH) == before
+            assert (await connection.call(method, target)).status == status
+        assert await connection.call("GET", PATH) == before
         assert (await node.figures())["counts"] == {"changes": 1}
 
 
@@ -253,11 +257,11 @@
     async def run():
         async with Registry(tmp_path) as registry:
             node = await started_node(registry)
-            wire = await Wire.open(node.listen)
-            wire.writer.write(raw)
-            answer = await asyncio.wait_for(wire.answer(), 9)
+            connection = await Connection.open(node.listen)
+            connection.writer.write(raw)
+            answer = await asyncio.wait_for(connection.read_response(), 9)
             assert answer.status == status and answer["error"]
-            assert await wire.reader.read() == b""
+            assert await connection.reader.read() == b""
             assert (await node.list()).status == 200
 
     run()
@@ -269,13 +273,13 @@
         node = await started_node(registry)
         for number in range(300):
             await node.put(f"s-{number}")
-        silent, slow, unread = [await Wire.open(node.listen) for _ in range(3)]
+        silent, slow, unread = [await Connection.open(node.listen) for _ in range(3)]
         slow.writer.write(b"GET /registry/inst")
         unread.writer.transport.pause_reading()
         unread.writer.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         unread.writer.write(b"GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n" * 400)
         assert await asyncio.wait_for(silent.reader.read(), 8) == b""
-        assert (await asyncio.wait_for(slow.answer(), 8)).status == 408
+        assert (await asyncio.wait_for(slow.read_response(), 8)).status == 408
         async with asyncio.timeout(20):
             while (await node.figures())["connections"]:
                 await asyncio.sleep(0.1)
@@ -288,10 +292,10 @@
 async def test_idle_connection_is_closed_after_timeout():
     server = Server(lambda connection, request: connection.respond(b"{}"), 4, idle_timeout=0.1)
     await server.listen(("127.0.0.1", 0))
-    wire = await Wire.open(address_of(server.server))
+    connection = await Connection.open(address_of(server.server))
     for _ in range(3):  # requests keep the connection open
-        assert (await wire.call("GET", "/")).status == 200
-    assert await asyncio.wait_for(wire.reader.read(), 5) == b""
+        assert (await connection.call("GET", "/")).status == 200
+    assert await asyncio.wait_for(connection.reader.read(), 5) == b""
     assert server.counts["closed_idle"] == 1 and not server.connections
     await server.shut_down(0.1)
 
@@ -301,24 +305,24 @@
     async with Registry(tmp_path) as registry:
         node = await started_node(registry, connections=8)
         seq = (await node.list())["seq"]
-        watches = [await Wire.open(node.listen) for _ in range(8)]
-        for wire in watches:
-            wire.send("GET", f"{PATH}?index={seq}&wait=60000")
+        watches = [await Connection.open(node.listen) for _ in range(8)]
+        for connection in watches:
+            connection.send("GET", f"{PATH}?index={seq}&wait=60000")
         while (await node.figures())["watches"] < 8:
             await asyncio.sleep(0.01)
         rejected = [await call(node.listen, "GET", PATH) for _ in range(4)]
         assert [answer.status for answer in rejected] == [429] * 4
-        idle_clients = [await Wire.open(node.listen) for _ in range(40)]
-        for wire in idle_clients:  # clients that send nothing
-            assert await asyncio.wait_for(wire.reader.read(), 5) == b""
+        idle_clients = [await Connection.open(node.listen) for _ in range(40)]
+        for connection in idle_clients:  # clients that send nothing
+            assert await asyncio.wait_for(connection.reader.read(), 5) == b""
         figures = await node.figures()
         assert figures["watches"] == 8 and figures["calls"]["cut_crowded"] > 20
         watches[0].close()
         while (await node.figures())["connections"] > 7:
             await asyncio.sleep(0.01)
         assert (await node.put("s-1")).status == 200
-        for wire in watches[1:]:
-            assert names(await wire.answer()) == {"s-1"}
+        for connection in watches[1:]:
+            assert host_names(await connection.read_response()) == {"s-1"}
 
 
 @asyncio_test
@@ -336,14 +340,14 @@
     async with Registry(tmp_path) as registry:
         node = await started_node(registry)
         seq = (await node.list())["seq"]
-        wires = [await Wire.open(node.listen) for _ in range(5)]
-        for wire in wires:
-            wire.send("GET", f"{PATH}?index={seq}&wait=60000")
+        connections = [await Connection.open(node.listen) for _ in range(5)]
+        for connection in connections:
+            connection.send("GET", f"{PATH}?index={seq}&wait=60000")
         while (await node.figures())["watches"] < 5:
             await asyncio.sleep(0.01)
         node.process.terminate()
-        for wire in wires:
-            answer = await wire.answer()
+        for connection in connections:
+            answer = await connection.read_response()
             assert (answer["seq"], answer["hosts"], answer.headers["connection"]) == (seq, [], "close")
         assert await asyncio.wait_for(node.process.wait(), 10) == 0
         await node.start()
--- a/tests/test_registry_copies.py
+++ b/tests/test_registry_copies.py
@@ -8,7 +8,7 @@
 import sqlite3
 
 from conftest import FakeHost, Service, asyncio_test, free_address
-from listing import PATH, AgentNode, Node, Registry, Wire, address_of, call, host, names
+from listing import PATH, AgentNode, Connection, Node, Registry, address_of, call, host_names, registration
 
 
 class UnresponsiveService:
@@ -67,7 +67,7 @@
 
 
 def entry(name: str, health="SERVING", **changes) -> dict:
-    raw = {"host": name, "health": health, "born_ms": 1} | host() | changes
+    raw = {"host": name, "health": health, "born_ms": 1} | registration() | changes
     return {key: raw[key] for key in ("host", "dial", "site", "class", "block", "health", "share", "born_ms")}
 
 
@@ -81,15 +81,15 @@
         first = await registry.service().start("--new")
         put = await first.put("s-1")
         copy = await registry.service("b", follow=first.listen).start("--new")
-        whole = await copy.told(lambda answer: names(answer) == {"s-1"})
+        whole = await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         assert whole == await first.list()
         assert whole.headers["registry-life"] == (await first.list()).headers["registry-life"]
-        watch = await Wire.open(copy.listen)
+        watch = await Connection.open(copy.listen)
         watch.send("GET", f"{PATH}?index={whole['seq']}&wait=60000")
         drained = await first.post("s-1", "drain", put["version"])
-        change = await watch.answer()
+        change = await watch.read_response()
         assert change["seq"] == drained["version"] and change["hosts"][0]["health"] == "DRAINING"
-        calls = [("PUT", "s-2", host()), ("DELETE", "s-1?version=1", None)]
+        calls = [("PUT", "s-2", registration()), ("DELETE", "s-1?version=1", None)]
         calls += [("POST", "s-1/renew", {"version": 1}), ("POST", "s-1/drain", {"version": 1})]
         for method, target, body in calls:
             answer = await call(copy.listen, method, f"{PATH}/{target}", body)
@@ -107,16 +107,16 @@
         first = await registry.service().start("--new")
         await first.put("s-1")
         copy = await registry.service("b", follow=first.listen).start("--new")
-        await copy.told(lambda answer: names(answer) == {"s-1"})
+        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         blocker = sqlite3.connect(copy.store, isolation_level=None)
         blocker.execute("BEGIN IMMEDIATE")  # makes the store's writes fail, like a full disk
         await first.put("s-2")
         async with asyncio.timeout(15):
             while (await call(copy.operators, "GET", "/health")).status == 200:
                 await asyncio.sleep(0.05)
-        assert names(await copy.list()) == {"s-1"}
+        assert host_names(await copy.list()) == {"s-1"}
         blocker.execute("ROLLBACK")
-        await copy.told(lambda answer: names(answer) == {"s-1", "s-2"}, 30)
+        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"}, 30)
         assert (await call(copy.operators, "GET", "/health")).status == 200
 
 
@@ -127,32 +127,32 @@
         put = await old.put("s-1")
         copy = await registry.service("b", follow=old.listen).start("--new")
         reader = await agent(registry, old.listen, copy.listen).start()
-        await reader.told(lambda answer: names(answer) == {"s-1"})
-        await copy.told(lambda answer: names(answer) == {"s-1"})
+        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         await old.kill()
         await copy.stop()
         del copy.options["follow"]
-        line = await registry.refused(*copy.words())
+        line = await registry.failed_start(*copy.arguments())
         assert "--promote" in line
         await copy.start("--promote")
         late = await copy.post("s-1", "renew", put["version"])
         assert late.status == 409 and late["entry"]["born_ms"] == put["born_ms"]
         assert (await copy.post("s-1", "renew", late["version"])).status == 200
         assert (await copy.put("s-2")).status == 200
-        await reader.told(lambda answer: names(answer) == {"s-1", "s-2"})
+        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"})
         await old.start()  # with its list from before the promotion
         assert (await old.put("s-9")).status == 200
-        assert names(await old.list()) == {"s-1", "s-9"}
+        assert host_names(await old.list()) == {"s-1", "s-9"}
         await copy.kill()  # only the old primary can be reached
         while (await reader.figures())["counts"].get("older", 0) == 0:
             await asyncio.sleep(0.05)
-        assert names(await reader.list()) == {"s-1", "s-2"}
+        assert host_names(await reader.list()) == {"s-1", "s-2"}
         await old.stop()
         await copy.start()
         old.options["follow"] = copy.listen
-        assert "--demote" in await registry.refused(*old.words())
+        assert "--demote" in await registry.failed_start(*old.arguments())
         await old.start("--demote")
-        await old.told(lambda answer: names(answer) == {"s-1", "s-2"})
+        await old.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"})
 
 
 @asyncio_test
@@ -161,7 +161,7 @@
         first = await registry.service().start("--new")
         put = await first.put("s-1")
         reader = await agent(registry, first.listen, keep=tmp_path / "kept").start()
-        whole = await reader.told(lambda answer: names(answer) == {"s-1"})
+        whole = await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         await first.kill()
         while (await reader.figures())["age_s"] < 1.2:
             await asyncio.sleep(0.1)
@@ -175,7 +175,7 @@
         assert answer == whole and int(answer.headers["age"]) >= 1
         await first.start()
         await first.post("s-1", "drain", put["version"])
-        changed = await reader.told(lambda answer: answer["hosts"][0]["health"] == "DRAINING")
+        changed = await reader.wait_for_list(lambda answer: answer["hosts"][0]["health"] == "DRAINING")
         assert "age" not in changed.headers or int(changed.headers["age"]) <= 5
         async with asyncio.timeout(5):
             while b"DRAINING" not in (tmp_path / "kept").read_bytes():
@@ -189,7 +189,7 @@
         first = await registry.service().start("--new")
         await first.put("s-1")
         reader = await agent(registry, first.listen, keep=kept).start()
-        await reader.told(lambda answer: names(answer) == {"s-1"})
+        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         await reader.stop()
         await first.kill()
         raw = kept.read_bytes()
@@ -202,7 +202,7 @@
             await reader.kill()
         kept.write_bytes(raw)
         await reader.start()
-        assert names(await reader.list()) == {"s-1"}
+        assert host_names(await reader.list()) == {"s-1"}
 
 
 @asyncio_test
@@ -211,7 +211,7 @@
         first = await registry.service().start("--new")
         await first.put("s-1")
         reader = await agent(registry, unresponsive.address, first.listen).start()
-        await reader.told(lambda answer: names(answer) == {"s-1"})
+        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         assert unresponsive.connections == 1
 
 
@@ -225,7 +225,7 @@
         assert (await reader.list()).status == 503
         fake.invalid_json = False
         fake.update["hosts"] = [entry("s-1")]
-        await reader.told(lambda answer: names(answer) == {"s-1"})
+        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
 
 
 @asyncio_test
@@ -234,16 +234,18 @@
         fake.update = {"seq": 100, "whole": True, "hosts": [entry("s-1")]}
         fake.life = "50"
         reader = await agent(registry, fake.address).start()
-        await reader.told(lambda answer: answer["seq"] == 100)
+        await reader.wait_for_list(lambda answer: answer["seq"] == 100)
         for life, seq, count in (("50", 99, 1), ("49", 200, 2)):
             fake.life = life
             fake.update = {"seq": seq, "whole": True, "hosts": []}
             while (await reader.figures())["counts"].get("older", 0) < count:
                 await asyncio.sleep(0.02)
-            assert names(await reader.list()) == {"s-1"}
+            assert host_names(await reader.list()) == {"s-1"}
         fake.life, fake.update = "60", {"seq": 70, "whole": True, "hosts": [entry("s-2")]}
-        answer = await reader.told(lambda answer: answer["seq"] == 70)  # new life, primary's clock is behind
-        assert names(answer) == {"s-2"}
+        answer = await reader.wait_for_list(
+            lambda answer: answer["seq"] == 70
+        )  # new life, primary's clock is behind
+        assert host_names(answer) == {"s-2"}
         assert (await reader.list("?index=100&wait=60000"))["whole"] is True
 
 
@@ -263,7 +265,7 @@
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.update = good
         reader = await agent(registry, fake.address).start()
-        before = await reader.told(lambda answer: answer["seq"] == 10)
+        before = await reader.wait_for_list(lambda answer: answer["seq"] == 10)
         for count, fake.update in enumerate(malformed, 1):
             seen = (await reader.figures())["counts"].get("failures", 0)
             while (await reader.figures())["counts"].get("failures", 0) == seen:
@@ -279,13 +281,13 @@
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.update = {"seq": 10, "whole": True, "hosts": [entry("s-1"), entry("s-2")]}
         reader = await agent(registry, fake.address).start()
-        await reader.told(lambda answer: answer["seq"] == 10)
-        watch = await Wire.open(reader.listen)
+        await reader.wait_for_list(lambda answer: answer["seq"] == 10)
+        watch = await Connection.open(reader.listen)
         watch.send("GET", f"{PATH}?index=10&wait=60000")
         while (await reader.figures())["watches"] == 0:
             await asyncio.sleep(0.01)
         fake.update = {"seq": 12, "whole": True, "hosts": [entry("s-2"), entry("s-3")]}
-        change = await watch.answer()
+        change = await watch.read_response()
         assert change["whole"] is False
         assert [(h["host"], h["health"]) for h in change["hosts"]] == [("s-1", "DELETED"), ("s-3", "SERVING")]
 
@@ -305,10 +307,10 @@
             while not stop.is_set():
                 answer = await reader.list()
                 if answer.status == 200 and len(answer["hosts"]) >= 10:
-                    seen.append((answer["seq"], names(answer)))
+                    seen.append((answer["seq"], host_names(answer)))
                 await asyncio.sleep(0.01)
 
-        await reader.told(lambda answer: names(answer) == whole)
+        await reader.wait_for_list(lambda answer: host_names(answer) == whole)
         polling = asyncio.create_task(poll())
         for number in range(10, 14):
             for node in (first, copy):
@@ -316,7 +318,7 @@
                 await node.start()
             assert (await first.put(f"s-{number}")).status == 200
             whole.add(f"s-{number}")
-            await reader.told(lambda answer: names(answer) == whole)
+            await reader.wait_for_list(lambda answer: host_names(answer) == whole)
         stop.set()
         await polling
         assert [seq for seq, _ in seen] == sorted(seq for seq, _ in seen)
@@ -334,7 +336,7 @@
             put = await first.put(each.name, dial=f"127.0.0.1:{each.port}", born_ms=1)
             versions[each.name] = put["version"]
         reader = await agent(registry, first.listen).start()
-        await reader.told(lambda answer: len(answer["hosts"]) == 3)
+        await reader.wait_for_list(lambda answer: len(answer["hosts"]) == 3)
         folders = [tmp_path / "g0", tmp_path / "g1"]
         for folder in folders:
             folder.mkdir()
@@ -364,7 +366,7 @@
             await serve(20)
             drained = hosts[0]
             assert (await first.post(drained.name, "drain", versions[drained.name])).status == 200
-            await reader.told(lambda answer: "DRAINING" in {h["health"] for h in answer["hosts"]})
+            await reader.wait_for_list(lambda answer: "DRAINING" in {h["health"] for h in answer["hosts"]})
             async with asyncio.timeout(10):
                 while True:  # the gateway without an agent reconnects within a second
                     before = len(drained.commands)
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -9,7 +9,7 @@
 import time
 
 from conftest import asyncio_test, until
-from listing import PATH, Node, Registry, Wire, call, host, word
+from listing import PATH, Connection, Node, Registry, call, change_state, registration
 
 WATCHERS, HOSTS = 200, 200
 
@@ -82,16 +82,16 @@
 
 async def hosts_on(node: Node, count: int, **changes) -> dict[str, int]:
     """Register hosts over several connections and return their versions."""
-    wires = [await Wire.open(node.listen) for _ in range(10)]
+    connections = [await Connection.open(node.listen) for _ in range(10)]
     versions = {}
-    for start in range(0, count, len(wires)):
-        numbers = range(start, min(start + len(wires), count))
-        for number, wire in zip(numbers, wires, strict=False):
-            wire.send("PUT", f"{PATH}/s-{number}", host(number, **changes))
-        for number, wire in zip(numbers, wires, strict=False):
-            versions[f"s-{number}"] = (await wire.answer())["version"]
-    for wire in wires:
-        wire.close()
+    for start in range(0, count, len(connections)):
+        numbers = range(start, min(start + len(connections), count))
+        for number, connection in zip(numbers, connections, strict=False):
+            connection.send("PUT", f"{PATH}/s-{number}", registration(number, **changes))
+        for number, connection in zip(numbers, connections, strict=False):
+            versions[f"s-{number}"] = (await connection.read_response())["version"]
+    for connection in connections:
+        connection.close()
     return versions
 
 
@@ -113,13 +113,13 @@
         self.states = dict.fromkeys(versions, "SERVING")
         self.acknowledged: list[tuple[str, str]] = []
 
-    async def write_random(self, wire: Wire) -> None:
+    async def write_random(self, connection: Connection) -> None:
         name = self.random.choice(sorted(self.versions))
         version, state = self.versions[name], self.states[name]
         requested = (
             "SERVING" if state == "DELETED" else self.random.choice(("SERVING", "DRAINING", "DELETED"))
         )
-        answer = await word(wire, name, requested, version)
+        answer = await change_state(connection, name, requested, version)
         assert answer.status == 200
         self.versions[name], self.states[name] = answer["version"], requested
         self.acknowledged.append((name, requested))
@@ -131,14 +131,14 @@
         node = await registry.service().start("--new")
         changes = Changes(node, await hosts_on(node, HOSTS), seed=3)
         watchers = await watchers_on(node, disconnect_rate=0.1)
-        wire = await Wire.open(node.listen)
+        connection = await Connection.open(node.listen)
         for _ in range(60):
-            await changes.write_random(wire)
+            await changes.write_random(connection)
         await node.kill()
         await node.start()
-        wire = await Wire.open(node.listen)
+        connection = await Connection.open(node.listen)
         for _ in range(60):
-            await changes.write_random(wire)
+            await changes.write_random(connection)
         await until(lambda: all(len(watcher.changes) >= 120 for watcher in watchers), 30)
         assert all(watcher.changes == changes.acknowledged for watcher in watchers)
         assert sum(watcher.full_lists for watcher in watchers) == 0
@@ -156,10 +156,10 @@
         changes = Changes(node, await hosts_on(node, HOSTS), seed=4)
         watchers = await watchers_on(node)
         before, sent = await node.figures(), sum(watcher.bytes for watcher in watchers)
-        wire, delays = await Wire.open(node.listen), []
+        connection, delays = await Connection.open(node.listen), []
         for count in range(1, 41):
             started = time.perf_counter()
-            await changes.write_random(wire)
+            await changes.write_random(connection)
             await until(lambda count=count: all(len(watcher.changes) == count for watcher in watchers))
             delays.append(1000 * (time.perf_counter() - started))
         after = await node.figures()
@@ -172,15 +172,15 @@
         print(f"\nwrite to last of {WATCHERS} watchers: median {statistics.median(delays):.1f} ms, ", end="")
         print(f"worst {max(delays):.1f} ms; {each:.0f} bytes a change and watcher; CPU {cpu:.1f} ms a change")
         started, count = time.perf_counter(), 400
-        wires = [await Wire.open(node.listen) for _ in range(16)]
+        connections = [await Connection.open(node.listen) for _ in range(16)]
 
-        async def write(number: int, wire: Wire) -> None:
+        async def write(number: int, connection: Connection) -> None:
             own = Changes(node, {k: v for k, v in changes.versions.items() if int(k[2:]) % 16 == number}, 5)
             own.states = {name: changes.states[name] for name in own.versions}
             for _ in range(count // 16):
-                await own.write_random(wire)
+                await own.write_random(connection)
 
-        await asyncio.gather(*(write(number, wire) for number, wire in enumerate(wires)))
+        await asyncio.gather(*(write(number, connection) for number, connection in enumerate(connections)))
         await until(lambda: all(len(watcher.changes) == 40 + count for watcher in watchers), 30)
         rate = count / (time.perf_counter() - started)
         answers = sum(watcher.answers for watcher in watchers) / WATCHERS - 40
@@ -206,7 +206,7 @@
             await node.kill()
             started = time.perf_counter()
             await node.start(ready=False)
-            answer = await node.told(lambda answer: True)
+            answer = await node.wait_for_list(lambda answer: True)
             spans.append(1000 * (time.perf_counter() - started))
             assert len(answer["hosts"]) == 1_000
         print(
@@ -224,11 +224,11 @@
         while (await call(node.operators, "GET", "/hold"))["held"] < 300:
             await asyncio.sleep(0.05)
         assert (await call(node.operators, "POST", "/hold", {"held": 300})).status == 200
-        await node.told(lambda answer: answer["hosts"] == [])
-        wire = await Wire.open(node.listen)
+        await node.wait_for_list(lambda answer: answer["hosts"] == [])
+        connection = await Connection.open(node.listen)
         for _ in range(300):
-            assert (await wire.call("GET", f"{PATH}?index=x")).status == 400
+            assert (await connection.call("GET", f"{PATH}?index=x")).status == 400
         assert await node.stop() == 0
-        await node.reading
+        await node.log_reader
         lines = node.log.decode().splitlines()
         assert 200 <= len(lines) < 260 and "lines_kept_back=" in lines[-1]
--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import Registry, call, names
+from listing import Registry, call, host_names
 
 from registry import primary
 from registry.entries import Entry, Record
@@ -176,6 +176,6 @@
             assert (await call(node.operators, "POST", "/hold", body)).status == 409
         assert (await call(node.operators, "POST", "/hold", {"held": "8"})).status == 400
         assert (await call(node.operators, "POST", "/hold", {"held": 8}))["taken_off"] == 8
-        await node.told(lambda answer: names(answer) == {"kept"})
+        await node.wait_for_list(lambda answer: host_names(answer) == {"kept"})
         assert (await call(node.operators, "GET", "/health")).status == 200
         assert (await node.post("kept", "renew", kept["version"])).status == 200
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import PATH, Registry, Wire, call, names, word
+from listing import PATH, Connection, Registry, call, change_state, host_names
 
 from registry.entries import Entry, Record
 from registry.ledger import Ledger
@@ -49,21 +49,21 @@
         self.write_count = 0
 
     async def run(self) -> None:
-        wire = await Wire.open(self.address)
+        connection = await Connection.open(self.address)
         try:
             while True:
-                await self._step(wire)
+                await self._step(connection)
         except (OSError, asyncio.IncompleteReadError):
             pass
 
-    async def _step(self, wire: Wire) -> None:
+    async def _step(self, connection: Connection) -> None:
         name = f"w{self.number}-{self.random.randrange(5)}"
         version, state = self.acknowledged.get(name, (0, "DELETED"))
         requested = self.random.choice(("SERVING", "DRAINING", "DELETED"))
         if state == "DELETED":
             requested = "SERVING"
         self.unacknowledged = {name: requested}
-        answer = await word(wire, name, requested, version)
+        answer = await change_state(connection, name, requested, version)
         assert answer.status == 200, answer
         assert answer["version"] > version
         self.acknowledged[name], self.unacknowledged = (answer["version"], requested), {}
@@ -189,18 +189,18 @@
 async def test_missing_damaged_or_locked_store_is_refused_with_one_line(tmp_path):
     async with Registry(tmp_path) as registry:
         node = registry.service()
-        assert "does not exist" in await registry.refused(*node.words())
+        assert "does not exist" in await registry.failed_start(*node.arguments())
         await node.start("--new")
         for number in range(60):
             await node.put(f"s-{number}")
-        assert "is in use" in await registry.refused(*registry.service().words())
-        assert "is there already" not in await registry.refused(*registry.service().words("--new"))
+        assert "is in use" in await registry.failed_start(*registry.service().arguments())
+        assert "is there already" not in await registry.failed_start(*registry.service().arguments("--new"))
         await node.stop()
-        assert "is there already" in await registry.refused(*node.words("--new"))
-        assert "is a primary's" in await registry.refused(*node.words("--follow", "127.0.0.1:1"))
+        assert "is there already" in await registry.failed_start(*node.arguments("--new"))
+        assert "is a primary's" in await registry.failed_start(*node.arguments("--follow", "127.0.0.1:1"))
         raw = node.store.read_bytes()
         node.store.write_bytes(raw[: len(raw) // 2])
-        line = await registry.refused(*node.words())
+        line = await registry.failed_start(*node.arguments())
         assert "is damaged" in line and "backup" in line
         assert node.store.read_bytes() == raw[: len(raw) // 2]
 
@@ -236,7 +236,7 @@
         node.store.write_bytes(copy.read_bytes())
         await node.start()
         answer = await node.list(f"?index={later['version']}&wait=60000")
-        assert answer["whole"] is True and answer["seq"] > later["version"] and names(answer) == {"s-1"}
+        assert answer["whole"] is True and answer["seq"] > later["version"] and host_names(answer) == {"s-1"}
         changes = await node.list(f"?index={kept['version']}")
         assert changes["whole"] is False and changes["hosts"] == []
 
@@ -248,7 +248,7 @@
         assert (await node.list()).status == 503
         assert (await call(node.operators, "GET", "/health")).status == 503
         assert (await node.put("s-1")).status == 200
-        assert names(await node.told(lambda answer: True)) == {"s-1"}
+        assert host_names(await node.wait_for_list(lambda answer: True)) == {"s-1"}
         await node.kill()
         await node.start()
         assert (await node.list()).status == 200
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from conftest import FakeHost, Service, asyncio_test, until
-from listing import Registry, Wire
+from listing import Connection, Registry
 from test_news import Agent
 
 from saffrongw import meeting, places
@@ -71,11 +71,11 @@
     """Of more than sixteen only those that came last were told."""
     async with Registry(tmp_path) as registry:
         primary = await registry.service().start("--new")
-        wire = await Wire.open(primary.listen)
+        connection = await Connection.open(primary.listen)
         for rank in range(1, MANY + 1):
             seat = {"rank": rank, "life": 5, "dial": f"127.0.1.1:{2_000 + rank}", "lease_ms": 60_000}
-            assert (await wire.call("POST", "/registry/gateways/valley", seat)).status == 200
-        wire.close()
+            assert (await connection.call("POST", "/registry/gateways/valley", seat)).status == 200
+        connection.close()
         core = places.Places(0, MANY + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
         calls = meeting.Meeting(address(primary.listen), "valley", core, lambda: 0)
         calls.go_on()
