--- a/ops/http.py
+++ b/ops/http.py
@@ -36,7 +36,9 @@
 
     def __init__(self, status: int, reason: str, headers: dict[str, str] | None = None, **more: Any) -> None:
         super().__init__(reason)
-        self.status, self.headers, self.more = status, headers or {}, more
+        self.status = status
+        self.headers = headers or {}
+        self.more = more
 
     def body(self) -> bytes:
         """The reason as JSON, on one line."""
@@ -81,7 +83,8 @@
     """One connection. A request is handed to ``Server.handle``, which calls ``respond`` now or later."""
 
     def __init__(self, server: Server) -> None:
-        self.server, self.http = server, h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_BYTES_MAX)
+        self.server = server
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_BYTES_MAX)
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.head: h11.Request | None = None
@@ -168,13 +171,17 @@
                     self._wrong(HTTPError(413, f"a body may have {BODY_BYTES_MAX} bytes"))
             elif isinstance(event, h11.EndOfMessage):
                 head, body = self.head, bytes(self.content)
-                self.head, self.content, self.open, self.behind = None, bytearray(), True, 0
+                self.head = None
+                self.content = bytearray()
+                self.open = True
+                self.behind = 0
                 self.timer.cancel()
                 self._handle(head, body)
 
     def _handle(self, head: h11.Request, body: bytes) -> None:
         try:
-            self.server.handle(self, Request(head.method.decode(), head.target.decode(), body))
+            request = Request(head.method.decode(), head.target.decode(), body)
+            self.server.handle(self, request)
         except Invalid as wrong:
             self.respond_error(HTTPError(400, str(wrong)))
         except HTTPError as refused:
@@ -286,12 +293,11 @@
         idle_timeout: float = IDLE_TIMEOUT,
         write_timeout: float = WRITE_TIMEOUT,
     ) -> None:
-        self.handle, self.max_connections = handle, max_connections
-        self.request_timeout, self.idle_timeout, self.write_timeout = (
-            request_timeout,
-            idle_timeout,
-            write_timeout,
-        )
+        self.handle = handle
+        self.max_connections = max_connections
+        self.request_timeout = request_timeout
+        self.idle_timeout = idle_timeout
+        self.write_timeout = write_timeout
         self.connections: set[Connection] = set()
         self.counts: Counter[str] = Counter()
         self.bytes_out = 0
