--- a/ops/files.py
+++ b/ops/files.py
@@ -1,4 +1,4 @@
-"""Files that are never seen half."""
+"""Atomic replacement of files."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Put a text in a file's place at once, on disk by then; raises OSError and leaves what was there."""
-    handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
+    """Replace a file atomically and durably; on OSError the old content stays."""
+    descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
-        with os.fdopen(handle, "w", encoding="utf-8") as file:
+        with os.fdopen(descriptor, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        Path(name).chmod(0o644)
-        Path(name).replace(path)
+        Path(temporary).chmod(0o644)
+        Path(temporary).replace(path)
     except OSError:
-        Path(name).unlink(missing_ok=True)
+        Path(temporary).unlink(missing_ok=True)
         raise
--- a/ops/logs.py
+++ b/ops/logs.py
@@ -1,7 +1,7 @@
-"""Structured logging: one event name and typed fields a line, as logfmt or JSON, bounded under any input.
+"""Structured logging: an event name and typed fields per line, as logfmt or JSON, limited in rate and length.
 
-``configure`` is called once by a program; modules take ``log = logs.get_logger(__name__)`` and write
-``log.warning("discovery_refused", status=503)``. The names are listed in ``docs/logging.md``.
+A program calls ``configure`` at start; modules use ``log = logs.get_logger(__name__)`` and, for example,
+``log.warning("discovery_refused", status=503)``. ``docs/logging.md`` lists the events.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 
 import structlog
 
-LINES_PER_SECOND = 20.0  # in a second, on average, at most
-BURST_LINES = 200  # lines at once
-FIELD_LENGTH_MAX = 400  # characters of one field
+LINES_PER_SECOND = 20.0  # sustained rate limit
+BURST_LINES = 200  # lines that may be written at once
+FIELD_LENGTH_MAX = 400  # characters
 FORMATS = ("text", "json")
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-UNLIMITED = "figures"  # the field of an event whose own pace bounds it: a flood must not hide the figures
+# A field that exempts its event from the rate limit: a flood of lines must not suppress the periodic stats.
+UNLIMITED = "figures"
 
 Event = MutableMapping[str, Any]
 
 
 class RateLimiter:
-    """Lets so many lines through. The next one that passes tells how many were kept back before it."""
+    """A token bucket for log lines. The next line that passes reports how many were suppressed before it."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock, self.tokens, self.refilled_at = clock, float(BURST_LINES), clock()
-        self.suppressed = 0  # since the last line that passed
+        self.suppressed = 0  # since the last line that was written
         self.suppressed_total = 0  # since the start
 
     def __call__(self, logger: Any, method: str, event: Event) -> Event:
-        """A processor of structlog: raises DropEvent where there is no room."""
+        """Process an event for structlog; raises DropEvent if the rate limit is exceeded."""
         now = self.clock()
         self.tokens, self.refilled_at = (
             min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at)),
@@ -55,33 +56,38 @@
 
 
 class Sink:
-    """Where lines go. A log that can't be written (a closed pipe, a full disk) must not stop what writes it:
-    such lines count as kept back."""
+    """The output stream of the log.
+
+    A write error, such as a closed pipe or a full disk, must not stop the program: the line counts as
+    suppressed.
+    """
 
     def __init__(self, stream: TextIO) -> None:
         self.stream = stream
 
     def write(self, text: str) -> None:
-        """One line."""
+        """Write a line."""
         try:
             self.stream.write(text)
-        except (OSError, ValueError):  # ValueError: it is closed
+        except (OSError, ValueError):  # ValueError: the stream is closed
             rate_limiter.suppressed += 1
             rate_limiter.suppressed_total += 1
 
     def flush(self) -> None:
-        """To the last byte."""
+        """Flush the stream; errors are ignored."""
         with contextlib.suppress(OSError, ValueError):
             self.stream.flush()
 
 
-def _cut(logger: Any, method: str, event: Event) -> Event:
-    """Fields as text or numbers, each on one line and of bounded length: what comes from outside may be
-    anything."""
+def _normalize_fields(logger: Any, method: str, event: Event) -> Event:
+    """Convert fields to values that can be written, strings to one line of limited length.
+
+    Values may come from outside and contain anything.
+    """
     for name, value in event.items():
         if isinstance(value, bytes):
             value = value.decode("utf-8", "backslashreplace")
-        elif isinstance(value, tuple):  # an address, or several values
+        elif isinstance(value, tuple):  # an address, or a list of values
             value = "{}:{}".format(*value) if len(value) == 2 and isinstance(value[1], int) else list(value)
         elif isinstance(value, BaseException):
             value = f"{type(value).__name__}: {value}"
@@ -95,19 +101,19 @@
     return event
 
 
-def _flat(logger: Any, method: str, event: Event) -> Event:
-    """For logfmt: a list as words with commas between."""
+def _join_lists(logger: Any, method: str, event: Event) -> Event:
+    """Join lists with commas, for logfmt."""
     return {k: ",".join(map(str, v)) if isinstance(v, list) else v for k, v in event.items()}
 
 
 class LibraryHandler(logging.Handler):
-    """What libraries write through the standard library's logging: the same form, the same bound."""
+    """Writes records of the standard ``logging`` module in the same format and with the same rate limit."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One event, ``library_said``."""
+        """Log the record as the event ``library_said``."""
         try:
             fields: Event = {"library": record.name, "message": record.getMessage()}
-        except (TypeError, ValueError):  # a library's arguments that don't fit to its text
+        except (TypeError, ValueError):  # arguments that do not match the format string
             fields = {"library": record.name, "message": str(record.msg)}
         if record.exc_info:
             fields["exc_info"] = record.exc_info
@@ -115,21 +121,23 @@
 
 
 def configure(form: str = "text", level: str = "info", stream: TextIO | None = None) -> None:
-    """Write from now on in this form (one of FORMATS) and from this level (one of LEVELS), to standard error.
-    May be called again: what is written later follows it."""
+    """Set the format (one of FORMATS), the minimum level (one of LEVELS) and the stream, by default stderr.
+
+    It may be called again to change them.
+    """
     if form not in FORMATS or level not in LEVELS:
         raise ValueError(f"log form is one of {', '.join(FORMATS)}, level one of {', '.join(LEVELS)}")
     render: list[Any] = [structlog.processors.JSONRenderer()]
     if form == "text":
         order = ["timestamp", "level", "event"]
-        render = [_flat, structlog.processors.LogfmtRenderer(key_order=order, bool_as_flag=False)]
+        render = [_join_lists, structlog.processors.LogfmtRenderer(key_order=order, bool_as_flag=False)]
     structlog.configure(
         processors=[
             rate_limiter,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            _cut,
+            _normalize_fields,
             *render,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
@@ -144,5 +152,5 @@
 
 
 def get_logger(name: str) -> Any:
-    """The logger of a module; ``name`` is its own, for readers of the code."""
+    """Return a module's logger; ``name`` is not written to the log."""
     return structlog.get_logger(name)
--- a/ops/metrics.py
+++ b/ops/metrics.py
@@ -1,6 +1,6 @@
-"""The page that a monitoring system reads: Prometheus' text format, made at each scrape.
+"""The metrics page in Prometheus' text format, built at each scrape.
 
-Imported only where metrics are on: prometheus-client takes 4.4 MB and 30 to 40 ms.
+Imported only if metrics are enabled: importing prometheus-client takes 4.4 MB and 30 to 40 ms.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .http import Connection, HTTPError, Request
 
 PATH = ["metrics"]
-SCRAPE_CONNECTIONS_MAX = 8  # connections at once at an address of its own
+SCRAPE_CONNECTIONS_MAX = 8  # on the metrics' own listen address
 
 
 class MetricsPage(Collector):
-    """One program's page. ``families`` is asked at each scrape, histograms register with ``registry``."""
+    """A program's metrics: ``families`` is called at each scrape, histograms register with ``registry``."""
 
     def __init__(self, families: Callable[[], Iterable[Metric]]) -> None:
         self.families = families
@@ -30,39 +30,41 @@
         ProcessCollector(registry=self.registry)
 
     def collect(self) -> Iterable[Metric]:
-        """What the program counts, and what every program here does."""
+        """Return the program's metrics and those that all programs share."""
         yield from self.families()
-        kept_back = CounterMetricFamily("birchdrum_log_lines_kept_back", "Log lines beyond the bound")
-        kept_back.add_metric([], logs.rate_limiter.suppressed_total)
-        yield kept_back
+        suppressed = CounterMetricFamily(
+            "birchdrum_log_lines_kept_back", "Log lines suppressed by the rate limit"
+        )
+        suppressed.add_metric([], logs.rate_limiter.suppressed_total)
+        yield suppressed
 
     def describe(self) -> Iterable[Metric]:
-        """Nothing is read at registration: the program may not be whole yet."""
+        """Return no metrics, so that registration doesn't call ``families`` before the program is ready."""
         return ()
 
     def respond(self, connection: Connection) -> None:
-        """Answer a scrape."""
+        """Send the metrics page as response."""
         connection.respond(generate_latest(self.registry), {"Content-Type": CONTENT_TYPE_PLAIN_0_0_4})
 
     def handle(self, connection: Connection, request: Request) -> None:
-        """At an address of its own: this call and no other."""
+        """Handle a request at the metrics' own address, where only GET /metrics is allowed."""
         if (request.method, request.path) != ("GET", PATH):
-            raise HTTPError(404, "no such call: GET /metrics")
+            raise HTTPError(404, "not found: only GET /metrics is available")
         self.respond(connection)
 
 
 def labelled(family: GaugeMetricFamily | CounterMetricFamily, values: Iterable[tuple[str, float]]) -> Metric:
-    """One sample for each value of a family's single label."""
+    """Add a sample for each value of a family's single label."""
     for name, value in values:
         family.add_metric([name], value)
     return family
 
 
-def gauge(name: str, text: str, value: float) -> Metric:
-    """A gauge without labels."""
-    return GaugeMetricFamily(name, text, value=value)
+def gauge(name: str, help_text: str, value: float) -> Metric:
+    """Return a gauge without labels."""
+    return GaugeMetricFamily(name, help_text, value=value)
 
 
-def counter(name: str, text: str, value: float) -> Metric:
-    """A counter without labels; the page adds ``_total`` to its name."""
-    return CounterMetricFamily(name, text, value=value)
+def counter(name: str, help_text: str, value: float) -> Metric:
+    """Return a counter without labels; the page adds ``_total`` to its name."""
+    return CounterMetricFamily(name, help_text, value=value)
--- a/ops/units.py
+++ b/ops/units.py
@@ -1,4 +1,4 @@
-"""Values with a unit, as a person writes them: "250ms", "64MiB", "127.0.0.1:6379"."""
+"""Durations, sizes and addresses in the form used in files and flags: "250ms", "64MiB", "127.0.0.1:6379"."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 
 
 class Quantity:
-    """A number of base units; read from and written as text. Equal if it is the same number."""
+    """A whole number of base units that is parsed from and written as a string with a unit."""
 
-    UNITS: ClassVar[dict[str, int]] = {}  # the base unit first, each in base units
+    UNITS: ClassVar[dict[str, int]] = {}  # by unit: its size in base units; the base unit comes first
     EXPECTED: ClassVar[str] = ""
-    ZERO_UNIT: ClassVar[str] = ""  # the unit in which nothing is told
+    ZERO_UNIT: ClassVar[str] = ""  # the unit that 0 is written with
     __slots__ = ("base",)
 
     def __init__(self, text: str) -> None:
-        """Raises ValueError where it is no such quantity, or no whole number of base units."""
-        found = QUANTITY_PATTERN.fullmatch(text.strip())
-        if not found or found[2] not in self.UNITS:
+        """Parse the text; raises ValueError if it is malformed or not a whole number of base units."""
+        match = QUANTITY_PATTERN.fullmatch(text.strip())
+        if not match or match[2] not in self.UNITS:
             raise ValueError(f"expected {self.EXPECTED}")
-        exact = Fraction(found[1]) * self.UNITS[found[2]]
+        exact = Fraction(match[1]) * self.UNITS[match[2]]
         if exact.denominator != 1:
             raise ValueError(f"expected a whole number of {next(iter(self.UNITS))}")
         self.base = int(exact)
 
     @classmethod
     def from_base(cls, base: int) -> Quantity:
-        """So many base units."""
+        """Create a quantity from a number of base units."""
         return cls(f"{base}{next(iter(cls.UNITS))}")
 
     def __str__(self) -> str:
-        """In the largest unit in which it is a whole number."""
-        unit = max((u for u, n in self.UNITS.items() if self.base % n == 0), key=self.UNITS.__getitem__)
+        """Write it with the largest unit that gives a whole number."""
+        unit = max(
+            (unit for unit, size in self.UNITS.items() if self.base % size == 0), key=self.UNITS.__getitem__
+        )
         return f"{self.base // self.UNITS[unit]}{unit}" if self.base else f"0{self.ZERO_UNIT}"
 
     def __repr__(self) -> str:
@@ -50,7 +52,7 @@
 
 
 class Duration(Quantity):
-    """Microseconds."""
+    """A duration; the base unit is the microsecond."""
 
     UNITS: ClassVar[dict[str, int]] = {
         "us": 1,
@@ -64,7 +66,7 @@
 
 
 class Size(Quantity):
-    """Bytes."""
+    """A size; the base unit is the byte."""
 
     UNITS: ClassVar[dict[str, int]] = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
     EXPECTED = 'a size in B, KiB, MiB or GiB, such as "64MiB"'
@@ -72,7 +74,7 @@
 
 
 class Address:
-    """``HOST:PORT``; the host is a name or an IPv4 address."""
+    """``HOST:PORT``, where the host is a name or an IPv4 address."""
 
     EXPECTED = 'an address such as "127.0.0.1:6379"'
     __slots__ = ("host", "port")
@@ -102,14 +104,14 @@
 
 
 def to_mebibytes(size: Size) -> float | int:
-    """In MiB, as the platform's ``memory_mb`` counts."""
+    """Convert to MiB, the unit of the platform's ``memory_mb``."""
     exact = Decimal(size.base) / (1 << 20)
     return int(exact) if exact == exact.to_integral_value() else float(exact)
 
 
-def from_mebibytes(number: float) -> Size | None:
-    """The same back; None where that is no whole number of bytes."""
-    if not math.isfinite(number) or number < 0:
+def from_mebibytes(mebibytes: float) -> Size | None:
+    """Convert from MiB; returns None if the result is not a whole number of bytes."""
+    if not math.isfinite(mebibytes) or mebibytes < 0:
         return None
-    exact = Fraction(number) * (1 << 20)
+    exact = Fraction(mebibytes) * (1 << 20)
     return Size(f"{exact.numerator}B") if exact.denominator == 1 else None
