--- a/ops/logs.py
+++ b/ops/logs.py
@@ -30,17 +30,17 @@
     """A token bucket for log lines. The next line that passes reports how many were suppressed before it."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        self.clock, self.tokens, self.refilled_at = clock, float(BURST_LINES), clock()
+        self.clock = clock
+        self.tokens = float(BURST_LINES)
+        self.refilled_at = clock()
         self.suppressed = 0  # since the last line that was written
         self.suppressed_total = 0  # since the start
 
     def __call__(self, logger: Any, method: str, event: Event) -> Event:
         """Process an event for structlog; raises DropEvent if the rate limit is exceeded."""
         now = self.clock()
-        self.tokens, self.refilled_at = (
-            min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at)),
-            now,
-        )
+        self.tokens = min(BURST_LINES, self.tokens + LINES_PER_SECOND * (now - self.refilled_at))
+        self.refilled_at = now
         if not event.pop(UNLIMITED, False):
             if self.tokens < 1:
                 self.suppressed += 1
@@ -48,7 +48,8 @@
                 raise structlog.DropEvent
             self.tokens -= 1
         if self.suppressed:
-            event["lines_kept_back"], self.suppressed = self.suppressed, 0
+            event["lines_kept_back"] = self.suppressed
+            self.suppressed = 0
         return event
 
 
