--- a/ops/checking.py
+++ b/ops/checking.py
@@ -1,6 +1,6 @@
-"""Plain values to types with every mistake told at once: msgspec's types, walked key by key.
+"""Conversion of decoded files to msgspec types, which reports all violations at once and not only the first.
 
-Imported by the command line and the lab, never by ``run``.
+Used by the command line and the lab, never imported by ``run``.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table of a file; what it does not know is a mistake."""
+    """A table of a file in which unknown keys are violations."""
 
 
 Table = TypeVar("Table", bound=Strict)
@@ -32,174 +32,177 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One wrong value: where, what stands there, what is expected."""
+    """An invalid value: its key, the value as text, and what is expected."""
 
     key: str
     value: str
     expected: str
 
     def __str__(self) -> str:
-        shown = self.value if len(self.value) <= 80 else f"{self.value[:77]}..."
-        return f"{self.key} = {shown}: {self.expected}" if shown else f"{self.key}: {self.expected}"
+        display = self.value if len(self.value) <= 80 else f"{self.value[:77]}..."
+        return f"{self.key} = {display}: {self.expected}" if display else f"{self.key}: {self.expected}"
 
 
 class UntypedText(str):
-    """A value of the environment or a flag: its type is known only by the key it is for."""
+    """A value of an environment variable or a flag, whose type depends on its key."""
 
 
-def decode(value: object, kind: object) -> Any:
-    """msgspec's conversion with the types of ``units``; raises msgspec.ValidationError."""
-    return msgspec.convert(value, kind, dec_hook=_unit)
+def decode(value: object, value_type: object) -> Any:
+    """Convert a value with msgspec and the types of ``units``; raises msgspec.ValidationError."""
+    return msgspec.convert(value, value_type, dec_hook=_decode_unit)
 
 
-def _unit(kind: type, value: Any) -> Any:
-    if kind in units.UNIT_TYPES:
+def _decode_unit(value_type: type, value: Any) -> Any:
+    if value_type in units.UNIT_TYPES:
         if not isinstance(value, str):
-            raise ValueError(f"expected {kind.EXPECTED}")
-        return kind(value)
-    raise NotImplementedError(kind)
+            raise ValueError(f"expected {value_type.EXPECTED}")
+        return value_type(value)
+    raise NotImplementedError(value_type)
 
 
 def to_plain(value: object) -> Any:
-    """A typed table as the values that a file has: what is not set is not there, as a file can't say null."""
-    return _set(msgspec.to_builtins(value, enc_hook=str))
+    """Convert a typed table to plain values; unset keys are left out, as TOML has no null."""
+    return _drop_none(msgspec.to_builtins(value, enc_hook=str))
 
 
-def _set(value: Any) -> Any:
+def _drop_none(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _set(inner) for key, inner in value.items() if inner is not None}
-    return [_set(inner) for inner in value] if isinstance(value, list) else value
-
-
-def _walk(value: Any, kind: Any, path: str, violations: list[Violation]) -> Any:
-    """The value with its texts turned to what its type wants; each mistake below it is added."""
-    kind = _unwrap_optional(kind)
-    if isinstance(kind, type) and issubclass(kind, Strict):
-        return _table(value, kind, path, violations)
-    if get_origin(kind) is list:
-        return _list(value, get_args(kind)[0], path, violations)
-    value = _of_text(value, kind)
+        return {key: _drop_none(inner) for key, inner in value.items() if inner is not None}
+    return [_drop_none(inner) for inner in value] if isinstance(value, list) else value
+
+
+def _check(value: Any, value_type: Any, path: str, violations: list[Violation]) -> Any:
+    """Return the value with UntypedText converted; violations in it are appended to ``violations``."""
+    value_type = _unwrap_optional(value_type)
+    if isinstance(value_type, type) and issubclass(value_type, Strict):
+        return _check_table(value, value_type, path, violations)
+    if get_origin(value_type) is list:
+        return _check_list(value, get_args(value_type)[0], path, violations)
+    value = _parse_text(value, value_type)
     try:
-        decode(value, kind)
-    except (msgspec.ValidationError, ValueError) as wrong:
-        violations.append(Violation(path, _shown(value), expected(kind, str(wrong))))
+        decode(value, value_type)
+    except (msgspec.ValidationError, ValueError) as error:
+        violations.append(Violation(path, _format_value(value), expectation(value_type, str(error))))
     return value
 
 
-def _table(value: Any, kind: type[Strict], path: str, violations: list[Violation]) -> Any:
+def _check_table(value: Any, value_type: type[Strict], path: str, violations: list[Violation]) -> Any:
     if not isinstance(value, dict):
-        violations.append(Violation(path, _shown(value), "expected a table"))
+        violations.append(Violation(path, _format_value(value), "expected a table"))
         return value
-    at = f"{path}." if path else ""
-    hints = typing.get_type_hints(kind, include_extras=True)
-    done = {}
+    prefix = f"{path}." if path else ""
+    hints = typing.get_type_hints(value_type, include_extras=True)
+    checked = {}
     for key, inner in value.items():
         if key in hints:
-            done[key] = _walk(inner, hints[key], at + key, violations)
+            checked[key] = _check(inner, hints[key], prefix + key, violations)
             continue
-        near = difflib.get_close_matches(str(key), hints, n=1, cutoff=0.5)
-        known = f"did you mean {at + near[0]}?" if near else f"known here: {', '.join(hints)}"
-        violations.append(Violation(at + str(key), _shown(inner), f"unknown key, {known}"))
-    for missing in msgspec.structs.fields(kind):
-        if missing.required and missing.name not in value:
+        similar = difflib.get_close_matches(str(key), hints, n=1, cutoff=0.5)
+        hint = f"did you mean {prefix + similar[0]}?" if similar else f"known keys: {', '.join(hints)}"
+        violations.append(Violation(prefix + str(key), _format_value(inner), f"unknown key, {hint}"))
+    for field in msgspec.structs.fields(value_type):
+        if field.required and field.name not in value:
             violations.append(
-                Violation(at + missing.name, "", f"is missing, {expected(hints[missing.name])}")
+                Violation(prefix + field.name, "", f"is missing, {expectation(hints[field.name])}")
             )
-    return done
+    return checked
 
 
-def _list(value: Any, kind: Any, path: str, violations: list[Violation]) -> Any:
+def _check_list(value: Any, value_type: Any, path: str, violations: list[Violation]) -> Any:
     if isinstance(value, UntypedText):
-        value = _parsed(value, [UntypedText(word.strip()) for word in value.split(",") if word.strip()])
+        value = _parse_toml(value, [UntypedText(item.strip()) for item in value.split(",") if item.strip()])
     if not isinstance(value, list):
-        violations.append(Violation(path, _shown(value), "expected a list"))
+        violations.append(Violation(path, _format_value(value), "expected a list"))
         return value
-    return [_walk(inner, kind, f"{path}[{i}]", violations) for i, inner in enumerate(value)]
+    return [_check(inner, value_type, f"{path}[{i}]", violations) for i, inner in enumerate(value)]
 
 
-def _of_text(value: Any, kind: Any) -> Any:
-    """What a text of the environment means: itself where a text is wanted, else as TOML reads it."""
+def _parse_text(value: Any, value_type: Any) -> Any:
+    """Convert an UntypedText: to a string if the type accepts it, else to the value it has in TOML."""
     if not isinstance(value, UntypedText):
         return value
     try:
-        decode(str(value), kind)
+        decode(str(value), value_type)
         return str(value)
     except (msgspec.ValidationError, ValueError):
-        return _parsed(value, str(value))
+        return _parse_toml(value, str(value))
 
 
-def _parsed(text: str, otherwise: Any) -> Any:
+def _parse_toml(text: str, default: Any) -> Any:
     try:
         return tomllib.loads(f"v = {text}")["v"]
     except tomllib.TOMLDecodeError:
-        return otherwise
+        return default
 
 
-def _unwrap_optional(kind: Any) -> Any:
-    if get_origin(kind) in (types.UnionType, typing.Union):
-        [kind] = [inner for inner in get_args(kind) if inner is not type(None)]
-    return kind
+def _unwrap_optional(value_type: Any) -> Any:
+    if get_origin(value_type) in (types.UnionType, typing.Union):
+        [value_type] = [inner for inner in get_args(value_type) if inner is not type(None)]
+    return value_type
 
 
-def expected(kind: Any, said: str = "") -> str:
-    """What may stand there, in words; ``said`` is the decoder's word for kinds that have none."""
-    kind = _unwrap_optional(kind)
-    if kind in units.UNIT_TYPES:
-        return said if said.startswith("expected a whole") else f"expected {kind.EXPECTED}"
-    if get_origin(kind) is Annotated:
-        for meta in get_args(kind)[1:]:
+def expectation(value_type: Any, message: str = "") -> str:
+    """Describe what a type accepts; ``message`` is the decoder's, for types without a description."""
+    value_type = _unwrap_optional(value_type)
+    if value_type in units.UNIT_TYPES:
+        return message if message.startswith("expected a whole") else f"expected {value_type.EXPECTED}"
+    if get_origin(value_type) is Annotated:
+        for meta in get_args(value_type)[1:]:
             if isinstance(meta, msgspec.Meta) and meta.description:
                 return f"expected {meta.description}"
-    words = {bool: "true or false", int: "a whole number", float: "a number", str: "a text"}
-    if kind in words:
-        return f"expected {words[kind]}"
-    if get_origin(kind) is list:
+    descriptions = {bool: "true or false", int: "a whole number", float: "a number", str: "a string"}
+    if value_type in descriptions:
+        return f"expected {descriptions[value_type]}"
+    if get_origin(value_type) is list:
         return "expected a list"
-    return said or "expected a table"
+    return message or "expected a table"
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
-def validate(raw: dict[str, Any], kind: type[Table]) -> tuple[Table | None, list[Violation]]:
-    """The values as this type, or all that is wrong with them."""
+def validate(raw: dict[str, Any], value_type: type[Table]) -> tuple[Table | None, list[Violation]]:
+    """Convert the values to this type; returns None and all violations if it fails."""
     violations: list[Violation] = []
-    value = _walk(raw, kind, "", violations)
-    return (None, violations) if violations else (decode(value, kind), [])
+    value = _check(raw, value_type, "", violations)
+    return (None, violations) if violations else (decode(value, value_type), [])
 
 
 def default_quantity(value: units.Quantity) -> Any:
-    """A default that msgspec's schema does not try to encode; ``schema`` puts its text there."""
+    """Return a field whose default is a quantity.
+
+    The default is a factory, as msgspec can't encode it in a schema; ``json_schema`` adds it as text.
+    """
     return msgspec.field(default_factory=lambda: value)
 
 
-def nested_tables(kind: type[Strict]) -> list[type[Strict]]:
-    """The type and all tables below it."""
-    found = [kind]
-    for hint in typing.get_type_hints(kind).values():
+def nested_tables(value_type: type[Strict]) -> list[type[Strict]]:
+    """Return the type and the types of all tables nested in it."""
+    result = [value_type]
+    for hint in typing.get_type_hints(value_type).values():
         inner = _unwrap_optional(hint)
         if get_origin(inner) is list:
             inner = get_args(inner)[0]
         if isinstance(inner, type) and issubclass(inner, Strict):
-            found += [table for table in nested_tables(inner) if table not in found]
-    return found
+            result += [table for table in nested_tables(inner) if table not in result]
+    return result
 
 
-def json_schema(kind: type[Strict]) -> dict[str, Any]:
-    """The JSON schema of a file of this type."""
+def json_schema(value_type: type[Strict]) -> dict[str, Any]:
+    """Return the JSON schema of files of this type."""
 
     def hook(unit: type) -> dict[str, Any]:
         if unit not in units.UNIT_TYPES:
             raise NotImplementedError(unit)
         return {"type": "string", "description": unit.EXPECTED}
 
-    done = msgspec.json.schema(kind, schema_hook=hook)
-    for table in nested_tables(kind):
-        for key in msgspec.structs.fields(table):
-            value = None if key.default_factory is msgspec.NODEFAULT else key.default_factory()
+    result = msgspec.json.schema(value_type, schema_hook=hook)
+    for table in nested_tables(value_type):
+        for field in msgspec.structs.fields(table):
+            value = None if field.default_factory is msgspec.NODEFAULT else field.default_factory()
             if isinstance(value, units.Quantity):
-                done["$defs"][table.__name__]["properties"][key.name]["default"] = str(value)
-    return done
+                result["$defs"][table.__name__]["properties"][field.name]["default"] = str(value)
+    return result
