--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
-"""Tests that fail for a real fault which can't be mended yet: ``KNOWN-RED.txt`` at the root, a line each.
+"""Pytest plugin for known failures: tests that fail because of a real fault that can't be fixed yet.
 
-A line is ``TEST, CAUSE, ISSUE`` with the test as ``tests/test_file.py::test_name``. Just these are run as
-expected failures and told at the end. A fourth line, a test that isn't there or
-one that passes fails the run."""
+They are listed in ``KNOWN-RED.txt`` at the root. A line is ``TEST, CAUSE, ISSUE``, with the test as
+``tests/test_file.py::test_name``. These tests are run as expected failures and reported at the end.
+The run fails if more than three tests are listed, a listed test doesn't exist, or a listed test passes.
+"""
 
 from __future__ import annotations
 
@@ -13,61 +14,61 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_LINES = 3
 
 
 @dataclass(frozen=True)
-class Red:
-    """One line."""
+class KnownFailure:
+    """A known failure: one line of the file."""
 
     test: str
     cause: str
     issue: str
 
 
-def read(root: Path) -> list[Red]:
-    """What the file says, no file being no line; raises UsageError with what to change."""
+def read_known_failures(root: Path) -> list[KnownFailure]:
+    """Read the file, which may be absent; raises UsageError if it is invalid."""
     file = root / FILE
     lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{FILE} has {len(lines)} lines, {MOST} at most: mend one first")
-    reds = []
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{FILE} has {len(lines)} lines, {MAX_LINES} at most: fix one first")
+    failures = []
     for line in lines:
-        words = [word.strip() for word in line.split(",")]
-        if len(words) != 3 or not all(words) or not words[2].isdigit():
+        fields = [field.strip() for field in line.split(",")]
+        if len(fields) != 3 or not all(fields) or not fields[2].isdigit():
             raise pytest.UsageError(f"{FILE}: {line!r} is not TEST, CAUSE, ISSUE")
-        red = Red(*words)
-        if red.test.partition("::")[2] not in _tests(root / red.test.partition("::")[0]):
-            raise pytest.UsageError(f"{FILE}: there is no test {red.test}")
-        reds.append(red)
-    return reds
+        failure = KnownFailure(*fields)
+        if failure.test.partition("::")[2] not in _test_names(root / failure.test.partition("::")[0]):
+            raise pytest.UsageError(f"{FILE}: there is no test {failure.test}")
+        failures.append(failure)
+    return failures
 
 
-def _tests(file: Path) -> set[str]:
-    """Names of the tests of a file."""
+def _test_names(file: Path) -> set[str]:
+    """Return the names of the test functions in a file."""
     if not file.is_file():
         return set()
-    kinds = (ast.FunctionDef, ast.AsyncFunctionDef)
-    return {node.name for node in ast.parse(file.read_text()).body if isinstance(node, kinds)}
+    function_types = (ast.FunctionDef, ast.AsyncFunctionDef)
+    return {node.name for node in ast.parse(file.read_text()).body if isinstance(node, function_types)}
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """A file that makes no sense ends the run before it begins."""
-    config.stash[REDS] = read(config.rootpath)
+    """Stop the run before the first test if the file is invalid."""
+    config.stash[KNOWN_FAILURES] = read_known_failures(config.rootpath)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Those tests are to fail: one that passes does not pass."""
-    reds = {red.test: red for red in config.stash[REDS]}
+    """Mark the listed tests as strict expected failures."""
+    failures = {failure.test: failure for failure in config.stash[KNOWN_FAILURES]}
     for item in items:
-        if red := reds.get(item.nodeid.partition("[")[0]):
-            item.add_marker(pytest.mark.xfail(strict=True, reason=f"{red.cause} (issue {red.issue})"))
+        if failure := failures.get(item.nodeid.partition("[")[0]):
+            item.add_marker(pytest.mark.xfail(strict=True, reason=f"{failure.cause} (issue {failure.issue})"))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Tell them, whatever else the run says."""
-    for red in config.stash[REDS]:
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
+    """List the known failures, whatever the result of the run."""
+    for failure in config.stash[KNOWN_FAILURES]:
+        terminalreporter.write_line(f"known red: {failure.test}: {failure.cause} (issue {failure.issue})")
 
 
-REDS = pytest.StashKey[list[Red]]()
+KNOWN_FAILURES = pytest.StashKey[list[KnownFailure]]()
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -1,4 +1,4 @@
-"""The list service's processes on loopback, and callers that speak plain HTTP to them."""
+"""Starts processes of the list service on loopback addresses and sends them HTTP requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Response(dict):
-    """A JSON answer with its status and headers."""
+    """A JSON response with its status and headers."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
         super().__init__(json.loads(body) if body else {})
@@ -22,14 +22,14 @@
 
 
 class Connection:
-    """One kept connection."""
+    """A persistent HTTP connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def open(cls, where: str) -> Connection:
-        host, _, port = where.rpartition(":")
+    async def open(cls, address: str) -> Connection:
+        host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
     def send(self, method: str, target: str, body: bytes | dict | None = None) -> None:
@@ -40,7 +40,9 @@
 
     async def read_response(self, bodiless=False) -> Response:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
+        headers = {
+            name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:] if line)
+        }
         body = b"" if bodiless else await self.reader.readexactly(int(headers["content-length"]))
         return Response(int(head[0].split()[1]), headers, body)
 
@@ -52,9 +54,9 @@
         self.writer.transport.abort()
 
 
-async def call(where: str, method: str, target: str, body: bytes | dict | None = None) -> Response:
-    """One call on a connection of its own."""
-    connection = await Connection.open(where)
+async def call(address: str, method: str, target: str, body: bytes | dict | None = None) -> Response:
+    """Send one request on a new connection and return the response."""
+    connection = await Connection.open(address)
     try:
         return await asyncio.wait_for(connection.call(method, target, body), 10)
     finally:
@@ -62,13 +64,13 @@
 
 
 def registration(number: int = 1, **changes) -> dict:
-    """What a host registers with."""
-    line = {"dial": f"127.0.0.1:{6000 + number}", "site": "hall-a", "class": "m", "block": 1, "share": 1.0}
-    return line | {"lease_ms": 60_000, "version": 0} | changes
+    """Return the body of a host's registration."""
+    body = {"dial": f"127.0.0.1:{6000 + number}", "site": "hall-a", "class": "m", "block": 1, "share": 1.0}
+    return body | {"lease_ms": 60_000, "version": 0} | changes
 
 
 async def change_state(connection: Connection, name: str, state: str, version: int) -> Response:
-    """A host's word that leads to this state."""
+    """Send the request that puts a host in this state."""
     if state == "SERVING":
         return await connection.call("PUT", f"{PATH}/{name}", registration(version=version))
     if state == "DRAINING":
@@ -77,7 +79,7 @@
 
 
 class Registry:
-    """Processes of ``python -m registry``, each ended with the test."""
+    """Runs processes of ``python -m registry`` and kills them at the end of the test."""
 
     def __init__(self, folder) -> None:
         self.folder, self.processes = folder, []
@@ -91,21 +93,21 @@
                 process.kill()
             await process.wait()
 
-    async def run(self, *words: str, env=None) -> asyncio.subprocess.Process:
-        command = (sys.executable, "-m", "registry", *map(str, words))
+    async def run(self, *arguments: str, env=None) -> asyncio.subprocess.Process:
+        command = (sys.executable, "-m", "registry", *map(str, arguments))
         process = await asyncio.create_subprocess_exec(
             *command, stderr=asyncio.subprocess.PIPE, env=os.environ | (env or {})
         )
         self.processes.append(process)
         return process
 
-    async def failed_start(self, *words: str) -> str:
-        """A start that must fail; its one line."""
-        process = await self.run(*words)
-        said = (await asyncio.wait_for(process.communicate(), 10))[1].decode()
+    async def failed_start(self, *arguments: str) -> str:
+        """Start a process that must fail and return its one-line error."""
+        process = await self.run(*arguments)
+        output = (await asyncio.wait_for(process.communicate(), 10))[1].decode()
         assert process.returncode == 1
-        lines = [line for line in said.splitlines() if line.startswith("registry: ")]
-        assert len(lines) == 1 and "Traceback" not in said
+        lines = [line for line in output.splitlines() if line.startswith("registry: ")]
+        assert len(lines) == 1 and "Traceback" not in output
         return lines[0]
 
     def service(self, name="a", **changes) -> Node:
@@ -113,7 +115,7 @@
 
 
 class Node:
-    """A primary, a follower or an agent with addresses and a file of its own, that may be started again."""
+    """A primary or follower with its own addresses and store, which can be restarted."""
 
     def __init__(self, registry: Registry, name: str, **options) -> None:
         self.registry, self.name, self.options = registry, name, {"settle": 0} | options
@@ -123,10 +125,10 @@
         self.log = bytearray()
 
     def arguments(self, *flags: str) -> list[str]:
-        words = ["serve", "--listen", self.listen, "--operators", self.operators, "--store", self.store]
+        arguments = ["serve", "--listen", self.listen, "--operators", self.operators, "--store", self.store]
         for option, value in self.options.items():
-            words += [f"--{option.replace('_', '-')}", value]
-        return [*words, *flags]
+            arguments += [f"--{option.replace('_', '-')}", value]
+        return [*arguments, *flags]
 
     async def start(self, *flags: str, ready=True) -> Node:
         self.process = await self.registry.run(*self.arguments(*flags))
@@ -137,8 +139,8 @@
         return self
 
     async def _read(self, stream) -> None:
-        while line := await stream.read(65_536):
-            self.log += line
+        while data := await stream.read(65_536):
+            self.log += data
 
     async def is_up(self) -> bool:
         try:
@@ -169,35 +171,35 @@
     async def figures(self) -> Response:
         return await call(self.operators, "GET", "/figures")
 
-    async def wait_for_list(self, condition, within=10.0) -> Response:
-        """Ask for the whole list until it is as it should be."""
-        async with asyncio.timeout(within):
+    async def wait_for_list(self, condition, timeout=10.0) -> Response:
+        """Request the full list until it meets the condition."""
+        async with asyncio.timeout(timeout):
             while True:
                 try:
-                    answer = await self.list()
-                    if answer.status == 200 and condition(answer):
-                        return answer
+                    response = await self.list()
+                    if response.status == 200 and condition(response):
+                        return response
                 except (OSError, asyncio.IncompleteReadError):
                     pass
                 await asyncio.sleep(0.02)
 
 
 class AgentNode(Node):
-    """An agent."""
+    """A registry agent, which has no store."""
 
     def arguments(self, *flags: str) -> list[str]:
-        words = ["agent", "--listen", self.listen, "--operators", self.operators]
+        arguments = ["agent", "--listen", self.listen, "--operators", self.operators]
         for option, value in self.options.items():
             if option != "settle":
-                words += [f"--{option.replace('_', '-')}", value]
-        return [*words, *flags]
+                arguments += [f"--{option.replace('_', '-')}", value]
+        return [*arguments, *flags]
 
 
-def host_names(answer: Response) -> set[str]:
-    """Hosts that an answer names."""
-    return {line["host"] for line in answer["hosts"]}
+def host_names(response: Response) -> set[str]:
+    """Return the names of the hosts in a response."""
+    return {entry["host"] for entry in response["hosts"]}
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Where a server of the test's own listens."""
+    """Return the address that a server listens on."""
     return "{}:{}".format(*server.sockets[0].getsockname()[:2])
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, on a small suite of its own."""
+"""The list of known failures, applied to a small test suite."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 RED, GREEN = "tests/test_it.py::test_red, a cause, 7\n", "tests/test_it.py::test_green, a cause, 7\n"
 
 
-def run(folder: Path, listed: str | None) -> tuple[int, str]:
-    """The check of that suite, with this list."""
+def run_suite(folder: Path, known_failures: str | None) -> tuple[int, str]:
+    """Run the suite with this list and return the exit status and the output."""
     (folder / "tests").mkdir()
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (folder / "tests" / "test_it.py").write_text(SUITE)
     (folder / "tests" / "conftest.py").write_text('pytest_plugins = ["known_red"]\n')
-    if listed is not None:
-        (folder / "KNOWN-RED.txt").write_text(listed)
-    here = str(Path(__file__).parent)
-    words = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    done = subprocess.run(
-        words, cwd=folder, env=os.environ | {"PYTHONPATH": here}, capture_output=True, text=True
+    if known_failures is not None:
+        (folder / "KNOWN-RED.txt").write_text(known_failures)
+    plugin_folder = str(Path(__file__).parent)
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
+    result = subprocess.run(
+        command, cwd=folder, env=os.environ | {"PYTHONPATH": plugin_folder}, capture_output=True, text=True
     )
-    return done.returncode, done.stdout + done.stderr
+    return result.returncode, result.stdout + result.stderr
 
 
 @pytest.mark.parametrize(
-    ("listed", "is_green", "says"),
+    ("known_failures", "passes", "expected"),
     [
         (None, False, "1 failed, 1 passed"),
         ("", False, "1 failed, 1 passed"),
@@ -54,7 +54,7 @@
         ("tests/test_it.py::test_red, a cause, soon\n", False, "is not TEST, CAUSE, ISSUE"),
     ],
 )
-def test_just_those_listed_may_fail_and_none_of_them_may_pass(tmp_path, listed, is_green, says):
-    code, said = run(tmp_path, listed)
-    assert (code == 0) == is_green
-    assert says in said
+def test_only_listed_tests_may_fail_and_none_of_them_may_pass(tmp_path, known_failures, passes, expected):
+    status, output = run_suite(tmp_path, known_failures)
+    assert (status == 0) == passes
+    assert expected in output
