--- a/tests/test_fresh_clone.py
+++ b/tests/test_fresh_clone.py
@@ -1,4 +1,4 @@
-"""README's two commands in an empty clone, with an empty environment: what a new user has."""
+"""The installation steps of a new user: the README's two commands in a fresh clone, and the packages."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-EMPTY = {"PATH": "/usr/local/bin:/usr/bin:/bin"}
+CLEAN_ENVIRONMENT = {"PATH": "/usr/local/bin:/usr/bin:/bin"}
 
 
-def command(folder: Path, *words: str) -> subprocess.CompletedProcess[str]:
-    """One of them, from another folder than the clone's."""
+def run_command(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run a command of the folder from outside it, with a clean environment."""
     return subprocess.run(
-        [str(folder / words[0]), *words[1:]],
+        [str(folder / arguments[0]), *arguments[1:]],
         cwd=folder.parent,
-        env=EMPTY,
+        env=CLEAN_ENVIRONMENT,
         stdin=subprocess.DEVNULL,
         capture_output=True,
         text=True,
@@ -25,8 +25,8 @@
     )
 
 
-def copy_of_the_tree(clone: Path) -> Path:
-    """What a clone of this would hold."""
+def copy_work_tree(clone: Path) -> Path:
+    """Copy the files that a clone would hold, without the journal."""
     tracked = subprocess.run(
         ["git", "ls-files", "-z", "--cached", "--others", "--exclude-standard", "--", ".", ":!journal"],
         cwd=ROOT,
@@ -42,43 +42,45 @@
     return clone
 
 
-def test_the_package_installed_into_an_empty_environment_works_whole(tmp_path):
-    tree, place = copy_of_the_tree(tmp_path / "tree"), tmp_path / "env"
-    subprocess.run([sys.executable, "-m", "venv", place], check=True)
-    words = [place / "bin" / "pip", "install", "-q", "--disable-pip-version-check", tree]
-    subprocess.run(words, env=EMPTY | {"HOME": str(tmp_path)}, check=True, timeout=600)
-    (tmp_path / "tree").rename(tmp_path / "gone")  # nothing of it is used
-    for called in (["--help"], ["lab", "list"], ["lab", "cluster"], ["demo", "--for", "3s"]):
-        ended = command(place / "bin", "birchdrum", *called)
-        assert ended.returncode == 0, (called, ended.stderr)
-    assert ", lost 0" in ended.stdout
-    for called, missing in (
+def test_the_package_works_when_installed_into_a_new_environment(tmp_path):
+    tree, environment = copy_work_tree(tmp_path / "tree"), tmp_path / "env"
+    subprocess.run([sys.executable, "-m", "venv", environment], check=True)
+    pip_install = [environment / "bin" / "pip", "install", "-q", "--disable-pip-version-check", tree]
+    subprocess.run(pip_install, env=CLEAN_ENVIRONMENT | {"HOME": str(tmp_path)}, check=True, timeout=600)
+    (tmp_path / "tree").rename(tmp_path / "gone")  # the installed package must not use its source tree
+    for arguments in (["--help"], ["lab", "list"], ["lab", "cluster"], ["demo", "--for", "3s"]):
+        result = run_command(environment / "bin", "birchdrum", *arguments)
+        assert result.returncode == 0, (arguments, result.stderr)
+    assert ", lost 0" in result.stdout
+    for arguments, missing in (
         (["compare", "calm"], "scipy"),
         (["members", "--what", "rest", "--size", "2", "--plot", "rest.png"], "matplotlib"),
     ):
-        ended = command(place / "bin", "birchdrum", "lab", *called)
+        result = run_command(environment / "bin", "birchdrum", "lab", *arguments)
         assert (
-            ended.returncode == 1 and f"needs {missing}" in ended.stderr and "Traceback" not in ended.stderr
+            result.returncode == 1
+            and f"needs {missing}" in result.stderr
+            and "Traceback" not in result.stderr
         )
 
 
-def test_what_packaging_declares_is_what_the_files_pin():
+def test_dependencies_in_pyproject_match_the_requirements_files():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     declared = {*project["dependencies"], *project["optional-dependencies"]["lab"]}
-    names = ("requirements.txt", "requirements-tools.txt")
-    pinned = {line for name in names for line in (ROOT / name).read_text().split()}
+    files = ("requirements.txt", "requirements-tools.txt")
+    pinned = {line for file in files for line in (ROOT / file).read_text().split()}
     assert declared == pinned - {"setuptools==80.9.0"}
 
 
-def test_both_commands_make_what_they_need_and_do_what_they_say(tmp_path):
-    clone = copy_of_the_tree(tmp_path / "clone")
-    demo = command(clone, "bin/birchdrum", "demo", "--for", "3s")
+def test_both_commands_set_up_their_environment_and_work(tmp_path):
+    clone = copy_work_tree(tmp_path / "clone")
+    demo = run_command(clone, "bin/birchdrum", "demo", "--for", "3s")
     assert demo.returncode == 0, demo.stderr
     assert ", lost 0" in demo.stdout and "Traceback" not in demo.stderr
     assert demo.stderr.splitlines() == ["birchdrum: making .venv-tools with what the tools need, once"]
-    again = command(clone, "bin/birchdrum", "demo", "--for", "1s")
-    assert (again.returncode, again.stderr) == (0, "")
-    (clone / ".venv-tools" / "made").unlink()  # ended half-way
-    checked = command(clone, "bin/check", "tests/test_resp.py", "-n", "1")
-    assert checked.returncode == 0, checked.stdout
-    assert "100%" in checked.stdout
+    second_run = run_command(clone, "bin/birchdrum", "demo", "--for", "1s")
+    assert (second_run.returncode, second_run.stderr) == (0, "")
+    (clone / ".venv-tools" / "made").unlink()  # as if an earlier setup had been interrupted
+    check = run_command(clone, "bin/check", "tests/test_resp.py", "-n", "1")
+    assert check.returncode == 0, check.stdout
+    assert "100%" in check.stdout
