--- a/ops/logs.py
+++ b/ops/logs.py
@@ -20,7 +20,8 @@
 FIELD_LENGTH_MAX = 400  # characters
 FORMATS = ("text", "json")
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-# A field that exempts its event from the rate limit: a flood of lines must not suppress the periodic stats.
+# A field that exempts an event with an interval of its own from the rate limit, as a flood of lines must not
+# suppress the periodic stats.
 UNLIMITED = "figures"
 
 Event = MutableMapping[str, Any]
--- a/ops/metrics.py
+++ b/ops/metrics.py
@@ -43,7 +43,7 @@
         return ()
 
     def respond(self, connection: Connection) -> None:
-        """Send the metrics page as response."""
+        """Respond with the metrics page."""
         connection.respond(generate_latest(self.registry), {"Content-Type": CONTENT_TYPE_PLAIN_0_0_4})
 
     def handle(self, connection: Connection, request: Request) -> None:
