--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -95,7 +95,7 @@
         return platform.parse(json.dumps(whole.platform))
 
     config = parsed(first)
-    logs.start(config.log_form, config.log_level)
+    logs.configure(config.log_form, config.log_level)
     try:
         uvloop.run(serve(config, lambda: parsed(configuration.load(file, flags))))
     except StartupError as wrong:
@@ -137,11 +137,11 @@
 @config.command("schema")
 def show_schema() -> None:
     """Print the JSON schema of the file, for editors that check TOML by one."""
-    from ops.checking import schema
+    from ops.checking import json_schema
 
     from .model import Config
 
-    click.echo(json.dumps(schema(Config), indent=2))
+    click.echo(json.dumps(json_schema(Config), indent=2))
 
 
 @config.command()
@@ -150,7 +150,7 @@
 @click.option("-o", "--output", type=A_FILE, help="By default standard output.")
 def convert(file: Path, to: str | None, output: Path | None) -> None:
     """Turn the platform's JSON to TOML or back, without loss; environment and flags are left aside."""
-    from ops.files import write_whole
+    from ops.files import write_atomically
 
     from . import configuration
 
@@ -165,6 +165,6 @@
         click.echo(text, nl=False)
         return
     try:
-        write_whole(output, text)
+        write_atomically(output, text)
     except OSError as wrong:
         raise Ended(NOT_DONE, f"{output}: {(wrong.strerror or str(wrong)).lower()}") from None
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -20,8 +20,8 @@
 import numpy as np
 from scipy import stats
 
-from ops.checking import plain
-from ops.files import write_whole
+from ops.checking import to_plain
+from ops.files import write_atomically
 
 from .baselines import VARIANTS
 from .runs import Unknown
@@ -46,7 +46,7 @@
     def described(self) -> dict[str, Any]:
         """All that a worker needs."""
         name = "birchdrum" if self.variant.startswith(AGAINST) else self.variant
-        return {"scenario": plain(self.scenario), "seed": self.seed, "variant": name}
+        return {"scenario": to_plain(self.scenario), "seed": self.seed, "variant": name}
 
     def digest(self) -> str:
         """Of what is played, so that a file of another scenario under the same name is not taken for it."""
@@ -159,7 +159,7 @@
             else:
                 whole = {"format": FORMAT, "digest": wanted.digest(), "revision": at, "versions": versions}
                 whole |= wanted.described() | {"of": wanted.variant} | raw
-                write_whole(wanted.file(folder), json.dumps(whole, indent=1))
+                write_atomically(wanted.file(folder), json.dumps(whole, indent=1))
                 done.results[key] = whole
         told(len(done.results) + len(done.failures), len(plays), f"{wanted.scenario.name} {wanted.variant}")
 
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -21,7 +21,7 @@
 from .readiness import Readiness
 from .stats import Stats
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 MS = 1_000  # microseconds
 # The client's deadline runs from when it sent the request, so the answer must leave this much earlier.
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -10,7 +10,7 @@
 
 from .config import Address
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 RETRY_INTERVAL = 0.5  # seconds between attempts to open an address that is in use
 
--- a/tests/listing.py
+++ b/tests/listing.py
@@ -1,4 +1,4 @@
-"""The list service's processes on loopback, and callers that speak plain HTTP to them."""
+"""Starts processes of the list service on loopback addresses and sends them HTTP requests."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 PATH = "/registry/instances"
 
 
-class Answer(dict):
-    """A JSON answer with its status and headers."""
+class Response(dict):
+    """A JSON response with its status and headers."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
         super().__init__(json.loads(body) if body else {})
         self.status, self.headers, self.size = status, headers, len(body)
 
 
-class Wire:
-    """One kept connection."""
+class Connection:
+    """A persistent HTTP connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def open(cls, where: str) -> Wire:
-        host, _, port = where.rpartition(":")
+    async def open(cls, address: str) -> Connection:
+        host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
     def send(self, method: str, target: str, body: bytes | dict | None = None) -> None:
@@ -38,46 +38,48 @@
         length = f"Content-Length: {len(body)}\r\n" if body is not None else ""
         self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: x\r\n{length}\r\n".encode() + (body or b""))
 
-    async def answer(self, bodiless=False) -> Answer:
+    async def read_response(self, bodiless=False) -> Response:
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
+        headers = {
+            name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:] if line)
+        }
         body = b"" if bodiless else await self.reader.readexactly(int(headers["content-length"]))
-        return Answer(int(head[0].split()[1]), headers, body)
+        return Response(int(head[0].split()[1]), headers, body)
 
-    async def call(self, method: str, target: str, body: bytes | dict | None = None) -> Answer:
+    async def call(self, method: str, target: str, body: bytes | dict | None = None) -> Response:
         self.send(method, target, body)
-        return await self.answer(method == "HEAD")
+        return await self.read_response(method == "HEAD")
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-async def call(where: str, method: str, target: str, body: bytes | dict | None = None) -> Answer:
-    """One call on a connection of its own."""
-    wire = await Wire.open(where)
+async def call(address: str, method: str, target: str, body: bytes | dict | None = None) -> Response:
+    """Send one request on a new connection and return the response."""
+    connection = await Connection.open(address)
     try:
-        return await asyncio.wait_for(wire.call(method, target, body), 10)
+        return await asyncio.wait_for(connection.call(method, target, body), 10)
     finally:
-        wire.close()
+        connection.close()
 
 
-def host(number: int = 1, **changes) -> dict:
-    """What a host registers with."""
-    line = {"dial": f"127.0.0.1:{6000 + number}", "site": "hall-a", "class": "m", "block": 1, "share": 1.0}
-    return line | {"lease_ms": 60_000, "version": 0} | changes
+def registration(number: int = 1, **changes) -> dict:
+    """Return the body of a host's registration."""
+    body = {"dial": f"127.0.0.1:{6000 + number}", "site": "hall-a", "class": "m", "block": 1, "share": 1.0}
+    return body | {"lease_ms": 60_000, "version": 0} | changes
 
 
-async def word(wire: Wire, name: str, state: str, version: int) -> Answer:
-    """A host's word that leads to this state."""
+async def change_state(connection: Connection, name: str, state: str, version: int) -> Response:
+    """Send the request that puts a host in this state."""
     if state == "SERVING":
-        return await wire.call("PUT", f"{PATH}/{name}", host(version=version))
+        return await connection.call("PUT", f"{PATH}/{name}", registration(version=version))
     if state == "DRAINING":
-        return await wire.call("POST", f"{PATH}/{name}/drain", {"version": version})
-    return await wire.call("DELETE", f"{PATH}/{name}?version={version}")
+        return await connection.call("POST", f"{PATH}/{name}/drain", {"version": version})
+    return await connection.call("DELETE", f"{PATH}/{name}?version={version}")
 
 
 class Registry:
-    """Processes of ``python -m registry``, each ended with the test."""
+    """Runs processes of ``python -m registry`` and kills them at the end of the test."""
 
     def __init__(self, folder) -> None:
         self.folder, self.processes = folder, []
@@ -91,21 +93,21 @@
                 process.kill()
             await process.wait()
 
-    async def run(self, *words: str, env=None) -> asyncio.subprocess.Process:
-        command = (sys.executable, "-m", "registry", *map(str, words))
+    async def run(self, *arguments: str, env=None) -> asyncio.subprocess.Process:
+        command = (sys.executable, "-m", "registry", *map(str, arguments))
         process = await asyncio.create_subprocess_exec(
             *command, stderr=asyncio.subprocess.PIPE, env=os.environ | (env or {})
         )
         self.processes.append(process)
         return process
 
-    async def refused(self, *words: str) -> str:
-        """A start that must fail; its one line."""
-        process = await self.run(*words)
-        said = (await asyncio.wait_for(process.communicate(), 10))[1].decode()
+    async def failed_start(self, *arguments: str) -> str:
+        """Start a process that must fail and return its one-line error."""
+        process = await self.run(*arguments)
+        output = (await asyncio.wait_for(process.communicate(), 10))[1].decode()
         assert process.returncode == 1
-        lines = [line for line in said.splitlines() if line.startswith("registry: ")]
-        assert len(lines) == 1 and "Traceback" not in said
+        lines = [line for line in output.splitlines() if line.startswith("registry: ")]
+        assert len(lines) == 1 and "Traceback" not in output
         return lines[0]
 
     def service(self, name="a", **changes) -> Node:
@@ -113,7 +115,7 @@
 
 
 class Node:
-    """A primary, a follower or an agent with addresses and a file of its own, that may be started again."""
+    """A primary or follower with its own addresses and store, which can be restarted."""
 
     def __init__(self, registry: Registry, name: str, **options) -> None:
         self.registry, self.name, self.options = registry, name, {"settle": 0} | options
@@ -122,25 +124,25 @@
         self.process: asyncio.subprocess.Process | None = None
         self.log = bytearray()
 
-    def words(self, *flags: str) -> list[str]:
-        words = ["serve", "--listen", self.listen, "--operators", self.operators, "--store", self.store]
+    def arguments(self, *flags: str) -> list[str]:
+        arguments = ["serve", "--listen", self.listen, "--operators", self.operators, "--store", self.store]
         for option, value in self.options.items():
-            words += [f"--{option.replace('_', '-')}", value]
-        return [*words, *flags]
+            arguments += [f"--{option.replace('_', '-')}", value]
+        return [*arguments, *flags]
 
     async def start(self, *flags: str, ready=True) -> Node:
-        self.process = await self.registry.run(*self.words(*flags))
-        self.reading = asyncio.create_task(self._read(self.process.stderr))
-        while ready and not await self.up():
+        self.process = await self.registry.run(*self.arguments(*flags))
+        self.log_reader = asyncio.create_task(self._read(self.process.stderr))
+        while ready and not await self.is_up():
             assert self.process.returncode is None, self.log.decode()
             await asyncio.sleep(0.02)
         return self
 
     async def _read(self, stream) -> None:
-        while line := await stream.read(65_536):
-            self.log += line
+        while data := await stream.read(65_536):
+            self.log += data
 
-    async def up(self) -> bool:
+    async def is_up(self) -> bool:
         try:
             return (await call(self.listen, "GET", "/")).status == 404
         except (OSError, asyncio.IncompleteReadError):
@@ -154,50 +156,50 @@
         self.process.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(self.process.wait(), 10)
 
-    async def list(self, query="") -> Answer:
+    async def list(self, query="") -> Response:
         return await call(self.listen, "GET", PATH + query)
 
-    async def put(self, name: str, body: dict | None = None, **changes) -> Answer:
-        return await call(self.listen, "PUT", f"{PATH}/{name}", body or host(**changes))
+    async def put(self, name: str, body: dict | None = None, **changes) -> Response:
+        return await call(self.listen, "PUT", f"{PATH}/{name}", body or registration(**changes))
 
-    async def post(self, name: str, verb: str, version: int) -> Answer:
+    async def post(self, name: str, verb: str, version: int) -> Response:
         return await call(self.listen, "POST", f"{PATH}/{name}/{verb}", {"version": version})
 
-    async def remove(self, name: str, version: int) -> Answer:
+    async def remove(self, name: str, version: int) -> Response:
         return await call(self.listen, "DELETE", f"{PATH}/{name}?version={version}")
 
-    async def figures(self) -> Answer:
+    async def figures(self) -> Response:
         return await call(self.operators, "GET", "/figures")
 
-    async def told(self, condition, within=10.0) -> Answer:
-        """Ask for the whole list until it is as it should be."""
-        async with asyncio.timeout(within):
+    async def wait_for_list(self, condition, timeout=10.0) -> Response:
+        """Request the full list until it meets the condition."""
+        async with asyncio.timeout(timeout):
             while True:
                 try:
-                    answer = await self.list()
-                    if answer.status == 200 and condition(answer):
-                        return answer
+                    response = await self.list()
+                    if response.status == 200 and condition(response):
+                        return response
                 except (OSError, asyncio.IncompleteReadError):
                     pass
                 await asyncio.sleep(0.02)
 
 
 class AgentNode(Node):
-    """An agent."""
+    """A registry agent, which has no store."""
 
-    def words(self, *flags: str) -> list[str]:
-        words = ["agent", "--listen", self.listen, "--operators", self.operators]
+    def arguments(self, *flags: str) -> list[str]:
+        arguments = ["agent", "--listen", self.listen, "--operators", self.operators]
         for option, value in self.options.items():
             if option != "settle":
-                words += [f"--{option.replace('_', '-')}", value]
-        return [*words, *flags]
+                arguments += [f"--{option.replace('_', '-')}", value]
+        return [*arguments, *flags]
 
 
-def names(answer: Answer) -> set[str]:
-    """Hosts that an answer names."""
-    return {line["host"] for line in answer["hosts"]}
+def host_names(response: Response) -> set[str]:
+    """Return the names of the hosts in a response."""
+    return {entry["host"] for entry in response["hosts"]}
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Where a server of the test's own listens."""
+    """Return the address that a server listens on."""
     return "{}:{}".format(*server.sockets[0].getsockname()[:2])
