--- a/tests/command.py
+++ b/tests/command.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 COMMAND = Path(sys.executable).parent / "birchdrum"
-FILE = """
+GATEWAY_TOML = """
 listen = "{listen}"
 discovery = "{discovery}"
 control = "{control}"
@@ -34,13 +34,15 @@
     return kept | more
 
 
-def powerless() -> None:
+def drop_capabilities() -> None:
     """Root without the right to read everything and to listen below 1024: for others it changes nothing."""
     for right in (1, 2, 10):  # CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_NET_BIND_SERVICE
         ctypes.CDLL(None).prctl(24, right)  # PR_CAPBSET_DROP
 
 
-def run(*words: object, within: float = 60, before=None, **more: str) -> subprocess.CompletedProcess[str]:
+def run(
+    *words: object, timeout: float = 60, preexec_fn=None, **more: str
+) -> subprocess.CompletedProcess[str]:
     """One call to its end."""
     return subprocess.run(
         [COMMAND, *map(str, words)],
@@ -48,22 +50,22 @@
         stdin=subprocess.DEVNULL,
         capture_output=True,
         text=True,
-        timeout=within,
+        timeout=timeout,
         check=False,
-        preexec_fn=before,
+        preexec_fn=preexec_fn,
     )
 
 
-def refused(*words: object, code: int = 2, before=None, **more: str) -> list[str]:
+def refused(*words: object, code: int = 2, preexec_fn=None, **more: str) -> list[str]:
     """A call that must fail; what it said, a line each, without a traceback."""
-    ended = run(*words, before=before, **more)
+    ended = run(*words, preexec_fn=preexec_fn, **more)
     assert ended.returncode == code, (ended.returncode, ended.stderr)
     lines = ended.stderr.splitlines()
     assert lines and all(line.startswith("birchdrum: ") for line in lines), ended.stderr
     return [line.removeprefix("birchdrum: ") for line in lines]
 
 
-def alive(pattern: str) -> list[int]:
+def processes_matching(pattern: str) -> list[int]:
     """Processes whose command line has this in it."""
     found = []
     for folder in Path("/proc").iterdir():
--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -10,7 +10,7 @@
 import subprocess
 
 import pytest
-from command import COMMAND, FILE, alive, environment, powerless, refused, run
+from command import COMMAND, GATEWAY_TOML, drop_capabilities, environment, processes_matching, refused, run
 from conftest import FakeHost, asyncio_test, free_address, until
 from listing import PATH, call
 from listing import host as listed_host
@@ -25,7 +25,9 @@
         self.folder = folder
         self.listen, self.control, self.discovery = free_address(), free_address(), free_address()
         self.file = folder / "gw.toml"
-        self.text = FILE.format(listen=self.listen, discovery=self.discovery, control=self.control) + more
+        self.text = (
+            GATEWAY_TOML.format(listen=self.listen, discovery=self.discovery, control=self.control) + more
+        )
         if host:
             dial = f"127.0.0.1:{host.port}"
             self.text += f'\n[[known.hosts]]\nhost = "{host.name}"\ndial = "{dial}"\nsite = "all"\n'
@@ -119,27 +121,29 @@
 
 def test_what_is_not_permitted_is_told_in_one_line(tmp_path):
     file = tmp_path / "gw.toml"
-    file.write_text(FILE.format(listen="127.0.0.1:81", discovery=free_address(), control=free_address()))
-    said = starts_nothing(tmp_path, file.read_text(), before=powerless)
+    file.write_text(
+        GATEWAY_TOML.format(listen="127.0.0.1:81", discovery=free_address(), control=free_address())
+    )
+    said = starts_nothing(tmp_path, file.read_text(), preexec_fn=drop_capabilities)
     assert said == "cannot listen for clients at 127.0.0.1:81: no permission: ports below 1024 need it"
     file.chmod(0)
     for words in (("gateway",), ("config", "check")):
-        assert refused(*words, file, before=powerless) == [f"{file}: permission denied"]
+        assert refused(*words, file, preexec_fn=drop_capabilities) == [f"{file}: permission denied"]
 
 
-def starts_nothing(tmp_path, text: str, *flags: str, before=None) -> str:
+def starts_nothing(tmp_path, text: str, *flags: str, preexec_fn=None) -> str:
     """A gateway that must end at once with 1; its one line."""
     file = tmp_path / "gw.toml"
     file.write_text(text)
-    ended = run("gateway", file, *flags, before=before)
+    ended = run("gateway", file, *flags, preexec_fn=preexec_fn)
     assert ended.returncode == 1 and "Traceback" not in ended.stderr
-    assert alive(str(file)) == []
+    assert processes_matching(str(file)) == []
     [line] = [line for line in ended.stderr.splitlines() if line.startswith("birchdrum: ")]
     return line.removeprefix("birchdrum: ")
 
 
 def test_an_address_that_is_taken_or_not_ours_ends_the_start_in_one_line(tmp_path):
-    text = FILE.format(listen=free_address(), discovery=free_address(), control=free_address())
+    text = GATEWAY_TOML.format(listen=free_address(), discovery=free_address(), control=free_address())
     with socket.create_server(("127.0.0.1", 0)) as taken:
         where = f"127.0.0.1:{taken.getsockname()[1]}"
         for flag, what in (("listen", "clients"), ("control", "operators"), ("metrics", "metrics")):
@@ -255,7 +259,7 @@
     try:
         lines = [process.stdout.readline() for _ in range(5)]
         assert "birchdrum call" in lines[3], (lines, process.poll())
-        assert len(alive(str(tmp_path))) == 3
+        assert len(processes_matching(str(tmp_path))) == 3
         os.kill(process.pid, end)
         out, errors = process.communicate(timeout=30)
         if end is not signal.SIGKILL:
@@ -264,7 +268,7 @@
 
         @asyncio_test
         async def gone() -> None:
-            await until(lambda: alive(str(tmp_path)) == [], 20)
+            await until(lambda: processes_matching(str(tmp_path)) == [], 20)
 
         gone()
     finally:
@@ -276,11 +280,11 @@
     try:
         for _ in range(5):
             process.stdout.readline()
-        [victim] = alive(rf"{tmp_path}.*/gw-1.toml")
+        [victim] = processes_matching(rf"{tmp_path}.*/gw-1.toml")
         os.kill(victim, signal.SIGKILL)
         _, errors = process.communicate(timeout=30)
         assert process.returncode == 1 and "gw-1 ended with -9" in errors and "Traceback" not in errors
-        assert alive(str(tmp_path)) == []
+        assert processes_matching(str(tmp_path)) == []
     finally:
         process.kill()
 
@@ -296,7 +300,7 @@
     assert told["lost_by_it"] + told["lost_besides"] == figures["total"]["lost"]
     assert told["lost_besides"] == 0
     assert (told["lost_by_it"] > 0) is (trouble != "cut")
-    assert alive(str(tmp_path)) == []
+    assert processes_matching(str(tmp_path)) == []
 
 
 def test_a_trouble_needs_another_gateway():
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from command import COMMAND, alive, environment, refused, run
+from command import COMMAND, environment, processes_matching, refused, run
 from conftest import asyncio_test, until
 
 from lab import defects
@@ -23,7 +23,7 @@
 def play(tmp_path: Path, *words: object, **more: str) -> tuple[int, list[dict]]:
     """One call of the command; its exit code and verdicts."""
     inside = {"TMPDIR": str(tmp_path)} | more
-    ended = run("lab", "cluster", *words, "--json", "--out", tmp_path / "out", within=120, **inside)
+    ended = run("lab", "cluster", *words, "--json", "--out", tmp_path / "out", timeout=120, **inside)
     assert ended.returncode in (0, 4), ended.stderr
     return ended.returncode, [json.loads(line) for line in ended.stdout.splitlines()]
 
@@ -91,7 +91,7 @@
     code, [verdict] = play(tmp_path, "smoke")
     assert code == 0 and verdict["breaches"] == [], verdict["breaches"]
     assert [file.name for file in tmp_path.iterdir()] == ["out"]  # the scratch folder is gone
-    assert alive(str(tmp_path)) == []
+    assert processes_matching(str(tmp_path)) == []
     assert verdict["requests"]["served"] > 30 and verdict["equal_after_ms"] is not None
     evidence = record.read(Path(verdict["out"]))
     said = {(event.node, event.name) for event in evidence.events}
@@ -190,10 +190,10 @@
     async def ended() -> None:
         try:
             await until(lambda: begun.exists() and begun.read_text(), 40)
-            assert len(alive(str(scratch))) >= 5  # list service, gateways and the guard
+            assert len(processes_matching(str(scratch))) >= 5  # list service, gateways and the guard
             os.kill(process.pid, end)
             await asyncio.to_thread(process.wait, 20)
-            await until(lambda: not alive(str(scratch)) and not list(scratch.iterdir()), 20)
+            await until(lambda: not processes_matching(str(scratch)) and not list(scratch.iterdir()), 20)
         finally:
             process.kill()
 
@@ -203,12 +203,12 @@
 
 def test_the_price_of_membership_is_told_from_two_fleets_in_one_run(tmp_path):
     words = ["--gateways", "2", "--pairs", "2", "--rate", "100", "--for", "500ms"]
-    ended = run("lab", "cost", *words, within=90, TMPDIR=str(tmp_path))
+    ended = run("lab", "cost", *words, timeout=90, TMPDIR=str(tmp_path))
     assert ended.returncode == 0, ended.stderr
     each, ratio, rest = ended.stdout.splitlines()
     assert "100 requests a second, 2 pairs" in each and "median" in ratio and "at rest" in rest
     assert 0.2 < float(ratio.split()[4].rstrip(",")) < 5
-    assert not list(tmp_path.iterdir()) and alive(str(tmp_path)) == []
+    assert not list(tmp_path.iterdir()) and processes_matching(str(tmp_path)) == []
 
 
 def test_a_schedule_shrinks_to_the_faults_that_still_break_a_rule():
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 import tomllib
 
 import pytest
-from command import FILE, refused, run
+from command import GATEWAY_TOML, refused, run
 from conftest import SITE
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 from saffrongw import config as platform
 
 ADDRESSES = {"listen": "127.0.0.1:7301", "discovery": "127.0.0.1:7302", "control": "127.0.0.1:7303"}
-GOOD = FILE.format(**ADDRESSES)
+GOOD = GATEWAY_TOML.format(**ADDRESSES)
 PLATFORM = {
     "name": "n0",
     "listen": "127.0.0.1:7301",
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -433,7 +433,7 @@
     whats = [word for what in ("rest", "kill", "name") for word in ("--what", what)]
     words = ["lab", "members", *whats, "--size", "4", "--seeds", "1", "--out", tmp_path / "kept"]
     for name in ("all.svg", "again.png"):
-        ended = run(*words, "--plot", tmp_path / name, within=120)
+        ended = run(*words, "--plot", tmp_path / name, timeout=120)
         assert ended.returncode == 0, ended.stderr
     picture = (tmp_path / "all.svg").read_text()
     assert picture.count('id="axes_') == 3
