--- a/birchdrum/calling.py
+++ b/birchdrum/calling.py
@@ -16,15 +16,15 @@
 from lab import protocol
 from ops.units import Address
 
-from .configuration import Unusable, read
+from .configuration import ConfigurationError, read_file
 
-LINE_MOST = 131_072  # bytes of an operator's answer: a table of 1,000 members
-SPARE = 0.5  # seconds for the way there and back
+MAX_ANSWER_BYTES = 131_072  # bytes of an operator's answer: a table of 1,000 members
+RESPONSE_MARGIN = 0.5  # seconds for the way there and back
 
-At = tuple[str, int]
+HostPort = tuple[str, int]
 
 
-class Nobody(Exception):
+class InvalidCall(Exception):
     """A call that can't be made as it was asked for; the text says what to change."""
 
 
@@ -33,7 +33,7 @@
     """What one gateway said; None: it was not reached, ``why`` tells how."""
 
     name: str
-    at: At
+    at: HostPort
     said: str | None
     why: str = ""
 
@@ -59,53 +59,53 @@
         return f"{name}\t{self.said if self.said is not None else 'not reached: ' + self.why}"
 
 
-def gateways(at: Sequence[At], fleet: Path | None, only: Sequence[str]) -> dict[str, At]:
+def select_gateways(at: Sequence[HostPort], fleet: Path | None, only: Sequence[str]) -> dict[str, HostPort]:
     """Names and addresses that a call goes to; raises Nobody."""
     named = {"{}:{}".format(*address): address for address in at}
     if fleet is not None:
         listed = _fleet(fleet)
         if unknown := [name for name in only if name not in listed]:
-            raise Nobody(f"{fleet}: no gateway {unknown[0]!r}, there are {', '.join(listed)}")
+            raise InvalidCall(f"{fleet}: no gateway {unknown[0]!r}, there are {', '.join(listed)}")
         named |= {name: address for name, address in listed.items() if not only or name in only}
     elif only:
-        raise Nobody("--only goes with --fleet")
+        raise InvalidCall("--only goes with --fleet")
     if not named:
-        raise Nobody("no gateway is named: give --at HOST:PORT or --fleet FILE")
+        raise InvalidCall("no gateway is named: give --at HOST:PORT or --fleet FILE")
     return named
 
 
-def _fleet(file: Path) -> dict[str, At]:
+def _fleet(file: Path) -> dict[str, HostPort]:
     try:
-        values, _ = read(file)
-    except Unusable as wrong:
-        raise Nobody(str(wrong)) from None
+        values, _ = read_file(file)
+    except ConfigurationError as wrong:
+        raise InvalidCall(str(wrong)) from None
     table = values.get("gateways")
     if not isinstance(table, dict) or not table:
-        raise Nobody(f'{file}: expected a table [gateways] with lines such as gw-0 = "127.0.0.1:7000"')
+        raise InvalidCall(f'{file}: expected a table [gateways] with lines such as gw-0 = "127.0.0.1:7000"')
     done = {}
     for name, text in table.items():
         try:
             address = Address(str(text))
         except ValueError as wrong:
-            raise Nobody(f"{file}: gateways.{name} = {text!r}: {wrong}") from None
+            raise InvalidCall(f"{file}: gateways.{name} = {text!r}: {wrong}") from None
         done[name] = (address.host, address.port)
     return done
 
 
-def all_of(named: dict[str, At], line: str, within: float) -> list[Answer]:
+def call_all(named: dict[str, HostPort], line: str, within: float) -> list[Answer]:
     """Make one operator's call at each of them at once; their answers in order."""
-    return asyncio.run(each(named, line, within))
+    return asyncio.run(call_each(named, line, within))
 
 
-async def each(named: dict[str, At], line: str, within: float) -> list[Answer]:
+async def call_each(named: dict[str, HostPort], line: str, within: float) -> list[Answer]:
     """The same within a running loop."""
     return await asyncio.gather(*(_one(name, at, line, within) for name, at in named.items()))
 
 
-async def _one(name: str, at: At, line: str, within: float) -> Answer:
+async def _one(name: str, at: HostPort, line: str, within: float) -> Answer:
     try:
         async with asyncio.timeout(within):
-            reader, writer = await asyncio.open_connection(*at, limit=LINE_MOST)
+            reader, writer = await asyncio.open_connection(*at, limit=MAX_ANSWER_BYTES)
             try:
                 writer.write(line.encode() + b"\n")
                 said = (await reader.readline()).decode("utf-8", "replace").strip()
@@ -114,7 +114,7 @@
     except TimeoutError:
         return Answer(name, at, None, f"no answer within {within:g} s")
     except ValueError:
-        return Answer(name, at, None, f"an answer of more than {LINE_MOST} bytes")
+        return Answer(name, at, None, f"an answer of more than {MAX_ANSWER_BYTES} bytes")
     except OSError as wrong:
         return Answer(name, at, None, _reason(wrong))
     return Answer(name, at, said) if said else Answer(name, at, None, "closed without an answer")
@@ -150,7 +150,7 @@
 
 
 def request(
-    at: At,
+    at: HostPort,
     kind: str,
     plan: str,
     customer: int,
@@ -182,9 +182,9 @@
         return Result(outcome, number, time.monotonic() - began, value)
 
     try:
-        reply = _ask(at, words, deadline + SPARE)
+        reply = _ask(at, words, deadline + RESPONSE_MARGIN)
     except TimeoutError:
-        return result("nobody", f"no answer within {deadline + SPARE:g} s")
+        return result("nobody", f"no answer within {deadline + RESPONSE_MARGIN:g} s")
     except OSError as wrong:
         return result("nobody", _reason(wrong))
     except hiredis.ProtocolError as wrong:
@@ -200,10 +200,10 @@
     try:
         return Path(text[1:]).read_bytes()
     except OSError as wrong:
-        raise Nobody(f"{text[1:]}: {(wrong.strerror or str(wrong)).lower()}") from None
+        raise InvalidCall(f"{text[1:]}: {(wrong.strerror or str(wrong)).lower()}") from None
 
 
-def _ask(at: At, command: bytes, within: float) -> object:
+def _ask(at: HostPort, command: bytes, within: float) -> object:
     ends = time.monotonic() + within
     reader = hiredis.Reader()
     with socket.create_connection(at, timeout=within) as link:
--- a/birchdrum/cli.py
+++ b/birchdrum/cli.py
@@ -12,10 +12,18 @@
 from click.shell_completion import get_completion_class
 
 from . import commands_control, commands_gateway, commands_lab, commands_registry, commands_settings
-from .command import CONTEXT, DONE, INTERRUPTED, NOT_DONE, WRONG, Ended, Time
+from .command import (
+    CONTEXT_SETTINGS,
+    INTERRUPTED,
+    NOT_POSSIBLE,
+    SUCCESS,
+    USAGE_ERROR,
+    CommandError,
+    DurationType,
+)
 
 
-@click.group(context_settings=CONTEXT)
+@click.group(context_settings=CONTEXT_SETTINGS)
 @click.version_option(package_name="saffrongw", prog_name="birchdrum")
 def cli() -> None:
     """An API gateway that keeps each customer's quota over all gateways together.
@@ -37,7 +45,9 @@
 
 
 @cli.command()
-@click.option("--for", "span", type=Time(), help="End after this time, with a summary; else at Ctrl-C.")
+@click.option(
+    "--for", "span", type=DurationType(), help="End after this time, with a summary; else at Ctrl-C."
+)
 @click.option("--gateways", type=click.IntRange(1, 20), default=3, show_default=True)
 @click.option("--hosts", type=click.IntRange(1, 60), default=8, show_default=True)
 @click.option("--customers", type=click.IntRange(1, 200), default=6, show_default=True)
@@ -57,7 +67,7 @@
     from . import demo as fleet
 
     if trouble and size["gateways"] < 2:
-        raise Ended(WRONG, "--trouble needs 2 gateways at least")
+        raise CommandError(USAGE_ERROR, "--trouble needs 2 gateways at least")
     sys.exit(fleet.run(span, as_json, trouble=trouble, **size))
 
 
@@ -74,26 +84,26 @@
     """Carry out one call; its exit code."""
     try:
         cli.main(args=argv, prog_name="birchdrum", standalone_mode=False)
-    except Ended as ended:
+    except CommandError as ended:
         for line in ended.lines:
             click.echo(f"birchdrum: {line}", err=True)
         return ended.code
     except click.exceptions.NoArgsIsHelpError as wanted:
         click.echo(wanted.format_message())
-        return WRONG
+        return USAGE_ERROR
     except click.UsageError as wrong:
         path = wrong.ctx.command_path if wrong.ctx else "birchdrum"
         text = " ".join(wrong.format_message().split())
         click.echo(f"birchdrum: {text.rstrip('.')} (see {path} --help)", err=True)
-        return WRONG
+        return USAGE_ERROR
     except click.ClickException as wrong:
         click.echo(f"birchdrum: {wrong.format_message()}", err=True)
-        return NOT_DONE
+        return NOT_POSSIBLE
     except (click.Abort, KeyboardInterrupt):
         return INTERRUPTED
     except BrokenPipeError:  # who read our output has had enough
         sys.stderr.close()
-        return DONE
+        return SUCCESS
     except SystemExit as ended:
-        return ended.code if isinstance(ended.code, int) else NOT_DONE
-    return DONE
+        return ended.code if isinstance(ended.code, int) else NOT_POSSIBLE
+    return SUCCESS
--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -11,12 +11,12 @@
 
 import click
 
-DONE, NOT_DONE, WRONG, REFUSED, FAILED, INTERRUPTED = 0, 1, 2, 3, 4, 130
-A_FILE = click.Path(path_type=Path, readable=False)  # what is wrong with one is told by who reads it
-CONTEXT = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
+SUCCESS, NOT_POSSIBLE, USAGE_ERROR, REFUSED, FAILED, INTERRUPTED = 0, 1, 2, 3, 4, 130
+FILE_PATH = click.Path(path_type=Path, readable=False)  # what is wrong with one is told by who reads it
+CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 
 
-class Ended(Exception):
+class CommandError(Exception):
     """The end of a command: its lines, and its exit code."""
 
     def __init__(self, code: int, *lines: str) -> None:
@@ -24,7 +24,7 @@
         self.code, self.lines = code, lines
 
 
-class Time(click.ParamType[Any]):
+class DurationType(click.ParamType[Any]):
     """A duration with its unit; seconds."""
 
     name = "duration"
@@ -41,7 +41,7 @@
             self.fail(f"{value!r}: {wrong}", param, ctx)
 
 
-class At(click.ParamType[Any]):
+class AddressType(click.ParamType[Any]):
     """An address, ``HOST:PORT``."""
 
     name = "host:port"
--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -10,7 +10,17 @@
 
 import click
 
-from .command import A_FILE, DONE, FAILED, NOT_DONE, REFUSED, WRONG, At, Ended, Time
+from .command import (
+    FAILED,
+    FILE_PATH,
+    NOT_POSSIBLE,
+    REFUSED,
+    SUCCESS,
+    USAGE_ERROR,
+    AddressType,
+    CommandError,
+    DurationType,
+)
 
 
 def addressed(command: Callable[..., Any]) -> Callable[..., Any]:
@@ -18,16 +28,16 @@
     for option in reversed(
         (
             click.option(
-                "--at", multiple=True, type=At(), help="A gateway's operators' address; repeatable."
+                "--at", multiple=True, type=AddressType(), help="A gateway's operators' address; repeatable."
             ),
             click.option(
                 "--fleet",
-                type=A_FILE,
+                type=FILE_PATH,
                 help='A TOML file that names gateways: [gateways], then gw-0 = "127.0.0.1:7000".',
             ),
             click.option("--only", multiple=True, help="Of the fleet, the gateway of this name; repeatable."),
             click.option(
-                "--within", type=Time(), default="2s", show_default=True, help="Time for all answers."
+                "--within", type=DurationType(), default="2s", show_default=True, help="Time for all answers."
             ),
             click.option("--json", "as_json", is_flag=True, help="Answers as JSON, a line each."),
         )
@@ -56,15 +66,15 @@
         from . import calling
 
         try:
-            gateways = calling.gateways(at, fleet, only)
-        except calling.Nobody as wrong:
-            raise Ended(WRONG, str(wrong)) from None
-        answers = calling.all_of(gateways, f"{word} {host}".strip(), within)
+            gateways = calling.select_gateways(at, fleet, only)
+        except calling.InvalidCall as wrong:
+            raise CommandError(USAGE_ERROR, str(wrong)) from None
+        answers = calling.call_all(gateways, f"{word} {host}".strip(), within)
         for answer in answers:
             click.echo(json.dumps(answer.fields()) if as_json else str(answer))
         if any(answer.said is None for answer in answers):
-            sys.exit(NOT_DONE)
-        sys.exit(DONE if all(answer.done for answer in answers) else REFUSED)
+            sys.exit(NOT_POSSIBLE)
+        sys.exit(SUCCESS if all(answer.done for answer in answers) else REFUSED)
 
     command = addressed(call)
     if takes_host:
@@ -82,7 +92,7 @@
 @control.command()
 @addressed
 @click.option("--watch", is_flag=True, help="Again and again, until Ctrl-C.")
-@click.option("--every", type=Time(), default="1s", show_default=True, help="With --watch.")
+@click.option("--every", type=DurationType(), default="1s", show_default=True, help="With --watch.")
 def members(
     at: tuple[tuple[str, int], ...],
     fleet: Path | None,
@@ -103,9 +113,9 @@
     from . import members as views
 
     try:
-        gateways = calling.gateways(at, fleet, only)
-    except calling.Nobody as wrong:
-        raise Ended(WRONG, str(wrong)) from None
+        gateways = calling.select_gateways(at, fleet, only)
+    except calling.InvalidCall as wrong:
+        raise CommandError(USAGE_ERROR, str(wrong)) from None
     while True:
         found = views.gather(gateways, within)
         if watch and not as_json:
@@ -115,12 +125,12 @@
             break
         time.sleep(every)
     if found.missing:
-        sys.exit(NOT_DONE)
-    sys.exit(REFUSED if found.disagreements else DONE)
+        sys.exit(NOT_POSSIBLE)
+    sys.exit(REFUSED if found.disagreements else SUCCESS)
 
 
 @click.command()
-@click.argument("gateway", type=At())
+@click.argument("gateway", type=AddressType())
 @click.option("--class", "kind", required=True, help="The class of the request.")
 @click.option("--plan", required=True, help="The customer's plan.")
 @click.option(
@@ -129,7 +139,7 @@
 @click.option(
     "--units", type=click.FloatRange(min=0, min_open=True), default=1.0, help="Units that it takes."
 )
-@click.option("--deadline", type=Time(), default="2s", show_default=True, help="How long to wait.")
+@click.option("--deadline", type=DurationType(), default="2s", show_default=True, help="How long to wait.")
 @click.option("--first", type=click.IntRange(0), default=0, help="The first gateway of the customer's set.")
 @click.option("--spread", type=click.IntRange(1), default=1, help="How many gateways the set has.")
 @click.option("--body", help="Sent as CALL.POST with this body, @FILE for a file's.")
@@ -145,7 +155,7 @@
 
     try:
         answer = calling.request(gateway, **given)
-    except calling.Nobody as wrong:
-        raise Ended(WRONG, str(wrong)) from None
+    except calling.InvalidCall as wrong:
+        raise CommandError(USAGE_ERROR, str(wrong)) from None
     click.echo(json.dumps(answer.fields()) if as_json else str(answer))
-    sys.exit({"served": DONE, "refused": REFUSED, "failed": FAILED}.get(answer.outcome, NOT_DONE))
+    sys.exit({"served": SUCCESS, "refused": REFUSED, "failed": FAILED}.get(answer.outcome, NOT_POSSIBLE))
--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -9,14 +9,14 @@
 
 import click
 
-from .command import A_FILE, NOT_DONE, WRONG, Ended
+from .command import FILE_PATH, NOT_POSSIBLE, USAGE_ERROR, CommandError
 
 
 def configured(command: Callable[..., Any]) -> Callable[..., Any]:
     """The file of a configuration and what overrides it."""
     for option in reversed(
         (
-            click.argument("file", required=False, type=A_FILE),
+            click.argument("file", required=False, type=FILE_PATH),
             click.option("--listen", metavar="HOST:PORT", help="Where clients connect."),
             click.option("--control", metavar="HOST:PORT", help="Where operators call."),
             click.option("--metrics", metavar="HOST:PORT", help="Where monitoring reads GET /metrics."),
@@ -41,7 +41,7 @@
     for pair in sets:
         key, sign, text = pair.partition("=")
         if not sign or not key:
-            raise Ended(WRONG, f"--set {pair}: expected KEY=VALUE")
+            raise CommandError(USAGE_ERROR, f"--set {pair}: expected KEY=VALUE")
         flags[key.strip()] = text.strip()
     return flags
 
@@ -54,20 +54,24 @@
     named |= {name: os.environ.get(name) or None for name in ("LB_CONFIG", "BIRCHDRUM_CONFIG")}
     given = {name: path for name, path in named.items() if path}
     if len(given) > 1:
-        raise Ended(WRONG, f"more than one configuration is named, by {' and '.join(given)}: name one")
+        raise CommandError(
+            USAGE_ERROR, f"more than one configuration is named, by {' and '.join(given)}: name one"
+        )
     if not given:
-        raise Ended(WRONG, "no configuration is named: give FILE, or set BIRCHDRUM_CONFIG or LB_CONFIG")
+        raise CommandError(
+            USAGE_ERROR, "no configuration is named: give FILE, or set BIRCHDRUM_CONFIG or LB_CONFIG"
+        )
     return Path(next(iter(given.values())))
 
 
-def loaded(file: Path, flags: dict[str, str]) -> Any:
+def load_configuration(file: Path, flags: dict[str, str]) -> Any:
     """The configuration in force; raises Ended with every mistake."""
     from . import configuration
 
     try:
         return configuration.load(file, flags)
-    except configuration.Unusable as wrong:
-        raise Ended(WRONG, *wrong.lines) from None
+    except configuration.ConfigurationError as wrong:
+        raise CommandError(USAGE_ERROR, *wrong.lines) from None
 
 
 @click.command()
@@ -89,9 +93,9 @@
     from . import configuration
 
     flags, file = overrides(sets, **named), named_file(file)
-    first = loaded(file, flags)
+    first = load_configuration(file, flags)
 
-    def parsed(whole: configuration.Loaded) -> platform.Config:
+    def parsed(whole: configuration.LoadedConfiguration) -> platform.Config:
         return platform.parse(json.dumps(whole.platform))
 
     config = parsed(first)
@@ -99,7 +103,7 @@
     try:
         uvloop.run(serve(config, lambda: parsed(configuration.load(file, flags))))
     except NoStart as wrong:
-        raise Ended(NOT_DONE, str(wrong)) from None
+        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
 
 
 @click.group()
@@ -112,7 +116,7 @@
 def check(file: Path | None, sets: tuple[str, ...], **named: str | None) -> None:
     """Tell all that is wrong with a configuration, one line each; exit code 2 where anything is."""
     file = named_file(file)
-    loaded(file, overrides(sets, **named))
+    load_configuration(file, overrides(sets, **named))
     click.echo(f"{file}: can be used")
 
 
@@ -126,7 +130,7 @@
     """Show the configuration in force: file, environment and flags together."""
     from . import configuration
 
-    whole = loaded(named_file(file), overrides(sets, **named))
+    whole = load_configuration(named_file(file), overrides(sets, **named))
     if origins:
         for key, origin in sorted(whole.origins.items()):
             click.echo(f"{key}\t{origin}")
@@ -145,9 +149,9 @@
 
 
 @config.command()
-@click.argument("file", type=A_FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--to", type=click.Choice(["toml", "json"]), help="By default the other one of the two.")
-@click.option("-o", "--output", type=A_FILE, help="By default standard output.")
+@click.option("-o", "--output", type=FILE_PATH, help="By default standard output.")
 def convert(file: Path, to: str | None, output: Path | None) -> None:
     """Turn the platform's JSON to TOML or back, without loss; environment and flags are left aside."""
     from ops.files import write_whole
@@ -155,10 +159,10 @@
     from . import configuration
 
     try:
-        _, is_json = configuration.read(file)
+        _, is_json = configuration.read_file(file)
         whole = configuration.load(file, environment={})
-    except configuration.Unusable as wrong:
-        raise Ended(WRONG, *wrong.lines) from None
+    except configuration.ConfigurationError as wrong:
+        raise CommandError(USAGE_ERROR, *wrong.lines) from None
     form = to or ("toml" if is_json else "json")
     text = configuration.as_toml(whole) if form == "toml" else json.dumps(whole.platform, indent=1) + "\n"
     if output is None:
@@ -167,4 +171,4 @@
     try:
         write_whole(output, text)
     except OSError as wrong:
-        raise Ended(NOT_DONE, f"{output}: {(wrong.strerror or str(wrong)).lower()}") from None
+        raise CommandError(NOT_POSSIBLE, f"{output}: {(wrong.strerror or str(wrong)).lower()}") from None
--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -9,7 +9,7 @@
 
 import click
 
-from .command import A_FILE, DONE, FAILED, NOT_DONE, WRONG, Ended, Time
+from .command import FAILED, FILE_PATH, NOT_POSSIBLE, SUCCESS, USAGE_ERROR, CommandError, DurationType
 
 
 @click.group()
@@ -28,7 +28,7 @@
 
 
 @lab.command("check")
-@click.argument("file", type=A_FILE)
+@click.argument("file", type=FILE_PATH)
 def check_scenario(file: Path) -> None:
     """Tell all that is wrong with a scenario, and how large it is."""
     from lab import scenario
@@ -44,7 +44,7 @@
     try:
         return scenario.load(scenario.shipped().get(name, Path(name)))
     except scenario.Impossible as wrong:
-        raise Ended(WRONG, *wrong.lines) from None
+        raise CommandError(USAGE_ERROR, *wrong.lines) from None
 
 
 @lab.command("run")
@@ -66,7 +66,7 @@
     try:
         plays = runs.plan(_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways)
     except runs.Unknown as wrong:
-        raise Ended(WRONG, str(wrong)) from None
+        raise CommandError(USAGE_ERROR, str(wrong)) from None
     broken = False
     for play in plays:
         result, cost = play.run()
@@ -75,7 +75,7 @@
             click.echo(json.dumps({"variant": play.variant, **result}, sort_keys=True))
         else:
             click.echo(runs.line(play, result, cost))
-    sys.exit(NOT_DONE if broken else DONE)
+    sys.exit(NOT_POSSIBLE if broken else SUCCESS)
 
 
 def _seeds(text: str) -> list[int]:
@@ -86,7 +86,9 @@
             first, _, last = part.partition("-")
             found += range(int(first), int(last or first) + 1)
     except ValueError:
-        raise Ended(WRONG, f"--seeds {text}: expected numbers and ranges, such as 1-5,9") from None
+        raise CommandError(
+            USAGE_ERROR, f"--seeds {text}: expected numbers and ranges, such as 1-5,9"
+        ) from None
     return found
 
 
@@ -96,7 +98,7 @@
 @click.option("--variant", "variants", multiple=True, help="By default birchdrum; the first is the base.")
 @click.option("--against", multiple=True, metavar="REV", help="Another revision's decisions; repeatable.")
 @click.option("--gateways", "sizes", multiple=True, type=click.IntRange(1, 1000), help="Sizes; repeatable.")
-@click.option("--out", type=A_FILE, default=Path("found/lab"), show_default=True)
+@click.option("--out", type=FILE_PATH, default=Path("found/lab"), show_default=True)
 @click.option("--workers", type=click.IntRange(1), help="Plays side by side; by default one a core.")
 def compare(
     scenarios: tuple[str, ...],
@@ -121,7 +123,9 @@
     try:
         from lab import experiment, runs
     except ModuleNotFoundError as missing:
-        raise Ended(NOT_DONE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]") from None
+        raise CommandError(
+            NOT_POSSIBLE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]"
+        ) from None
 
     try:
         found = [
@@ -137,19 +141,19 @@
 
             made = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, told))
     except runs.Unknown as wrong:
-        raise Ended(WRONG, str(wrong)) from None
+        raise CommandError(USAGE_ERROR, str(wrong)) from None
     except OSError as wrong:
-        raise Ended(NOT_DONE, f"{out}: {(wrong.strerror or str(wrong)).lower()}") from None
+        raise CommandError(NOT_POSSIBLE, f"{out}: {(wrong.strerror or str(wrong)).lower()}") from None
     for row in experiment.differences(made):
         click.echo(str(row))
     if made.kept:
         click.echo(f"{made.kept} of {len(plays)} plays were kept in {out}")
     if made.failures:
-        raise Ended(NOT_DONE, *made.failures)
+        raise CommandError(NOT_POSSIBLE, *made.failures)
 
 
 @lab.command("again")
-@click.argument("file", type=A_FILE)
+@click.argument("file", type=FILE_PATH)
 def play_again(file: Path) -> None:
     """Play a kept result anew from its file alone; exit code 0 where it is the same, else 1."""
     from lab import experiment, runs
@@ -157,16 +161,16 @@
     try:
         same, text = experiment.again(file)
     except runs.Unknown as wrong:
-        raise Ended(WRONG, str(wrong)) from None
+        raise CommandError(USAGE_ERROR, str(wrong)) from None
     click.echo(text)
-    sys.exit(DONE if same else NOT_DONE)
+    sys.exit(SUCCESS if same else NOT_POSSIBLE)
 
 
 @lab.command()
 @click.argument("schedules", nargs=-1)
 @click.option("--seed", "seeds", default="1", show_default=True, help="Such as 1-5,9.")
 @click.option("--gateways", type=click.IntRange(2, 200), help="Another number than the schedule's.")
-@click.option("--out", type=A_FILE, default=Path("found/cluster"), show_default=True)
+@click.option("--out", type=FILE_PATH, default=Path("found/cluster"), show_default=True)
 @click.option("--defect", help="Run gateways with a planted defect of this name: the checker must find it.")
 @click.option("--before", metavar="REV", help="Gateways begin as this revision; restarts bring today's.")
 @click.option("--shrink", is_flag=True, help="Look for the fewest faults that still break a rule.")
@@ -200,7 +204,7 @@
     module = "birchdrum"
     if defect is not None:
         if defect not in defects.NAMES:
-            raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.NAMES)}")
+            raise CommandError(USAGE_ERROR, f"--defect {defect}: known are {', '.join(defects.NAMES)}")
         module, os.environ[defects.VARIABLE] = "lab.defects", defect
     found = {}
     for name in schedules:
@@ -209,7 +213,7 @@
             if gateways:
                 found[name] = schedule.sized(found[name], gateways)
         except schedule.Impossible as wrong:
-            raise Ended(WRONG, *wrong.lines) from None
+            raise CommandError(USAGE_ERROR, *wrong.lines) from None
 
     async def one(name: str, seed: int) -> bool:
         at = out / f"{Path(name).stem}-{seed}"
@@ -228,12 +232,12 @@
 
     async def all_of_them() -> int:
         kept = [await one(name, seed) for name in found for seed in _seeds(seeds)]
-        return DONE if all(kept) else FAILED
+        return SUCCESS if all(kept) else FAILED
 
     try:
         sys.exit(asyncio.run(campaign.until_told(all_of_them())))
     except (fleet.Broken, OSError) as wrong:
-        raise Ended(NOT_DONE, str(wrong)) from None
+        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
 
 
 @lab.command()
@@ -252,15 +256,15 @@
     from orchidlane.membership import Membership
 
     if odd := set(kinds) - set(states.KINDS):
-        raise Ended(WRONG, f"--kind {min(odd)}: known are {', '.join(states.KINDS)}")
+        raise CommandError(USAGE_ERROR, f"--kind {min(odd)}: known are {', '.join(states.KINDS)}")
     if defect is not None and defect not in defects.DEFECTS:
-        raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.DEFECTS)}")
+        raise CommandError(USAGE_ERROR, f"--defect {defect}: known are {', '.join(defects.DEFECTS)}")
     core = defects.DEFECTS[defect] if defect else Membership
     found = states.check(core, members, window, faults, kinds or states.KINDS)
     click.echo(f"{found.states} states, {found.paths} paths, {found.known} of them known by then")
     for broken in found.broken:
         click.echo(f"BROKEN {broken}")
-    sys.exit(FAILED if found.broken else DONE)
+    sys.exit(FAILED if found.broken else SUCCESS)
 
 
 @lab.command()
@@ -269,9 +273,9 @@
 @click.option("--size", "sizes", multiple=True, type=click.IntRange(2, 1000), help="Members; by default 30.")
 @click.option("--loss", "losses", multiple=True, type=click.FloatRange(0, 0.9), help="By default none.")
 @click.option("--seeds", default="1-5", show_default=True, help="Such as 1-5,9.")
-@click.option("--out", type=A_FILE, default=Path("found/members"), show_default=True)
+@click.option("--out", type=FILE_PATH, default=Path("found/members"), show_default=True)
 @click.option("--workers", type=click.IntRange(1), help="Measurements side by side; by default one a core.")
-@click.option("--plot", type=A_FILE, help="Draw what was measured, as this .png, .svg or .pdf.")
+@click.option("--plot", type=FILE_PATH, help="Draw what was measured, as this .png, .svg or .pdf.")
 def members(
     whats: tuple[str, ...],
     variants: tuple[str, ...],
@@ -295,7 +299,7 @@
         (variants, member_baselines.VARIANTS, "--variant"),
     ):
         if odd := set(words) - set(known):
-            raise Ended(WRONG, f"{option} {min(odd)}: known are {', '.join(known)}")
+            raise CommandError(USAGE_ERROR, f"{option} {min(odd)}: known are {', '.join(known)}")
     jobs = [
         member_study.Job(what, variant, size, seed, loss)
         for what in whats or member_study.WHAT
@@ -305,13 +309,13 @@
         for variant in variants or member_baselines.VARIANTS
     ]
     if plot and plot.suffix not in (".png", ".svg", ".pdf"):
-        raise Ended(WRONG, f"--plot {plot}: expected a name that ends in .png, .svg or .pdf")
+        raise CommandError(USAGE_ERROR, f"--plot {plot}: expected a name that ends in .png, .svg or .pdf")
     if plot:
         try:
             from lab import member_plots
         except ModuleNotFoundError as missing:
-            raise Ended(
-                NOT_DONE, f"lab members --plot needs {missing.name}: install birchdrum's extra [lab]"
+            raise CommandError(
+                NOT_POSSIBLE, f"lab members --plot needs {missing.name}: install birchdrum's extra [lab]"
             ) from None
     found = member_study.run(jobs, out, workers or os.cpu_count() or 1)
     for line in member_study.summary(found):
@@ -326,7 +330,9 @@
 )
 @click.option("--size", type=click.IntRange(1, 1000), default=8, show_default=True, help="Gateways.")
 @click.option("--seeds", default="1-3", show_default=True, help="Such as 1-5,9.")
-@click.option("--for", "span", type=Time(), default="60s", show_default=True, help="Of the virtual clock.")
+@click.option(
+    "--for", "span", type=DurationType(), default="60s", show_default=True, help="Of the virtual clock."
+)
 def agreement(kinds: tuple[str, ...], size: int, seeds: str, span: float) -> None:
     """Change settings all the time under faults, and measure how far decisions contradict each other.
 
@@ -339,7 +345,7 @@
     from registry.agreement import NEVER, WITHIN
 
     if odd := set(kinds) - set(virtual.KINDS):
-        raise Ended(WRONG, f"--kind {min(odd)}: known are {', '.join(virtual.KINDS)}")
+        raise CommandError(USAGE_ERROR, f"--kind {min(odd)}: known are {', '.join(virtual.KINDS)}")
     broken = False
     for kind in kinds or virtual.KINDS:
         for seed in _seeds(seeds):
@@ -357,14 +363,16 @@
                 f"{head}; contradicted: {contradicted}; with the last gateway after {known};"
                 f" {lapsed:.1%} of the decisions out of lease"
             )
-    sys.exit(FAILED if broken else DONE)
+    sys.exit(FAILED if broken else SUCCESS)
 
 
 @lab.command()
 @click.option("--gateways", type=click.IntRange(2, 100), default=5, show_default=True)
 @click.option("--pairs", "count", type=click.IntRange(1, 100), default=10, show_default=True)
 @click.option("--rate", type=click.FloatRange(1), default=300.0, show_default=True, help="Requests a second.")
-@click.option("--for", "span", type=Time(), default="3s", show_default=True, help="Of load, each time.")
+@click.option(
+    "--for", "span", type=DurationType(), default="3s", show_default=True, help="Of load, each time."
+)
 def cost(gateways: int, count: int, rate: float, span: float) -> None:
     """Measure what membership costs a gateway: two fleets, with it and without, loaded in turn."""
     import asyncio
@@ -377,4 +385,4 @@
         for line in asyncio.run(measured.pairs(wanted, count, rate, span)):
             click.echo(line)
     except (fleet.Broken, OSError) as wrong:
-        raise Ended(NOT_DONE, str(wrong)) from None
+        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -9,7 +9,7 @@
 
 import click
 
-from .command import WRONG, Ended
+from .command import USAGE_ERROR, CommandError
 
 
 def _registry_command(name: str, parser: argparse.ArgumentParser, text: str) -> click.Command:
@@ -64,7 +64,7 @@
 
 
 def _refuse(message: str) -> None:
-    raise Ended(WRONG, message)
+    raise CommandError(USAGE_ERROR, message)
 
 
 def _subparsers(parser: argparse.ArgumentParser) -> dict[str, argparse.ArgumentParser]:
--- a/birchdrum/commands_settings.py
+++ b/birchdrum/commands_settings.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .command import A_FILE, WRONG, Ended
+from .command import FILE_PATH, USAGE_ERROR, CommandError
 
 
 @click.group()
@@ -21,15 +21,15 @@
     """Say for each key whether old and new may hold side by side: together, within a time, or never."""
     from . import contradiction
 
-    wide = max(map(len, contradiction.SHARED))
-    for path, (rule, why) in contradiction.SHARED.items():
+    wide = max(map(len, contradiction.SHARED_KEYS))
+    for path, (rule, why) in contradiction.SHARED_KEYS.items():
         fields = {"key": path, "rule": rule, "why": why}
         click.echo(json.dumps(fields) if as_json else f"{path:{wide}}  {rule:8}  {why}")
 
 
 @settings.command()
-@click.argument("old", type=A_FILE)
-@click.argument("new", type=A_FILE)
+@click.argument("old", type=FILE_PATH)
+@click.argument("new", type=FILE_PATH)
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def diff(old: Path, new: Path, as_json: bool) -> None:
     """Show what differs between two files for the fleet, and by which rule the change would go.
@@ -42,8 +42,8 @@
 
     try:
         was, becomes = (configuration.load(file, environment={}).typed for file in (old, new))
-    except configuration.Unusable as wrong:
-        raise Ended(WRONG, *wrong.lines) from None
+    except configuration.ConfigurationError as wrong:
+        raise CommandError(USAGE_ERROR, *wrong.lines) from None
     found = contradiction.changes(was, becomes)
     if as_json:
         fields = {"changes": found, "rule": contradiction.strictest(found) if found else None}
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -25,10 +25,10 @@
 
 PREFIX = "BIRCHDRUM_"
 RESERVED = frozenset({"BIRCHDRUM_CONFIG", "BIRCHDRUM_PYTHON", "BIRCHDRUM_WORKERS"})  # not keys of the file
-FILE_MOST = 16 * 1024 * 1024  # bytes: a list of ten thousand hosts takes a tenth
+MAX_FILE_BYTES = 16 * 1024 * 1024  # bytes: a list of ten thousand hosts takes a tenth
 
 
-class Unusable(ValueError):
+class ConfigurationError(ValueError):
     """A configuration that can't be used; ``lines`` say why, one each."""
 
     def __init__(self, lines: Iterable[str]) -> None:
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Loaded:
+class LoadedConfiguration:
     """A whole configuration: as it is in force, and where each key that was given comes from."""
 
     typed: Config
@@ -45,32 +45,34 @@
     origins: dict[str, str]
 
 
-def read(file: Path) -> tuple[dict[str, Any], bool]:
+def read_file(file: Path) -> tuple[dict[str, Any], bool]:
     """A file's values, and whether it is the platform's JSON; raises Unusable."""
     try:
         if file.is_dir():
-            raise Unusable([f"{file}: is a directory, name the file"])
+            raise ConfigurationError([f"{file}: is a directory, name the file"])
         if file.exists() and not file.is_file():
-            raise Unusable([f"{file}: is no regular file"])
+            raise ConfigurationError([f"{file}: is no regular file"])
         with file.open("rb") as opened:
-            raw = opened.read(FILE_MOST + 1)
+            raw = opened.read(MAX_FILE_BYTES + 1)
     except OSError as wrong:
-        raise Unusable([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
-    if len(raw) > FILE_MOST:
-        raise Unusable([f"{file}: is larger than {FILE_MOST >> 20} MiB, which no configuration is"])
+        raise ConfigurationError([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
+    if len(raw) > MAX_FILE_BYTES:
+        raise ConfigurationError(
+            [f"{file}: is larger than {MAX_FILE_BYTES >> 20} MiB, which no configuration is"]
+        )
     try:
         text = raw.decode("utf-8-sig")
     except UnicodeDecodeError as wrong:
-        raise Unusable([f"{file}: is not UTF-8, first at byte {wrong.start}"]) from None
+        raise ConfigurationError([f"{file}: is not UTF-8, first at byte {wrong.start}"]) from None
     if not text.strip():
-        raise Unusable([f"{file}: is empty"])
+        raise ConfigurationError([f"{file}: is empty"])
     is_json = text.lstrip().startswith("{")
     try:
         values = json.loads(text) if is_json else tomllib.loads(text)
     except json.JSONDecodeError as wrong:
-        raise Unusable([f"{file}: is no whole JSON: {wrong}"]) from None
+        raise ConfigurationError([f"{file}: is no whole JSON: {wrong}"]) from None
     except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise Unusable([f"{file}: is no whole TOML: {str(wrong) or 'nested too deeply'}"]) from None
+        raise ConfigurationError([f"{file}: is no whole TOML: {str(wrong) or 'nested too deeply'}"]) from None
     return values, is_json
 
 
@@ -82,10 +84,10 @@
 
 def load(
     file: Path, flags: Mapping[str, str] | None = None, environment: Mapping[str, str] | None = None
-) -> Loaded:
+) -> LoadedConfiguration:
     """The configuration in force; raises Unusable with all mistakes. Flags are keys with their texts."""
     environment = os.environ if environment is None else environment
-    values, is_json = read(file)
+    values, is_json = read_file(file)
     theirs = values if is_json else None
     if is_json:
         values = convert.from_platform(values)
@@ -102,15 +104,15 @@
     typed, mistakes = checking.check(values)
     lines = odd + [_told(mistake, file, origins) for mistake in mistakes]
     if lines or typed is None:
-        raise Unusable(lines)
+        raise ConfigurationError(lines)
     if theirs is not None:
         typed = _with_rest(typed, theirs, {key for key, _, _ in given}, file)
     try:
         whole = convert.to_platform(plain(typed))
         platform.parse(json.dumps(whole))
     except (KeyError, ValueError, TypeError, IndexError, AttributeError) as wrong:
-        raise Unusable([f"{file}: platform: does not fit to the rest: {wrong!r}"]) from None
-    return Loaded(typed, whole, origins)
+        raise ConfigurationError([f"{file}: platform: does not fit to the rest: {wrong!r}"]) from None
+    return LoadedConfiguration(typed, whole, origins)
 
 
 def _with_rest(typed: Config, theirs: dict[str, Any], overridden: set[str], file: Path) -> Config:
@@ -125,7 +127,7 @@
         rest["absent"] = [at for at in rest["absent"] if not any(m.startswith(at) for m in mapped)]
     whole, mistakes = checking.check(plain(typed) | ({"platform": rest} if rest else {}))
     if whole is None:
-        raise Unusable(_told(mistake, file, {}) for mistake in mistakes)
+        raise ConfigurationError(_told(mistake, file, {}) for mistake in mistakes)
     return whole
 
 
@@ -163,7 +165,7 @@
     return f"{file}: {mistake}"
 
 
-def as_toml(loaded: Loaded, all_keys: bool = False) -> str:
+def as_toml(loaded: LoadedConfiguration, all_keys: bool = False) -> str:
     """As a file: the keys that were given, or all with their defaults. Read again it is the same."""
     values = plain(loaded.typed)
     if not all_keys:
@@ -172,7 +174,7 @@
     return tomlkit.dumps({key: values[key] for key in order})
 
 
-def _without_defaults(values: dict[str, Any], loaded: Loaded) -> dict[str, Any]:
+def _without_defaults(values: dict[str, Any], loaded: LoadedConfiguration) -> dict[str, Any]:
     """Scalars of tables that are as by default are left out."""
     typed = loaded.typed
     least = {"listen", "discovery", "classes", "plans"}
--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -20,7 +20,7 @@
 from .model import Config
 
 # A row of a list is named by its own name: ``plans.*.rate``. The text says why.
-SHARED: dict[str, tuple[str, str]] = {
+SHARED_KEYS: dict[str, tuple[str, str]] = {
     "classes": (WITHIN, "who does not know a class yet answers that it is unknown"),
     "classes.*.effect": (
         NEVER,
@@ -146,12 +146,12 @@
             yield from keys(table, f"{path}.")
 
 
-def unruled(kind: type[msgspec.Struct] = Config) -> list[str]:
+def unmatched_keys(kind: type[msgspec.Struct] = Config) -> list[str]:
     """Keys without a rule, and rules without a key."""
-    return sorted(set(keys(kind)) ^ SHARED.keys())
+    return sorted(set(keys(kind)) ^ SHARED_KEYS.keys())
 
 
-if odd := unruled():
+if odd := unmatched_keys():
     raise TypeError(
         f"birchdrum/contradiction.py: keys without a rule, or rules without a key: {', '.join(odd)}"
     )
@@ -161,7 +161,7 @@
     """What differs of the keys that all share, in the order of the rules."""
     was, becomes = plain(old), plain(new)
     found = []
-    for path, (rule, why) in SHARED.items():
+    for path, (rule, why) in SHARED_KEYS.items():
         head, star, key = path.partition(".*.")
         if path in NAMED:
             before, after = _rows(was, path), _rows(becomes, path)
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -31,7 +31,7 @@
 from lab.registration import Registration
 
 from . import calling
-from .trouble import VICTIM, WORDS, Trouble, told
+from .trouble import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
 KINDS = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
@@ -74,7 +74,7 @@
     began: float = field(default_factory=time.monotonic)
     ended: float = 0.0  # when clients asked no more
     causes: Counter[str] = field(default_factory=Counter)  # of refusals, as the gateways tell
-    trouble: Trouble | None = None
+    trouble: FaultInjection | None = None
     states: list[str] = field(default_factory=list)  # of the gateways, by their own word
 
 
@@ -133,7 +133,7 @@
 
 
 async def start(
-    folder: Path, gateways: int, hosts: int, count: int, seed: int, trouble: Trouble | None
+    folder: Path, gateways: int, hosts: int, count: int, seed: int, trouble: FaultInjection | None
 ) -> Fleet:
     """Bring all of it up, the list service first; raises Broken."""
     addresses = iter(ports.free(2 + 4 * gateways))
@@ -192,7 +192,7 @@
     controls = {gateway.name: split(gateway.control) for gateway in fleet.gateways}
 
     async def all_ready() -> bool:
-        answers = await calling.each(controls, "HEALTH", 1.0)
+        answers = await calling.call_each(controls, "HEALTH", 1.0)
         return all(answer.done for answer in answers)
 
     await _wait(fleet, all_ready, "the gateways")
@@ -203,12 +203,12 @@
     if trouble := fleet.trouble:
         fleet.clients.observer = _watch_losses(trouble)
         others = [gateway.name for gateway in fleet.gateways]
-        victim = others.pop(VICTIM)
-        work = trouble.play(victim, begun[VICTIM], others, lambda: begin(VICTIM))
+        victim = others.pop(VICTIM_RANK)
+        work = trouble.play(victim, begun[VICTIM_RANK], others, lambda: begin(VICTIM_RANK))
         trouble.task = asyncio.get_running_loop().create_task(work)
 
 
-def _watch_losses(trouble: Trouble) -> Callable[[Customer, str, str, float, int], None]:
+def _watch_losses(trouble: FaultInjection) -> Callable[[Customer, str, str, float, int], None]:
     def seen(customer: Customer, number: str, came: str, took: float, rank: int) -> None:
         if came == "lost":
             trouble.lost(rank, took)
@@ -219,7 +219,7 @@
 async def look(fleet: Fleet) -> None:
     """What gateways say of themselves, where something goes wrong with one."""
     controls = {gateway.name: split(gateway.control) for gateway in fleet.gateways}
-    answers = await calling.each(controls, "HEALTH", LOOK_EVERY / 2)
+    answers = await calling.call_each(controls, "HEALTH", LOOK_EVERY / 2)
     fleet.states = [answer.said or f"no answer: {answer.why}" for answer in answers]
 
 
@@ -397,9 +397,9 @@
             view.add_column(name)
         for gateway, state in zip(fleet.gateways, fleet.states, strict=False):
             mark = fleet.trouble.is_on and gateway.name == fleet.trouble.name
-            word = WORDS[fleet.trouble.kind] if mark else ""
+            word = DESCRIPTIONS[fleet.trouble.kind] if mark else ""
             view.add_row(gateway.name, word, state, style="red" if mark else None)
-        parts = [view, told(figures["trouble"])]
+        parts = [view, describe(figures["trouble"])]
     return Group(*parts, head, f"refused, as the gateways tell: {causes}", hosts, *_addresses(fleet))
 
 
@@ -425,7 +425,7 @@
     causes = ", ".join(f"{name} {count}" for name, count in figures["refused_by_cause"].items())
     lines.append(f"refused by cause, as the gateways tell: {causes or 'none'}")
     if "trouble" in figures:
-        lines.append(told(figures["trouble"]))
+        lines.append(describe(figures["trouble"]))
     for row in figures["customers"]:
         lines.append(
             f"customer {row['customer']} ({row['plan']}): asked for {row['asked_of_quota']:.0%} of its quota,"
@@ -452,7 +452,7 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         loop.add_signal_handler(number, stop.set)
-    wrong_thing = Trouble(trouble, span) if trouble else None
+    wrong_thing = FaultInjection(trouble, span) if trouble else None
     starting = loop.create_task(start(folder, gateways, hosts, customers, seed, wrong_thing))
     stopping = loop.create_task(stop.wait())
     await asyncio.wait({starting, stopping}, return_when=asyncio.FIRST_COMPLETED)
--- a/birchdrum/members.py
+++ b/birchdrum/members.py
@@ -71,10 +71,10 @@
         return done + (self.disagreements or (["all hold the same"] if self.tables else []))
 
 
-def gather(gateways: dict[str, calling.At], within: float) -> Views:
+def gather(gateways: dict[str, calling.HostPort], within: float) -> Views:
     """Ask each of them at once."""
     tables, missing = {}, {}
-    for answer in calling.all_of(gateways, "MEMBERS", within):
+    for answer in calling.call_all(gateways, "MEMBERS", within):
         if answer.done and answer.said:
             tables[answer.name] = json.loads(answer.said.removeprefix("done "))
         else:
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -14,11 +14,11 @@
 from lab.cluster.schedule import Planned
 
 KINDS = ("pause", "kill", "cut")
-VICTIM = 1  # the gateway of this rank
+VICTIM_RANK = 1  # the gateway of this rank
 AFTER, LASTS = 3.0, 5.0  # seconds after the start, and how long
 START = 2.0  # seconds that a process may take to serve again
 SHARE = 3.0  # of a run's time at most, a third for what is before and after
-WORDS = {
+DESCRIPTIONS = {
     "pause": "stands still (SIGSTOP)",
     "kill": "is killed (SIGKILL), then started again",
     "cut": "and the others hear nothing of each other",
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Trouble:
+class FaultInjection:
     """What goes wrong with one gateway, and when."""
 
     kind: str
@@ -109,7 +109,7 @@
         self.losses.append(Loss(now - took, now, rank))
 
     def _explains(self, loss: Loss) -> bool:
-        if self.kind == "cut" or not self.began or loss.rank != VICTIM:
+        if self.kind == "cut" or not self.began or loss.rank != VICTIM_RANK:
             return False
         until = self.ended + START if self.ended else float("inf")
         return loss.ended >= self.began and loss.sent <= until
@@ -127,7 +127,7 @@
         }
 
 
-def told(figures: dict[str, Any]) -> str:
+def describe(figures: dict[str, Any]) -> str:
     """The trouble in a line, and what it cost."""
     if figures["began_s"] is None:
         return f"the trouble {figures['what']} did not begin: give --for more time"
@@ -138,4 +138,4 @@
     }[figures["what"]]
     when = f"at {figures['began_s']:g} s, for {figures['lasted_s']:g} s, {figures['gateway']}"
     lost = f"{figures['lost_by_it']} requests lost by it ({why}), {figures['lost_besides']} besides"
-    return f"{when} {WORDS[figures['what']]}: {lost}"
+    return f"{when} {DESCRIPTIONS[figures['what']]}: {lost}"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -39,7 +39,7 @@
     ("listen = 'a'".encode("utf-16"), "is not UTF-8, first at byte 0"),
     (b'{"listen": "127.0.0.1:1", ', "is no whole JSON"),
     (b"[" * 100_000, "is no whole TOML"),
-    (b"#" * (configuration.FILE_MOST + 1), "is larger than 16 MiB"),
+    (b"#" * (configuration.MAX_FILE_BYTES + 1), "is larger than 16 MiB"),
 ]
 
 
@@ -103,7 +103,7 @@
     file = tmp_path / "gw.toml"
     file.write_text(GOOD)
     assert configuration.load(file, {}, {}).platform["listen"] == ADDRESSES["listen"]
-    with pytest.raises(configuration.Unusable) as wrong:
+    with pytest.raises(configuration.ConfigurationError) as wrong:
         configuration.load(file, flags, {})
     assert [line.split(": ")[1].split(" = ")[0] for line in wrong.value.lines] == [key]
 
--- a/tests/test_contradiction.py
+++ b/tests/test_contradiction.py
@@ -70,14 +70,14 @@
     class More(Config):
         quota_style: str = "plain"
 
-    assert contradiction.unruled() == []
-    assert contradiction.unruled(More) == ["quota_style"]
+    assert contradiction.unmatched_keys() == []
+    assert contradiction.unmatched_keys(More) == ["quota_style"]
     lines = run("settings", "rules").stdout.splitlines()
-    assert len(lines) == len(contradiction.SHARED) > 40
+    assert len(lines) == len(contradiction.SHARED_KEYS) > 40
     assert json.loads(run("settings", "rules", "--json").stdout.splitlines()[1]) == {
         "key": "classes.*.effect",
         "rule": NEVER,
-        "why": contradiction.SHARED["classes.*.effect"][1],
+        "why": contradiction.SHARED_KEYS["classes.*.effect"][1],
     }
 
 
