--- a/birchdrum/commands_settings.py
+++ b/birchdrum/commands_settings.py
@@ -41,7 +41,7 @@
     from . import configuration, contradiction
 
     try:
-        was, becomes = (configuration.load(file, environment={}).typed for file in (old, new))
+        was, becomes = (configuration.load(file, environment={}).config for file in (old, new))
     except configuration.ConfigurationError as wrong:
         raise CommandError(USAGE_ERROR, *wrong.lines) from None
     found = contradiction.changes(was, becomes)
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -1,7 +1,8 @@
-"""Where a gateway's configuration comes from: a file, then the environment, then flags.
+"""Loads a gateway's configuration from a file, environment variables and command-line flags, in this order.
 
-The file is ours (TOML) or the platform's (JSON); either ends as the platform's form, which
-``saffrongw.config`` parses as ever. So ``saffrongw`` has one parser, and imports nothing of this.
+The file is either TOML in birchdrum's format or JSON in the platform's format. Both are converted to the
+platform's format, which ``saffrongw.config`` parses, so that ``saffrongw`` has a single parser and does not
+depend on this package.
 """
 
 from __future__ import annotations
@@ -23,13 +24,15 @@
 from . import checking, convert
 from .model import Config
 
-PREFIX = "BIRCHDRUM_"
-RESERVED = frozenset({"BIRCHDRUM_CONFIG", "BIRCHDRUM_PYTHON", "BIRCHDRUM_WORKERS"})  # not keys of the file
-MAX_FILE_BYTES = 16 * 1024 * 1024  # bytes: a list of ten thousand hosts takes a tenth
+ENVIRONMENT_PREFIX = "BIRCHDRUM_"
+RESERVED_VARIABLES = frozenset(
+    {"BIRCHDRUM_CONFIG", "BIRCHDRUM_PYTHON", "BIRCHDRUM_WORKERS"}
+)  # no configuration keys
+MAX_FILE_BYTES = 16 * 1024 * 1024  # ten times a list of 10,000 hosts
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used; ``lines`` say why, one each."""
+    """The configuration is invalid; ``lines`` holds one message for each problem."""
 
     def __init__(self, lines: Iterable[str]) -> None:
         self.lines = list(lines)
@@ -38,136 +41,156 @@
 
 @dataclass(frozen=True)
 class LoadedConfiguration:
-    """A whole configuration: as it is in force, and where each key that was given comes from."""
+    """A valid configuration, and the origin of each key that was set explicitly."""
 
-    typed: Config
-    platform: dict[str, Any]  # in the platform's form
+    config: Config
+    platform: dict[str, Any]  # in the platform's format
     origins: dict[str, str]
 
 
 def read_file(file: Path) -> tuple[dict[str, Any], bool]:
-    """A file's values, and whether it is the platform's JSON; raises Unusable."""
+    """Returns a file's values, and whether it is the platform's JSON; raises ConfigurationError."""
     try:
         if file.is_dir():
-            raise ConfigurationError([f"{file}: is a directory, name the file"])
+            raise ConfigurationError([f"{file}: is a directory, expected a file"])
         if file.exists() and not file.is_file():
-            raise ConfigurationError([f"{file}: is no regular file"])
-        with file.open("rb") as opened:
-            raw = opened.read(MAX_FILE_BYTES + 1)
-    except OSError as wrong:
-        raise ConfigurationError([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
-    if len(raw) > MAX_FILE_BYTES:
+            raise ConfigurationError([f"{file}: is not a regular file"])
+        with file.open("rb") as handle:
+            content = handle.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        raise ConfigurationError([f"{file}: {(error.strerror or str(error)).lower()}"]) from None
+    if len(content) > MAX_FILE_BYTES:
         raise ConfigurationError(
-            [f"{file}: is larger than {MAX_FILE_BYTES >> 20} MiB, which no configuration is"]
+            [f"{file}: is larger than {MAX_FILE_BYTES >> 20} MiB, the limit for a configuration"]
         )
     try:
-        text = raw.decode("utf-8-sig")
-    except UnicodeDecodeError as wrong:
-        raise ConfigurationError([f"{file}: is not UTF-8, first at byte {wrong.start}"]) from None
+        text = content.decode("utf-8-sig")
+    except UnicodeDecodeError as error:
+        raise ConfigurationError([f"{file}: is not UTF-8, first at byte {error.start}"]) from None
     if not text.strip():
         raise ConfigurationError([f"{file}: is empty"])
     is_json = text.lstrip().startswith("{")
     try:
         values = json.loads(text) if is_json else tomllib.loads(text)
-    except json.JSONDecodeError as wrong:
-        raise ConfigurationError([f"{file}: is no whole JSON: {wrong}"]) from None
-    except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise ConfigurationError([f"{file}: is no whole TOML: {str(wrong) or 'nested too deeply'}"]) from None
+    except json.JSONDecodeError as error:
+        raise ConfigurationError([f"{file}: is not valid JSON: {error}"]) from None
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        raise ConfigurationError(
+            [f"{file}: is not valid TOML: {str(error) or 'nested too deeply'}"]
+        ) from None
     return values, is_json
 
 
 def from_environment(environment: Mapping[str, str]) -> dict[str, str]:
-    """Keys that the environment sets, by name of the variable: two underscores stand for a dot."""
-    names = [name for name in environment if name.startswith(PREFIX) and name not in RESERVED]
-    return {name: name.removeprefix(PREFIX).lower().replace("__", ".") for name in names}
+    """Maps each environment variable to the key that it sets; two underscores stand for a dot."""
+    names = [
+        name for name in environment if name.startswith(ENVIRONMENT_PREFIX) and name not in RESERVED_VARIABLES
+    ]
+    return {name: name.removeprefix(ENVIRONMENT_PREFIX).lower().replace("__", ".") for name in names}
 
 
 def load(
     file: Path, flags: Mapping[str, str] | None = None, environment: Mapping[str, str] | None = None
 ) -> LoadedConfiguration:
-    """The configuration in force; raises Unusable with all mistakes. Flags are keys with their texts."""
+    """Loads and checks the configuration; raises ConfigurationError with all errors.
+
+    ``flags`` maps keys to their values as text.
+    """
     environment = os.environ if environment is None else environment
     values, is_json = read_file(file)
-    theirs = values if is_json else None
+    platform_values = values if is_json else None
     if is_json:
         values = convert.from_platform(values)
-    origins = {path: str(file) for path in _paths(values)}
-    odd: list[str] = []
-    given = [(key, environment[name], name) for name, key in from_environment(environment).items()]
-    given += [(key, text, "flag") for key, text in (flags or {}).items()]
-    for key, text, origin in given:
+    origins = {path: str(file) for path in _key_paths(values)}
+    override_errors: list[str] = []
+    overrides = [(key, environment[name], name) for name, key in from_environment(environment).items()]
+    overrides += [(key, text, "flag") for key, text in (flags or {}).items()]
+    for key, text, origin in overrides:
         try:
             _override(values, key, Text(text))
             origins[key] = origin
-        except ValueError as wrong:
-            odd.append(f"{key} ({origin}): {wrong}")
-    typed, mistakes = checking.check(values)
-    lines = odd + [_told(mistake, file, origins) for mistake in mistakes]
-    if lines or typed is None:
+        except ValueError as error:
+            override_errors.append(f"{key} ({origin}): {error}")
+    config, mistakes = checking.check(values)
+    lines = override_errors + [_format_mistake(mistake, file, origins) for mistake in mistakes]
+    if lines or config is None:
         raise ConfigurationError(lines)
-    if theirs is not None:
-        typed = _with_rest(typed, theirs, {key for key, _, _ in given}, file)
+    if platform_values is not None:
+        config = _restore_platform_extras(config, platform_values, {key for key, _, _ in overrides}, file)
     try:
-        whole = convert.to_platform(plain(typed))
-        platform.parse(json.dumps(whole))
-    except (KeyError, ValueError, TypeError, IndexError, AttributeError) as wrong:
-        raise ConfigurationError([f"{file}: platform: does not fit to the rest: {wrong!r}"]) from None
-    return LoadedConfiguration(typed, whole, origins)
-
-
-def _with_rest(typed: Config, theirs: dict[str, Any], overridden: set[str], file: Path) -> Config:
-    """With what the platform's file says besides; what a flag or the environment set is not put back."""
-    without = checking.check(convert.from_platform(theirs))[0]
-    base = typed if without is None else without
-    rest = convert.keep_rest(theirs, convert.to_platform(plain(base)))
-    mapped = {"/" + convert.FIELDS[key][0] for key in overridden if key in convert.FIELDS}
-    if "values" in rest:
-        rest["values"] = {at: text for at, text in rest["values"].items() if at not in mapped}
-    if "absent" in rest:
-        rest["absent"] = [at for at in rest["absent"] if not any(m.startswith(at) for m in mapped)]
-    whole, mistakes = checking.check(plain(typed) | ({"platform": rest} if rest else {}))
-    if whole is None:
-        raise ConfigurationError(_told(mistake, file, {}) for mistake in mistakes)
-    return whole
-
-
-def _paths(values: dict[str, Any], at: str = "") -> Iterable[str]:
+        platform_form = convert.to_platform(plain(config))
+        platform.parse(json.dumps(platform_form))
+    except (KeyError, ValueError, TypeError, IndexError, AttributeError) as error:
+        raise ConfigurationError(
+            [f"{file}: platform: conflicts with the rest of the configuration: {error!r}"]
+        ) from None
+    return LoadedConfiguration(config, platform_form, origins)
+
+
+def _restore_platform_extras(
+    config: Config, platform_values: dict[str, Any], overridden: set[str], file: Path
+) -> Config:
+    """Adds what only the platform's file can express, except for keys that a flag or variable overrides."""
+    unrestored = checking.check(convert.from_platform(platform_values))[0]
+    base = config if unrestored is None else unrestored
+    extras = convert.platform_extras(platform_values, convert.to_platform(plain(base)))
+    overridden_paths = {"/" + convert.FIELDS[key][0] for key in overridden if key in convert.FIELDS}
+    if "values" in extras:
+        extras["values"] = {
+            pointer: text for pointer, text in extras["values"].items() if pointer not in overridden_paths
+        }
+    if "absent" in extras:
+        extras["absent"] = [
+            pointer
+            for pointer in extras["absent"]
+            if not any(path.startswith(pointer) for path in overridden_paths)
+        ]
+    restored, mistakes = checking.check(plain(config) | ({"platform": extras} if extras else {}))
+    if restored is None:
+        raise ConfigurationError(_format_mistake(mistake, file, {}) for mistake in mistakes)
+    return restored
+
+
+def _key_paths(values: dict[str, Any], prefix: str = "") -> Iterable[str]:
     for key, value in values.items():
         if isinstance(value, dict):
-            yield from _paths(value, f"{at}{key}.")
+            yield from _key_paths(value, f"{prefix}{key}.")
         else:
-            yield at + key
+            yield prefix + key
 
 
 def _override(values: dict[str, Any], key: str, text: Text) -> None:
-    """Set one key; a row of a list is named by its place, as in ``plans.0.rate``."""
-    *above, last = key.split(".")
-    tree: Any = values
-    for word in above:
-        if isinstance(tree, list):
-            if not word.isdigit() or int(word) >= len(tree):
-                raise ValueError(f"there is no row {word}")
-            tree = tree[int(word)]
+    """Sets one key; list elements are addressed by index, as in ``plans.0.rate``."""
+    *parents, last = key.split(".")
+    node: Any = values
+    for segment in parents:
+        if isinstance(node, list):
+            if not segment.isdigit() or int(segment) >= len(node):
+                raise ValueError(f"the list has no element {segment}")
+            node = node[int(segment)]
         else:
-            tree = tree.setdefault(word, {})
-        if not isinstance(tree, dict | list):
-            raise ValueError(f"{word} is no table")
-    if isinstance(tree, list):
-        raise ValueError("name a key of a row, as in plans.0.rate")
-    tree[last] = text
-
-
-def _told(mistake: Mistake, file: Path, origins: Mapping[str, str]) -> str:
-    words = re.sub(r"\[(\d+)\]", r".\1", mistake.key).split(".")
-    for length in range(len(words), 0, -1):  # a row's mistake lies where its list was given
-        if where := origins.get(".".join(words[:length])):
+            node = node.setdefault(segment, {})
+        if not isinstance(node, dict | list):
+            raise ValueError(f"{segment} is not a table")
+    if isinstance(node, list):
+        raise ValueError("expected a key of a list element, as in plans.0.rate")
+    node[last] = text
+
+
+def _format_mistake(mistake: Mistake, file: Path, origins: Mapping[str, str]) -> str:
+    segments = re.sub(r"\[(\d+)\]", r".\1", mistake.key).split(".")
+    for length in range(len(segments), 0, -1):  # the origin of a list covers its elements
+        if where := origins.get(".".join(segments[:length])):
             return f"{where}: {mistake}"
     return f"{file}: {mistake}"
 
 
 def as_toml(loaded: LoadedConfiguration, all_keys: bool = False) -> str:
-    """As a file: the keys that were given, or all with their defaults. Read again it is the same."""
-    values = plain(loaded.typed)
+    """Formats the configuration as a TOML file that loads to the same configuration.
+
+    Keys that have their default are left out unless ``all_keys`` is set.
+    """
+    values = plain(loaded.config)
     if not all_keys:
         values = _without_defaults(values, loaded)
     order = sorted(values, key=lambda key: isinstance(values[key], dict | list) and key != "zones")
@@ -175,18 +198,24 @@
 
 
 def _without_defaults(values: dict[str, Any], loaded: LoadedConfiguration) -> dict[str, Any]:
-    """Scalars of tables that are as by default are left out."""
-    typed = loaded.typed
-    least = {"listen", "discovery", "classes", "plans"}
-    blank = Config(listen=typed.listen, discovery=typed.discovery, classes=typed.classes, plans=typed.plans)
-    usual = plain(blank)
-    done: dict[str, Any] = {}
+    """Leaves out keys that have their default value."""
+    config = loaded.config
+    always_written = {"listen", "discovery", "classes", "plans"}
+    minimal = Config(
+        listen=config.listen, discovery=config.discovery, classes=config.classes, plans=config.plans
+    )
+    defaults = plain(minimal)
+    result: dict[str, Any] = {}
     for key, value in values.items():
-        if key in least or key not in usual:
-            done[key] = value
+        if key in always_written or key not in defaults:
+            result[key] = value
         elif isinstance(value, dict):
-            if kept := {k: v for k, v in value.items() if k not in usual[key] or usual[key][k] != v}:
-                done[key] = kept
-        elif value != usual[key]:
-            done[key] = value
-    return done
+            if changed := {
+                name: inner
+                for name, inner in value.items()
+                if name not in defaults[key] or defaults[key][name] != inner
+            }:
+                result[key] = changed
+        elif value != defaults[key]:
+            result[key] = value
+    return result
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -210,7 +210,7 @@
     return done
 
 
-def keep_rest(theirs: Json, again: Json) -> Json:
+def platform_extras(theirs: Json, again: Json) -> Json:
     """What ``[platform]`` has to say so that ``again``, our way back, is the platform's file to the value."""
     values: dict[str, str] = {}
     absent: list[str] = []
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -34,11 +34,11 @@
 FILES = [
     (b"", "is empty"),
     (b" \n\t\n", "is empty"),
-    (b"listen = ", "is no whole TOML"),
+    (b"listen = ", "is not valid TOML"),
     (b"listen = 'a\xff'", "is not UTF-8, first at byte 11"),
     ("listen = 'a'".encode("utf-16"), "is not UTF-8, first at byte 0"),
-    (b'{"listen": "127.0.0.1:1", ', "is no whole JSON"),
-    (b"[" * 100_000, "is no whole TOML"),
+    (b'{"listen": "127.0.0.1:1", ', "is not valid JSON"),
+    (b"[" * 100_000, "is not valid TOML"),
     (b"#" * (configuration.MAX_FILE_BYTES + 1), "is larger than 16 MiB"),
 ]
 
@@ -54,8 +54,8 @@
 
 def test_a_file_that_is_none_is_told_in_one_line(tmp_path):
     assert refused("config", "check", tmp_path / "none") == [f"{tmp_path}/none: no such file or directory"]
-    assert refused("config", "check", tmp_path) == [f"{tmp_path}: is a directory, name the file"]
-    assert refused("config", "check", "/dev/zero") == ["/dev/zero: is no regular file"]
+    assert refused("config", "check", tmp_path) == [f"{tmp_path}: is a directory, expected a file"]
+    assert refused("config", "check", "/dev/zero") == ["/dev/zero: is not a regular file"]
     assert "no configuration is named" in refused("gateway")[0]
     both = refused("gateway", tmp_path / "a", LB_CONFIG=str(tmp_path / "b"))
     assert both == ["more than one configuration is named, by FILE and LB_CONFIG: name one"]
@@ -177,7 +177,7 @@
     assert json.loads(theirs.read_text())["settings"]["permissions"]["idleClose"] == 90_000_000
     assert platform.parse(theirs.read_text()).log_form == "json"
     assert run("config", "convert", theirs, "-o", again).returncode == 0
-    assert configuration.load(again, {}, {}).typed.hosts == configuration.load(ours, {}, {}).typed.hosts
+    assert configuration.load(again, {}, {}).config.hosts == configuration.load(ours, {}, {}).config.hosts
     nowhere = refused("config", "convert", ours, "-o", tmp_path / "none" / "x", code=1)
     assert "no such file" in nowhere[0]
 
