--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -1,7 +1,8 @@
-"""The platform's JSON and our TOML, each from the other without loss.
+"""Converts between the platform's JSON and birchdrum's TOML without loss.
 
-``FIELDS`` maps keys; what it does not know, and values that our types can't hold, travel in ``[platform]``:
-``values`` by JSON pointer (RFC 6901) as JSON texts, ``absent`` for keys that the file does without.
+``FIELDS`` and ``LISTS`` map the keys of both formats. Keys that they lack, and values that birchdrum's types
+can't represent, are kept in the table ``[platform]``: ``values`` maps JSON pointers (RFC 6901) to JSON texts,
+``absent`` lists the pointers of keys that the platform's file leaves out.
 """
 
 from __future__ import annotations
@@ -15,253 +16,261 @@
 Json = dict[str, Any]
 
 
-def _micro(value: Any) -> Any:
+def _duration_text(value: Any) -> Any:
     if isinstance(value, bool) or not isinstance(value, int | float) or value != int(value) or value < 0:
         raise ValueError
     return str(Duration.of(int(value)))
 
 
-def _memory(value: Any) -> Any:
+def _size_text(value: Any) -> Any:
     size = None if isinstance(value, bool) else of_megabytes(value)
     if size is None:
         raise ValueError
     return str(size)
 
 
-def _same(value: Any) -> Any:
+def _not_null(value: Any) -> Any:
     if value is None:
         raise ValueError
     return value
 
 
-To = Callable[[Any], Any]
-PLAIN: tuple[To, To] = (_same, _same)
-TIME: tuple[To, To] = (_micro, lambda text: Duration(text).base)
-MEMORY: tuple[To, To] = (_memory, lambda text: megabytes(Size(text)))
-
-CLASS = {
-    "name": ("name", PLAIN),
-    "effect": ("effect", PLAIN),
-    "group": ("group", PLAIN),
-    "aim": ("target", TIME),
-    "deadline": ("deadline", TIME),
-    "repeat_window": ("dedupWindow", TIME),
-    "worth": ("credit", PLAIN),
-    "late_worth": ("lateWorth", PLAIN),
+Conversion = Callable[[Any], Any]
+UNCHANGED: tuple[Conversion, Conversion] = (_not_null, _not_null)
+DURATION: tuple[Conversion, Conversion] = (_duration_text, lambda text: Duration(text).base)
+MEMORY: tuple[Conversion, Conversion] = (_size_text, lambda text: megabytes(Size(text)))
+
+CLASS_FIELDS = {
+    "name": ("name", UNCHANGED),
+    "effect": ("effect", UNCHANGED),
+    "group": ("group", UNCHANGED),
+    "aim": ("target", DURATION),
+    "deadline": ("deadline", DURATION),
+    "repeat_window": ("dedupWindow", DURATION),
+    "worth": ("credit", UNCHANGED),
+    "late_worth": ("lateWorth", UNCHANGED),
 }
-PLAN = {
-    "name": ("name", PLAIN),
-    "rate": ("perSecond", PLAIN),
-    "burst": ("peakUnits", PLAIN),
-    "open": ("open", PLAIN),
-    "price": ("pays", PLAIN),
-    "beyond_earns": ("beyondEarns", PLAIN),
-    "beyond_costs": ("overrunCost", PLAIN),
-    "ceiling_rate": ("hardRate", PLAIN),
-    "ceiling_burst": ("capDepth", PLAIN),
-    "ceiling_slack": ("capSlack", PLAIN),
+PLAN_FIELDS = {
+    "name": ("name", UNCHANGED),
+    "rate": ("perSecond", UNCHANGED),
+    "burst": ("peakUnits", UNCHANGED),
+    "open": ("open", UNCHANGED),
+    "price": ("pays", UNCHANGED),
+    "beyond_earns": ("beyondEarns", UNCHANGED),
+    "beyond_costs": ("overrunCost", UNCHANGED),
+    "ceiling_rate": ("hardRate", UNCHANGED),
+    "ceiling_burst": ("capDepth", UNCHANGED),
+    "ceiling_slack": ("capSlack", UNCHANGED),
 }
-HOST = {
-    "host": ("host", PLAIN),
-    "dial": ("dial", PLAIN),
-    "site": ("site", PLAIN),
-    "kind": ("class", PLAIN),
-    "block": ("block", PLAIN),
-    "health": ("health", PLAIN),
-    "share": ("share", PLAIN),
-    "born_ms": ("born_ms", PLAIN),
+HOST_FIELDS = {
+    "host": ("host", UNCHANGED),
+    "dial": ("dial", UNCHANGED),
+    "site": ("site", UNCHANGED),
+    "kind": ("class", UNCHANGED),
+    "block": ("block", UNCHANGED),
+    "health": ("health", UNCHANGED),
+    "share": ("share", UNCHANGED),
+    "born_ms": ("born_ms", UNCHANGED),
 }
-# Ours, the platform's, how its value turns to ours and back.
-FIELDS: dict[str, tuple[str, tuple[To, To]]] = {
-    "name": ("name", PLAIN),
-    "listen": ("listen", PLAIN),
-    "discovery": ("discovery", PLAIN),
-    "control": ("control", PLAIN),
-    "metrics": ("metrics", PLAIN),
-    "seed": ("seed", PLAIN),
-    "log.form": ("log/form", PLAIN),
-    "log.level": ("log/level", PLAIN),
-    "limits.cores": ("limits/cores", PLAIN),
+# Key -> (path in the platform's file, (conversion from the platform's value, conversion to it)).
+FIELDS: dict[str, tuple[str, tuple[Conversion, Conversion]]] = {
+    "name": ("name", UNCHANGED),
+    "listen": ("listen", UNCHANGED),
+    "discovery": ("discovery", UNCHANGED),
+    "control": ("control", UNCHANGED),
+    "metrics": ("metrics", UNCHANGED),
+    "seed": ("seed", UNCHANGED),
+    "log.form": ("log/form", UNCHANGED),
+    "log.level": ("log/level", UNCHANGED),
+    "limits.cores": ("limits/cores", UNCHANGED),
     "limits.memory": ("limits/memory_mb", MEMORY),
-    "limits.descriptors": ("limits/sockets", PLAIN),
-    "fleet.listen": ("peer_listen", PLAIN),
-    "fleet.peers": ("peers", PLAIN),
-    "fleet.everyone": ("peers_all", PLAIN),
-    "fleet.cluster": ("cluster", PLAIN),
-    "fleet.join": ("join", PLAIN),
-    "fleet.meet": ("meet", PLAIN),
-    "fleet.advertise": ("advertise", PLAIN),
-    "fleet.rank": ("settings/rank", PLAIN),
-    "fleet.gateways": ("settings/balancers", PLAIN),
-    "fleet.intake": ("settings/familyInfo/peerIntake", PLAIN),
-    "fleet.shared_counter": ("settings/familyInfo/sharedCounter", PLAIN),
-    "zones": ("settings/zones", PLAIN),
-    "hosts.connect_timeout": ("settings/permissions/connectTimeout", TIME),
-    "hosts.idle_close": ("settings/permissions/idleClose", TIME),
-    "hosts.reports": ("settings/loadReport/how", PLAIN),
-    "hosts.report_names": ("settings/loadReport/names", PLAIN),
-    "hosts.cold_from": ("settings/rules/coldFrom", PLAIN),
-    "hosts.warm_within": ("settings/rules/warmWithin", TIME),
-    "hosts.fall_multiple": ("settings/rules/fallMultiple", PLAIN),
-    "hosts.overload_for": ("settings/rules/overloadFor", TIME),
-    "hosts.drain_within": ("settings/rules/drainGrace", TIME),
-    "hosts.lists": ("settings/discovery", PLAIN),
-    "hosts.ask_within": ("settings/rules/askWithin", TIME),
-    "requests.attempts": ("settings/permissions/maxAttempts", PLAIN),
-    "requests.cancel": ("settings/permissions/cancel", PLAIN),
-    "requests.second_copies": ("settings/permissions/secondCopies", PLAIN),
-    "requests.probes": ("settings/permissions/probes", PLAIN),
-    "requests.gossip": ("settings/permissions/peers", PLAIN),
-    "requests.retry_after": ("settings/permissions/retryAfter", PLAIN),
-    "requests.retry_after_most": ("settings/permissions/maxRetryAfter", TIME),
-    "requests.units_most": ("settings/familyInfo/unitsTop", PLAIN),
-    "prices.cross_zone": ("settings/charges/crossZone", PLAIN),
-    "prices.peer": ("settings/charges/peer", PLAIN),
-    "prices.probe": ("settings/charges/probe", PLAIN),
-    "prices.waste": ("settings/charges/waste", PLAIN),
-    "known.version": ("known/seq", PLAIN),
-    "known.whole": ("known/whole", PLAIN),
+    "limits.descriptors": ("limits/sockets", UNCHANGED),
+    "fleet.listen": ("peer_listen", UNCHANGED),
+    "fleet.peers": ("peers", UNCHANGED),
+    "fleet.everyone": ("peers_all", UNCHANGED),
+    "fleet.cluster": ("cluster", UNCHANGED),
+    "fleet.join": ("join", UNCHANGED),
+    "fleet.meet": ("meet", UNCHANGED),
+    "fleet.advertise": ("advertise", UNCHANGED),
+    "fleet.rank": ("settings/rank", UNCHANGED),
+    "fleet.gateways": ("settings/balancers", UNCHANGED),
+    "fleet.intake": ("settings/familyInfo/peerIntake", UNCHANGED),
+    "fleet.shared_counter": ("settings/familyInfo/sharedCounter", UNCHANGED),
+    "zones": ("settings/zones", UNCHANGED),
+    "hosts.connect_timeout": ("settings/permissions/connectTimeout", DURATION),
+    "hosts.idle_close": ("settings/permissions/idleClose", DURATION),
+    "hosts.reports": ("settings/loadReport/how", UNCHANGED),
+    "hosts.report_names": ("settings/loadReport/names", UNCHANGED),
+    "hosts.cold_from": ("settings/rules/coldFrom", UNCHANGED),
+    "hosts.warm_within": ("settings/rules/warmWithin", DURATION),
+    "hosts.fall_multiple": ("settings/rules/fallMultiple", UNCHANGED),
+    "hosts.overload_for": ("settings/rules/overloadFor", DURATION),
+    "hosts.drain_within": ("settings/rules/drainGrace", DURATION),
+    "hosts.lists": ("settings/discovery", UNCHANGED),
+    "hosts.ask_within": ("settings/rules/askWithin", DURATION),
+    "requests.attempts": ("settings/permissions/maxAttempts", UNCHANGED),
+    "requests.cancel": ("settings/permissions/cancel", UNCHANGED),
+    "requests.second_copies": ("settings/permissions/secondCopies", UNCHANGED),
+    "requests.probes": ("settings/permissions/probes", UNCHANGED),
+    "requests.gossip": ("settings/permissions/peers", UNCHANGED),
+    "requests.retry_after": ("settings/permissions/retryAfter", UNCHANGED),
+    "requests.retry_after_most": ("settings/permissions/maxRetryAfter", DURATION),
+    "requests.units_most": ("settings/familyInfo/unitsTop", UNCHANGED),
+    "prices.cross_zone": ("settings/charges/crossZone", UNCHANGED),
+    "prices.peer": ("settings/charges/peer", UNCHANGED),
+    "prices.probe": ("settings/charges/probe", UNCHANGED),
+    "prices.waste": ("settings/charges/waste", UNCHANGED),
+    "known.version": ("known/seq", UNCHANGED),
+    "known.whole": ("known/whole", UNCHANGED),
 }
-ROWS = {
-    "classes": ("settings/classes", CLASS),
-    "plans": ("settings/packages", PLAN),
-    "known.hosts": ("known/hosts", HOST),
+LISTS = {
+    "classes": ("settings/classes", CLASS_FIELDS),
+    "plans": ("settings/packages", PLAN_FIELDS),
+    "known.hosts": ("known/hosts", HOST_FIELDS),
 }
-ZONE = "settings/locality"  # the place of ``zone`` among ``zones``
+ZONE_INDEX_PATH = "settings/locality"  # index of ``zone`` in ``zones``
 MISSING = object()
 
 
-def get(tree: Any, path: str, by: str) -> Any:
-    """What stands at a path, or MISSING."""
-    for word in path.split(by):
-        if not isinstance(tree, dict) or word not in tree:
+def get(node: Any, path: str, separator: str) -> Any:
+    """Returns the value at a path, or MISSING."""
+    for segment in path.split(separator):
+        if not isinstance(node, dict) or segment not in node:
             return MISSING
-        tree = tree[word]
-    return tree
+        node = node[segment]
+    return node
 
 
-def put(tree: Json, path: str, value: Any, by: str) -> None:
-    """Set it, with the tables above it."""
-    *above, last = path.split(by)
-    for word in above:
-        tree = tree.setdefault(word, {})
-    tree[last] = value
+def put(node: Json, path: str, value: Any, separator: str) -> None:
+    """Sets the value at a path and creates the tables above it."""
+    *parents, last = path.split(separator)
+    for segment in parents:
+        node = node.setdefault(segment, {})
+    node[last] = value
 
 
-def _row(row: Any, fields: dict[str, tuple[str, tuple[To, To]]], back: bool) -> Json:
-    done = {}
-    for ours, (theirs, kind) in fields.items():
-        source, to = (ours, theirs) if back else (theirs, ours)
+def _convert_row(
+    row: Any, fields: dict[str, tuple[str, tuple[Conversion, Conversion]]], reverse: bool
+) -> Json:
+    result = {}
+    for key, (platform_path, conversions) in fields.items():
+        source, target = (key, platform_path) if reverse else (platform_path, key)
         value = row.get(source, MISSING) if isinstance(row, dict) else MISSING
         if value is not MISSING:
             try:
-                done[to] = kind[back](value)
+                result[target] = conversions[reverse](value)
             except (ValueError, TypeError, OverflowError):
                 continue
-    return done
+    return result
 
 
-def to_platform(ours: Json) -> Json:
-    """Our values (all of a checked configuration, durations and sizes as texts) in the platform's form."""
-    done: Json = {}
-    for path, (theirs, kind) in FIELDS.items():
-        value = get(ours, path, ".")
+def to_platform(values: Json) -> Json:
+    """Converts a valid configuration, with durations and sizes as texts, to the platform's format."""
+    result: Json = {}
+    for path, (platform_path, conversions) in FIELDS.items():
+        value = get(values, path, ".")
         if value is not MISSING and value is not None:
-            put(done, theirs, kind[1](value), "/")
-    if done.get("log") == {"form": "text", "level": "info"}:
-        del done["log"]
-    for path, (theirs, fields) in ROWS.items():
-        rows = get(ours, path, ".")
+            put(result, platform_path, conversions[1](value), "/")
+    if result.get("log") == {"form": "text", "level": "info"}:
+        del result["log"]
+    for path, (platform_path, fields) in LISTS.items():
+        rows = get(values, path, ".")
         if rows is not MISSING:
-            put(done, theirs, [_row(row, fields, back=True) for row in rows], "/")
-    zones, zone, peers = ours.get("zones") or ["all"], ours.get("zone"), get(ours, "fleet.peers", ".")
-    put(done, ZONE, zones.index(zone) if zone in zones else 0, "/")
-    rank = get(ours, "fleet.rank", ".")
-    if peers and "peer_listen" not in done and isinstance(rank, int) and rank < len(peers):
-        done["peer_listen"] = peers[rank]
+            put(result, platform_path, [_convert_row(row, fields, reverse=True) for row in rows], "/")
+    zones, zone, peers = values.get("zones") or ["all"], values.get("zone"), get(values, "fleet.peers", ".")
+    put(result, ZONE_INDEX_PATH, zones.index(zone) if zone in zones else 0, "/")
+    rank = get(values, "fleet.rank", ".")
+    if peers and "peer_listen" not in result and isinstance(rank, int) and rank < len(peers):
+        result["peer_listen"] = peers[rank]
     for key in ("peers", "join"):
-        if not done.get(key):
-            done.pop(key, None)
-    extra = ours.get("platform") or {}
-    for pointer, text in extra.get("values", {}).items():
-        _set(done, _words(pointer), json.loads(text))
-    for pointer in extra.get("absent", []):
-        _drop(done, _words(pointer))
-    return done
-
-
-def from_platform(theirs: Json) -> Json:
-    """The platform's file in our form, without ``[platform]``: see ``keep_rest``."""
-    done: Json = {}
-    for path, (at, kind) in FIELDS.items():
-        value = get(theirs, at, "/")
+        if not result.get(key):
+            result.pop(key, None)
+    extras = values.get("platform") or {}
+    for pointer, text in extras.get("values", {}).items():
+        _set_at(result, _pointer_segments(pointer), json.loads(text))
+    for pointer in extras.get("absent", []):
+        _remove_at(result, _pointer_segments(pointer))
+    return result
+
+
+def from_platform(platform_values: Json) -> Json:
+    """Converts the platform's file to birchdrum's format, without the ``[platform]`` table.
+
+    ``platform_extras`` computes that table.
+    """
+    result: Json = {}
+    for path, (platform_path, conversions) in FIELDS.items():
+        value = get(platform_values, platform_path, "/")
         if value is not MISSING:
             try:
-                put(done, path, kind[0](value), ".")
+                put(result, path, conversions[0](value), ".")
             except (ValueError, TypeError, OverflowError):
                 continue
-    for path, (at, fields) in ROWS.items():
-        rows = get(theirs, at, "/")
+    for path, (platform_path, fields) in LISTS.items():
+        rows = get(platform_values, platform_path, "/")
         if isinstance(rows, list):
-            put(done, path, [_row(row, fields, back=False) for row in rows], ".")
-    zones, place = done.get("zones"), get(theirs, ZONE, "/")
-    if isinstance(zones, list) and isinstance(place, int) and 0 <= place < len(zones):
-        done["zone"] = zones[place]
-    return done
+            put(result, path, [_convert_row(row, fields, reverse=False) for row in rows], ".")
+    zones, index = result.get("zones"), get(platform_values, ZONE_INDEX_PATH, "/")
+    if isinstance(zones, list) and isinstance(index, int) and 0 <= index < len(zones):
+        result["zone"] = zones[index]
+    return result
 
 
-def platform_extras(theirs: Json, again: Json) -> Json:
-    """What ``[platform]`` has to say so that ``again``, our way back, is the platform's file to the value."""
+def platform_extras(platform_values: Json, round_trip: Json) -> Json:
+    """Computes the ``[platform]`` table that makes the round trip exact.
+
+    ``round_trip`` is the platform's file converted to birchdrum's format and back.
+    """
     values: dict[str, str] = {}
     absent: list[str] = []
-    for pointer, value in _differences(theirs, again, ""):
+    for pointer, value in _differences(platform_values, round_trip, ""):
         if value is MISSING:
             absent.append(pointer)
         else:
             values[pointer] = json.dumps(value)
-    done: Json = {}
+    result: Json = {}
     if values:
-        done["values"] = values
+        result["values"] = values
     if absent:
-        done["absent"] = absent
-    return done
-
-
-def _differences(theirs: Any, again: Any, at: str) -> Iterator[tuple[str, Any]]:
-    """JSON pointers of what is another value or is not there; MISSING where it must go."""
-    if isinstance(theirs, dict) and isinstance(again, dict):
-        for key in [*theirs, *(key for key in again if key not in theirs)]:
-            pointer = f"{at}/{key.replace('~', '~0').replace('/', '~1')}"
-            if key not in again:
-                yield pointer, theirs[key]
-            elif key not in theirs:
+        result["absent"] = absent
+    return result
+
+
+def _differences(wanted: Any, converted: Any, parent_pointer: str) -> Iterator[tuple[str, Any]]:
+    """Yields JSON pointers of differing or missing values, and MISSING for keys that must be removed."""
+    if isinstance(wanted, dict) and isinstance(converted, dict):
+        for key in [*wanted, *(key for key in converted if key not in wanted)]:
+            pointer = f"{parent_pointer}/{key.replace('~', '~0').replace('/', '~1')}"
+            if key not in converted:
+                yield pointer, wanted[key]
+            elif key not in wanted:
                 yield pointer, MISSING
             else:
-                yield from _differences(theirs[key], again[key], pointer)
-    elif isinstance(theirs, list) and isinstance(again, list) and len(theirs) == len(again):
-        for i, (one, other) in enumerate(zip(theirs, again, strict=True)):
-            yield from _differences(one, other, f"{at}/{i}")
-    elif theirs != again or isinstance(theirs, bool) != isinstance(again, bool):
-        yield at, theirs
+                yield from _differences(wanted[key], converted[key], pointer)
+    elif isinstance(wanted, list) and isinstance(converted, list) and len(wanted) == len(converted):
+        for index, (wanted_item, converted_item) in enumerate(zip(wanted, converted, strict=True)):
+            yield from _differences(wanted_item, converted_item, f"{parent_pointer}/{index}")
+    elif wanted != converted or isinstance(wanted, bool) != isinstance(converted, bool):
+        yield parent_pointer, wanted
 
 
-def _words(pointer: str) -> list[str]:
-    return [word.replace("~1", "/").replace("~0", "~") for word in pointer.split("/")[1:]]
+def _pointer_segments(pointer: str) -> list[str]:
+    return [segment.replace("~1", "/").replace("~0", "~") for segment in pointer.split("/")[1:]]
 
 
-def _place(tree: Any, word: str) -> Any:
-    return int(word) if isinstance(tree, list) else word
+def _key_or_index(node: Any, segment: str) -> Any:
+    return int(segment) if isinstance(node, list) else segment
 
 
-def _set(tree: Any, words: list[str], value: Any) -> None:
-    for word in words[:-1]:
-        place = _place(tree, word)
-        tree = tree.setdefault(place, {}) if isinstance(tree, dict) else tree[place]
-    tree[_place(tree, words[-1])] = value
+def _set_at(node: Any, segments: list[str], value: Any) -> None:
+    for segment in segments[:-1]:
+        index = _key_or_index(node, segment)
+        node = node.setdefault(index, {}) if isinstance(node, dict) else node[index]
+    node[_key_or_index(node, segments[-1])] = value
 
 
-def _drop(tree: Any, words: list[str]) -> None:
-    for word in words[:-1]:
-        tree = tree[_place(tree, word)]
-    if isinstance(tree, dict):
-        tree.pop(words[-1], None)
+def _remove_at(node: Any, segments: list[str]) -> None:
+    for segment in segments[:-1]:
+        node = node[_key_or_index(node, segment)]
+    if isinstance(node, dict):
+        node.pop(segments[-1], None)
