--- a/birchdrum/model.py
+++ b/birchdrum/model.py
@@ -1,6 +1,7 @@
-"""A gateway's configuration as a person writes it: every key with its type, unit, range and default.
+"""The schema of a gateway's configuration file: the type, unit, range and default of each key.
 
-What a key means to the decisions stands in the platform's pages, by its name in ``convert.py``.
+``convert.py`` gives the name of each key in the platform's file, under which the platform's pages describe
+its effect on decisions.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Log(Strict):
-    """What is written to standard error. Takes effect with SIGHUP."""
+    """Logging to standard error. A change takes effect on SIGHUP."""
 
     form: Annotated[Literal["text", "json"], Meta(description='"text" (logfmt) or "json"')] = "text"
     level: Annotated[
@@ -30,7 +31,7 @@
 
 
 class Limits(Strict):
-    """What the process may take up."""
+    """Resource limits of the process."""
 
     memory: Size = usual(Size("64MiB"))
     descriptors: Many = 256
@@ -38,7 +39,7 @@
 
 
 class Fleet(Strict):
-    """All gateways that keep the quotas together."""
+    """The group of gateways that enforce the quotas together, and this gateway's place in it."""
 
     rank: Count = 0
     gateways: Many = 1
@@ -54,7 +55,7 @@
 
 
 class Hosts(Strict):
-    """What holds for all hosts."""
+    """Settings that apply to all hosts."""
 
     connect_timeout: Duration = usual(Duration("250ms"))
     idle_close: Duration = usual(Duration("15s"))
@@ -72,7 +73,7 @@
 
 
 class Requests(Strict):
-    """What may be done for a request."""
+    """What the gateway may do to serve a request."""
 
     attempts: Many = 4
     cancel: bool = True
@@ -85,7 +86,7 @@
 
 
 class Prices(Strict):
-    """What the decisions weigh: parts of a request's worth."""
+    """Costs that decisions take into account, as fractions of a request's worth."""
 
     cross_zone: Amount = 0.0
     peer: Amount = 0.0
@@ -109,7 +110,7 @@
 
 
 class Plan(Strict):
-    """Quotas of each customer of a plan, over all gateways together."""
+    """The quota of each customer on this plan, over all gateways together."""
 
     name: Name
     rate: Amount
@@ -124,7 +125,7 @@
 
 
 class KnownHost(Strict):
-    """A host as discovery's list named it."""
+    """A host as listed by discovery."""
 
     host: str
     dial: Address
@@ -137,7 +138,7 @@
 
 
 class Known(Strict):
-    """The list of hosts as it was last known; discovery's replaces it."""
+    """The last known list of hosts, in use until discovery delivers a newer one."""
 
     version: Count = 0
     whole: bool = True
@@ -145,14 +146,14 @@
 
 
 class Platform(Strict):
-    """What the platform's own file says besides, by JSON pointer; ``convert`` keeps it here."""
+    """Values of the platform's file that the other tables can't express, by JSON pointer; see ``convert``."""
 
     values: dict[str, str] = field(default_factory=dict)
     absent: list[str] = field(default_factory=list)
 
 
 class Config(Strict):
-    """One gateway."""
+    """The configuration of one gateway."""
 
     listen: Address
     discovery: Address
