--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -1,4 +1,4 @@
-"""What a gateway's configuration may not say: its types, and the relations between its values."""
+"""Validates a gateway's configuration: the type of each value, and the constraints between values."""
 
 from __future__ import annotations
 
@@ -11,85 +11,107 @@
 
 from .model import Config
 
-DESCRIPTORS_LEAST = 96  # 48 for the process itself, a third for clients, and some for hosts
-MEMORY_LEAST = units.Size("32MiB")  # what a gateway takes at rest, and a little for requests
+MIN_DESCRIPTORS = 96  # 48 for the process itself, a third of the limit for clients, the rest for hosts
+MIN_MEMORY = units.Size("32MiB")  # an idle gateway's memory, and a little for requests
 
 
 def check(raw: dict[str, Any]) -> tuple[Config | None, list[Mistake]]:
-    """The typed configuration, or all that is wrong with it."""
+    """Returns the typed configuration and no mistakes, or None and all mistakes."""
     config, mistakes = typed(raw, Config)
     if config is None:
         return None, mistakes
-    mistakes = list(relations(config))
+    mistakes = list(check_relations(config))
     return (None if mistakes else config), mistakes
 
 
-def relations(config: Config) -> Iterator[Mistake]:
-    """What each value may not be next to the others."""
+def check_relations(config: Config) -> Iterator[Mistake]:
+    """Yields a mistake for each value that conflicts with another one or is out of range."""
     fleet, limits = config.fleet, config.limits
     if fleet.rank >= fleet.gateways:
         yield Mistake("fleet.rank", str(fleet.rank), f"expected below fleet.gateways, {fleet.gateways}")
-    finds = bool(fleet.join or fleet.meet)  # members learn where the others are
-    if config.requests.gossip and fleet.gateways > 1 and not finds and len(fleet.peers) != fleet.gateways:
-        wanted = f"expected one address a gateway, its own included: {fleet.gateways}"
-        yield Mistake("fleet.peers", f"{len(fleet.peers)} addresses", wanted)
-    if fleet.cluster is not None and not (config.requests.gossip and (fleet.peers or finds)):
-        wanted = "membership needs requests.gossip and fleet.peers, join or meet: add them, or leave it out"
-        yield Mistake("fleet.cluster", f'"{fleet.cluster}"', wanted)
-    if finds and fleet.peers:
-        wanted = "expected none: fleet.join and fleet.meet learn what fleet.peers fixes, choose one"
-        yield Mistake("fleet.peers", f"{len(fleet.peers)} addresses", wanted)
-    if finds and (fleet.cluster is None or fleet.listen is None):
-        wanted = (
-            "fleet.join and fleet.meet need fleet.cluster and fleet.listen, where others reach this gateway"
+    discovers_members = bool(fleet.join or fleet.meet)  # membership learns the other addresses
+    if (
+        config.requests.gossip
+        and fleet.gateways > 1
+        and not discovers_members
+        and len(fleet.peers) != fleet.gateways
+    ):
+        expected = f"expected one address for each gateway, including its own: {fleet.gateways}"
+        yield Mistake("fleet.peers", f"{len(fleet.peers)} addresses", expected)
+    if fleet.cluster is not None and not (config.requests.gossip and (fleet.peers or discovers_members)):
+        expected = (
+            "membership needs requests.gossip and fleet.peers, join or meet: add them, or remove this key"
         )
-        yield Mistake("fleet.join" if fleet.join else "fleet.meet", "set", wanted)
-    if finds and fleet.listen and not fleet.advertise and str(fleet.listen).startswith("0.0.0.0:"):
-        wanted = "an address that others can reach is needed: set fleet.advertise"
-        yield Mistake("fleet.listen", f'"{fleet.listen}"', wanted)
+        yield Mistake("fleet.cluster", f'"{fleet.cluster}"', expected)
+    if discovers_members and fleet.peers:
+        expected = (
+            "expected none: fleet.join and fleet.meet discover the peers, remove either these or fleet.peers"
+        )
+        yield Mistake("fleet.peers", f"{len(fleet.peers)} addresses", expected)
+    if discovers_members and (fleet.cluster is None or fleet.listen is None):
+        expected = (
+            "fleet.join and fleet.meet need fleet.cluster and a fleet.listen that other gateways can reach"
+        )
+        yield Mistake("fleet.join" if fleet.join else "fleet.meet", "set", expected)
+    if (
+        discovers_members
+        and fleet.listen
+        and not fleet.advertise
+        and str(fleet.listen).startswith("0.0.0.0:")
+    ):
+        expected = "expected an address that other gateways can reach: set fleet.advertise"
+        yield Mistake("fleet.listen", f'"{fleet.listen}"', expected)
     if config.zone is not None and config.zone not in config.zones:
         yield Mistake("zone", f'"{config.zone}"', f"expected one of zones: {', '.join(config.zones)}")
-    if limits.descriptors < DESCRIPTORS_LEAST:
-        wanted = f"too few, expected {DESCRIPTORS_LEAST} at least: 48 of the process, a third for clients"
-        yield Mistake("limits.descriptors", str(limits.descriptors), wanted)
-    if limits.memory.base < MEMORY_LEAST.base:
-        yield Mistake("limits.memory", f'"{limits.memory}"', f"too little, expected {MEMORY_LEAST} at least")
-    for i, plan in enumerate(config.plans):
+    if limits.descriptors < MIN_DESCRIPTORS:
+        expected = (
+            f"too few, expected at least {MIN_DESCRIPTORS}: 48 for the process, a third of all for clients"
+        )
+        yield Mistake("limits.descriptors", str(limits.descriptors), expected)
+    if limits.memory.base < MIN_MEMORY.base:
+        yield Mistake("limits.memory", f'"{limits.memory}"', f"too little, expected at least {MIN_MEMORY}")
+    for index, plan in enumerate(config.plans):
         if 0 < plan.ceiling_rate < plan.rate:
-            wanted = f"a ceiling below its quota: expected {plan.rate:g} at least, or 0 for none"
-            yield Mistake(f"plans[{i}].ceiling_rate", f"{plan.ceiling_rate:g}", wanted)
+            expected = f"the ceiling is below the quota: expected at least {plan.rate:g}, or 0 for no ceiling"
+            yield Mistake(f"plans[{index}].ceiling_rate", f"{plan.ceiling_rate:g}", expected)
         if plan.ceiling_rate and not plan.ceiling_burst:
-            yield Mistake(f"plans[{i}].ceiling_burst", "0", "expected above 0 where there is a ceiling")
+            yield Mistake(f"plans[{index}].ceiling_burst", "0", "expected above 0 if the plan has a ceiling")
         if plan.rate and not plan.burst:
-            yield Mistake(f"plans[{i}].burst", "0", "expected above 0: nothing would pass")
-    for i, kind in enumerate(config.classes):
-        if kind.aim.base > kind.deadline.base:
-            wanted = f"expected at most its deadline, {kind.deadline}"
-            yield Mistake(f"classes[{i}].aim", f'"{kind.aim}"', wanted)
-        if not kind.deadline.base:
-            yield Mistake(f"classes[{i}].deadline", f'"{kind.deadline}"', "expected above 0")
-        if kind.effect == "by_key" and not kind.repeat_window.base:
-            wanted = 'expected above 0 for effect = "by_key": how long hosts discard repeats'
-            yield Mistake(f"classes[{i}].repeat_window", f'"{kind.repeat_window}"', wanted)
+            yield Mistake(
+                f"plans[{index}].burst", "0", "expected above 0: a burst of 0 refuses every request"
+            )
+    for index, request_class in enumerate(config.classes):
+        if request_class.aim.base > request_class.deadline.base:
+            expected = f"expected at most the deadline of the class, {request_class.deadline}"
+            yield Mistake(f"classes[{index}].aim", f'"{request_class.aim}"', expected)
+        if not request_class.deadline.base:
+            yield Mistake(f"classes[{index}].deadline", f'"{request_class.deadline}"', "expected above 0")
+        if request_class.effect == "by_key" and not request_class.repeat_window.base:
+            expected = 'expected above 0 for effect = "by_key": how long hosts discard repeated requests'
+            yield Mistake(f"classes[{index}].repeat_window", f'"{request_class.repeat_window}"', expected)
     if not config.classes:
-        yield Mistake("classes", "[]", "expected one class at least")
+        yield Mistake("classes", "[]", "expected at least one class")
     if not config.plans:
-        yield Mistake("plans", "[]", "expected one plan at least")
+        yield Mistake("plans", "[]", "expected at least one plan")
     if not config.zones:
-        yield Mistake("zones", "[]", "expected one zone at least")
+        yield Mistake("zones", "[]", "expected at least one zone")
     names = {
-        "classes": [kind.name for kind in config.classes],
+        "classes": [request_class.name for request_class in config.classes],
         "plans": [plan.name for plan in config.plans],
         "zones": config.zones,
         "fleet.peers": [str(peer) for peer in fleet.peers],
     }
     for key, values in names.items():
-        for name in [name for name, times in Counter(values).items() if times > 1]:
-            yield Mistake(key, f'"{name}"', "stands twice, expected once")
-    own = {"listen": config.listen, "control": config.control, "metrics": config.metrics}
-    taken: dict[str, str] = {}
-    for key, address in own.items():
+        for name in [name for name, occurrences in Counter(values).items() if occurrences > 1]:
+            yield Mistake(key, f'"{name}"', "is listed more than once")
+    listen_addresses = {"listen": config.listen, "control": config.control, "metrics": config.metrics}
+    used_addresses: dict[str, str] = {}
+    for key, address in listen_addresses.items():
         if address is not None:
-            if str(address) in taken:
-                yield Mistake(key, f'"{address}"', f"expected another address than {taken[str(address)]}")
-            taken[str(address)] = key
+            if str(address) in used_addresses:
+                yield Mistake(
+                    key,
+                    f'"{address}"',
+                    f"expected an address other than that of {used_addresses[str(address)]}",
+                )
+            used_addresses[str(address)] = key
