--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -26,7 +26,18 @@
 
 def check_relations(config: Config) -> Iterator[Mistake]:
     """Yields a mistake for each value that conflicts with another one or is out of range."""
-    fleet, limits = config.fleet, config.limits
+    yield from _check_fleet(config)
+    yield from _check_zone(config)
+    yield from _check_limits(config)
+    yield from _check_plans(config)
+    yield from _check_classes(config)
+    yield from _check_not_empty(config)
+    yield from _check_unique_names(config)
+    yield from _check_listen_addresses(config)
+
+
+def _check_fleet(config: Config) -> Iterator[Mistake]:
+    fleet = config.fleet
     if fleet.rank >= fleet.gateways:
         yield Mistake("fleet.rank", str(fleet.rank), f"expected below fleet.gateways, {fleet.gateways}")
     discovers_members = bool(fleet.join or fleet.meet)  # membership learns the other addresses
@@ -61,8 +72,15 @@
     ):
         expected = "expected an address that other gateways can reach: set fleet.advertise"
         yield Mistake("fleet.listen", f'"{fleet.listen}"', expected)
+
+
+def _check_zone(config: Config) -> Iterator[Mistake]:
     if config.zone is not None and config.zone not in config.zones:
         yield Mistake("zone", f'"{config.zone}"', f"expected one of zones: {', '.join(config.zones)}")
+
+
+def _check_limits(config: Config) -> Iterator[Mistake]:
+    limits = config.limits
     if limits.descriptors < MIN_DESCRIPTORS:
         expected = (
             f"too few, expected at least {MIN_DESCRIPTORS}: 48 for the process, a third of all for clients"
@@ -70,6 +88,9 @@
         yield Mistake("limits.descriptors", str(limits.descriptors), expected)
     if limits.memory.base < MIN_MEMORY.base:
         yield Mistake("limits.memory", f'"{limits.memory}"', f"too little, expected at least {MIN_MEMORY}")
+
+
+def _check_plans(config: Config) -> Iterator[Mistake]:
     for index, plan in enumerate(config.plans):
         if 0 < plan.ceiling_rate < plan.rate:
             expected = f"the ceiling is below the quota: expected at least {plan.rate:g}, or 0 for no ceiling"
@@ -80,6 +101,9 @@
             yield Mistake(
                 f"plans[{index}].burst", "0", "expected above 0: a burst of 0 refuses every request"
             )
+
+
+def _check_classes(config: Config) -> Iterator[Mistake]:
     for index, request_class in enumerate(config.classes):
         if request_class.aim.base > request_class.deadline.base:
             expected = f"expected at most the deadline of the class, {request_class.deadline}"
@@ -89,21 +113,30 @@
         if request_class.effect == "by_key" and not request_class.repeat_window.base:
             expected = 'expected above 0 for effect = "by_key": how long hosts discard repeated requests'
             yield Mistake(f"classes[{index}].repeat_window", f'"{request_class.repeat_window}"', expected)
+
+
+def _check_not_empty(config: Config) -> Iterator[Mistake]:
     if not config.classes:
         yield Mistake("classes", "[]", "expected at least one class")
     if not config.plans:
         yield Mistake("plans", "[]", "expected at least one plan")
     if not config.zones:
         yield Mistake("zones", "[]", "expected at least one zone")
+
+
+def _check_unique_names(config: Config) -> Iterator[Mistake]:
     names = {
         "classes": [request_class.name for request_class in config.classes],
         "plans": [plan.name for plan in config.plans],
         "zones": config.zones,
-        "fleet.peers": [str(peer) for peer in fleet.peers],
+        "fleet.peers": [str(peer) for peer in config.fleet.peers],
     }
     for key, values in names.items():
         for name in [name for name, occurrences in Counter(values).items() if occurrences > 1]:
             yield Mistake(key, f'"{name}"', "is listed more than once")
+
+
+def _check_listen_addresses(config: Config) -> Iterator[Mistake]:
     listen_addresses = {"listen": config.listen, "control": config.control, "metrics": config.metrics}
     used_addresses: dict[str, str] = {}
     for key, address in listen_addresses.items():
