--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -1,7 +1,8 @@
-"""For each key of the configuration: may old and new hold side by side while a change spreads over the fleet?
+"""States for each configuration key whether gateways may use its old and new values at the same time.
 
-The three rules are those of ``registry/agreement.py``. Keys that are each gateway's own have none: nobody
-else decides by them. A key of ``model.py`` that stands in neither table doesn't build.
+This matters while a change rolls out over the fleet. The three rules are defined in
+``registry/agreement.py``. Keys that are local to a gateway have no rule. Importing this module fails if a
+key of ``model.py`` is neither shared nor local.
 """
 
 from __future__ import annotations
@@ -19,62 +20,71 @@
 
 from .model import Config
 
-# A row of a list is named by its own name: ``plans.*.rate``. The text says why.
+# Key -> (rule, reason). ``*`` stands for the name of a list element, as in ``plans.*.rate``.
 SHARED_KEYS: dict[str, tuple[str, str]] = {
-    "classes": (WITHIN, "who does not know a class yet answers that it is unknown"),
+    "classes": (WITHIN, "a gateway without the new class refuses its requests as unknown"),
     "classes.*.effect": (
         NEVER,
-        "what one may repeat another may not: a request that may have run is sent again",
+        "gateways would disagree on whether a request is safe to retry, and could run it twice",
     ),
-    "classes.*.group": (NEVER, "hosts outside the group don't drop what one of them sends again"),
-    "classes.*.repeat_window": (NEVER, "a repeat after the shorter window runs twice"),
-    "classes.*.deadline": (TOGETHER, "each request has the time that its gateway gave it"),
-    "classes.*.aim": (TOGETHER, "weighs alone"),
-    "classes.*.worth": (TOGETHER, "weighs alone"),
-    "classes.*.late_worth": (TOGETHER, "weighs alone"),
-    "plans": (WITHIN, "who does not know a plan yet answers that it is unknown"),
-    "plans.*.rate": (WITHIN, "limits are refilled by the old rate at some and by the new at others"),
-    "plans.*.burst": (WITHIN, "as the rate"),
-    "plans.*.open": (WITHIN, "as the rate"),
-    "plans.*.price": (TOGETHER, "weighs alone"),
-    "plans.*.beyond_earns": (TOGETHER, "weighs alone"),
-    "plans.*.beyond_costs": (TOGETHER, "weighs alone"),
+    "classes.*.group": (
+        NEVER,
+        "a retry may reach a host outside the old group, which does not discard it as a repeat",
+    ),
+    "classes.*.repeat_window": (NEVER, "a repeat after the shorter window runs a second time"),
+    "classes.*.deadline": (TOGETHER, "each gateway applies its own deadline to a request"),
+    "classes.*.aim": (TOGETHER, "only affects the gateway's own decisions"),
+    "classes.*.worth": (TOGETHER, "only affects the gateway's own decisions"),
+    "classes.*.late_worth": (TOGETHER, "only affects the gateway's own decisions"),
+    "plans": (WITHIN, "a gateway without the new plan refuses its requests as unknown"),
+    "plans.*.rate": (WITHIN, "some gateways refill limits at the old rate, others at the new one"),
+    "plans.*.burst": (WITHIN, "same as the rate"),
+    "plans.*.open": (WITHIN, "same as the rate"),
+    "plans.*.price": (TOGETHER, "only affects the gateway's own decisions"),
+    "plans.*.beyond_earns": (TOGETHER, "only affects the gateway's own decisions"),
+    "plans.*.beyond_costs": (TOGETHER, "only affects the gateway's own decisions"),
     "plans.*.ceiling_rate": (
         NEVER,
-        "rights given under the old ceiling and under the new add up beyond both",
+        "grants under the old and the new ceiling can add up to more than either",
+    ),
+    "plans.*.ceiling_burst": (NEVER, "same as the ceiling's rate"),
+    "plans.*.ceiling_slack": (NEVER, "same as the ceiling's rate"),
+    "zones": (NEVER, "gateways identify a zone by its index in the list"),
+    "fleet.gateways": (
+        NEVER,
+        "counters and their owners are assigned by rank, which must mean the same everywhere",
+    ),
+    "fleet.cluster": (NEVER, "gateways with different cluster names ignore each other's messages"),
+    "fleet.intake": (TOGETHER, "each gateway applies its own limit"),
+    "fleet.shared_counter": (WITHIN, "some gateways use the shared counter, others gossip"),
+    "hosts.connect_timeout": (TOGETHER, "each connection has its own setting"),
+    "hosts.idle_close": (TOGETHER, "each connection has its own setting"),
+    "hosts.reports": (TOGETHER, "only affects the gateway's own decisions"),
+    "hosts.report_names": (TOGETHER, "only affects the gateway's own decisions"),
+    "hosts.cold_from": (WITHIN, "the load on a cold host is the sum of what all gateways send"),
+    "hosts.warm_within": (WITHIN, "the load on a cold host is the sum of what all gateways send"),
+    "hosts.fall_multiple": (WITHIN, "the load on a cold host is the sum of what all gateways send"),
+    "hosts.overload_for": (WITHIN, "the load on a cold host is the sum of what all gateways send"),
+    "hosts.drain_within": (
+        WITHIN,
+        "gateways with the longer time still send new requests to a draining host",
     ),
-    "plans.*.ceiling_burst": (NEVER, "as the ceiling's rate"),
-    "plans.*.ceiling_slack": (NEVER, "as the ceiling's rate"),
-    "zones": (NEVER, "zones are told apart by their place in the list"),
-    "fleet.gateways": (NEVER, "counts and keepers go by rank: a rank has one meaning"),
-    "fleet.cluster": (NEVER, "gateways of two names don't hear each other"),
-    "fleet.intake": (TOGETHER, "each keeps to what it knows"),
-    "fleet.shared_counter": (WITHIN, "some ask the counter, others each other"),
-    "hosts.connect_timeout": (TOGETHER, "each connection has its own"),
-    "hosts.idle_close": (TOGETHER, "each connection has its own"),
-    "hosts.reports": (TOGETHER, "weighs alone"),
-    "hosts.report_names": (TOGETHER, "weighs alone"),
-    "hosts.cold_from": (WITHIN, "the sum of all gateways at a cold host"),
-    "hosts.warm_within": (WITHIN, "the sum of all gateways at a cold host"),
-    "hosts.fall_multiple": (WITHIN, "the sum of all gateways at a cold host"),
-    "hosts.overload_for": (WITHIN, "the sum of all gateways at a cold host"),
-    "hosts.drain_within": (WITHIN, "a draining host gets something new from who has the longer one"),
-    "hosts.lists": (TOGETHER, "how each asks for its list"),
-    "hosts.ask_within": (TOGETHER, "how each asks for its list"),
-    "requests.attempts": (TOGETHER, "each request has its own"),
-    "requests.cancel": (TOGETHER, "each request has its own"),
-    "requests.second_copies": (TOGETHER, "each request has its own"),
-    "requests.probes": (WITHIN, "hosts are probed by some after it was forbidden"),
-    "requests.gossip": (WITHIN, "who tells nobody keeps quotas for itself"),
-    "requests.retry_after": (TOGETHER, "each answer has its own"),
-    "requests.retry_after_most": (TOGETHER, "each answer has its own"),
-    "requests.units_most": (WITHIN, "some refuse what others take"),
-    "prices.cross_zone": (TOGETHER, "weighs alone"),
-    "prices.peer": (TOGETHER, "weighs alone"),
-    "prices.probe": (TOGETHER, "weighs alone"),
-    "prices.waste": (TOGETHER, "weighs alone"),
+    "hosts.lists": (TOGETHER, "each gateway requests its own list"),
+    "hosts.ask_within": (TOGETHER, "each gateway requests its own list"),
+    "requests.attempts": (TOGETHER, "each request has its own setting"),
+    "requests.cancel": (TOGETHER, "each request has its own setting"),
+    "requests.second_copies": (TOGETHER, "each request has its own setting"),
+    "requests.probes": (WITHIN, "some gateways still probe hosts after probes were disabled"),
+    "requests.gossip": (WITHIN, "a gateway without gossip enforces quotas on its own"),
+    "requests.retry_after": (TOGETHER, "each response has its own setting"),
+    "requests.retry_after_most": (TOGETHER, "each response has its own setting"),
+    "requests.units_most": (WITHIN, "some gateways refuse requests that others accept"),
+    "prices.cross_zone": (TOGETHER, "only affects the gateway's own decisions"),
+    "prices.peer": (TOGETHER, "only affects the gateway's own decisions"),
+    "prices.probe": (TOGETHER, "only affects the gateway's own decisions"),
+    "prices.waste": (TOGETHER, "only affects the gateway's own decisions"),
 }
-OWN = frozenset(
+LOCAL_KEYS = frozenset(
     [
         "name",
         "listen",
@@ -96,13 +106,13 @@
         "fleet.advertise",
     ]
 )
-NAMED = ("classes", "plans")  # lists whose rows have names
-PLACED = {"plans": (NEVER, "gateways name a plan to each other by its place in the list")}
+KEYED_LISTS = ("classes", "plans")  # lists whose elements are identified by name
+ORDERED_LISTS = {"plans": (NEVER, "messages between gateways identify a plan by its index in the list")}
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One key that differs; None: it is not there."""
+    """A key whose value differs between two configurations; a value of None means that it is absent."""
 
     path: str
     rule: str
@@ -114,88 +124,92 @@
         if self.was is None or self.becomes is None:
             what = "comes in" if self.was is None else "goes"
             return f"{self.path} {what}: {self.rule}, {self.why}"
-        return f"{self.path}: {_text(self.was)} -> {_text(self.becomes)}: {self.rule}, {self.why}"
+        return f"{self.path}: {_json_text(self.was)} -> {_json_text(self.becomes)}: {self.rule}, {self.why}"
 
 
-def _text(value: Any) -> str:
+def _json_text(value: Any) -> str:
     return msgspec.json.encode(value).decode()
 
 
-def _table(kind: Any) -> type[msgspec.Struct] | None:
-    """The type of a table within a field's type, a list's rows as well."""
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return kind
-    if typing.get_origin(kind) is typing.Annotated or typing.get_origin(kind) in (list, types.UnionType):
-        return next(filter(None, map(_table, typing.get_args(kind))), None)
+def _struct_type(field_type: Any) -> type[msgspec.Struct] | None:
+    """Returns the struct type in a field's type, also where it is optional or the element of a list."""
+    if isinstance(field_type, type) and issubclass(field_type, msgspec.Struct):
+        return field_type
+    if typing.get_origin(field_type) is typing.Annotated or typing.get_origin(field_type) in (
+        list,
+        types.UnionType,
+    ):
+        return next(filter(None, map(_struct_type, typing.get_args(field_type))), None)
     return None
 
 
-def keys(kind: type[msgspec.Struct] = Config, at: str = "") -> Iterator[str]:
-    """All that a rule is wanted for: no key that is each gateway's own, nor what identifies a row."""
-    for name, hint in typing.get_type_hints(kind, include_extras=True).items():
-        path = at + name
-        table = _table(hint)
-        if path in OWN or path.endswith("*.name"):
+def shared_keys(struct_type: type[msgspec.Struct] = Config, prefix: str = "") -> Iterator[str]:
+    """Yields the keys that need a rule: all but local keys and the names of list elements."""
+    for name, hint in typing.get_type_hints(struct_type, include_extras=True).items():
+        path = prefix + name
+        nested_type = _struct_type(hint)
+        if path in LOCAL_KEYS or path.endswith("*.name"):
             continue
-        if table is None:
+        if nested_type is None:
             yield path
-        elif path in NAMED:
+        elif path in KEYED_LISTS:
             yield path
-            yield from keys(table, f"{path}.*.")
+            yield from shared_keys(nested_type, f"{path}.*.")
         else:
-            yield from keys(table, f"{path}.")
+            yield from shared_keys(nested_type, f"{path}.")
 
 
-def unmatched_keys(kind: type[msgspec.Struct] = Config) -> list[str]:
-    """Keys without a rule, and rules without a key."""
-    return sorted(set(keys(kind)) ^ SHARED_KEYS.keys())
+def unmatched_keys(struct_type: type[msgspec.Struct] = Config) -> list[str]:
+    """Returns keys without a rule and rules without a key."""
+    return sorted(set(shared_keys(struct_type)) ^ SHARED_KEYS.keys())
 
 
-if odd := unmatched_keys():
+if unmatched := unmatched_keys():
     raise TypeError(
-        f"birchdrum/contradiction.py: keys without a rule, or rules without a key: {', '.join(odd)}"
+        f"birchdrum/contradiction.py: keys without a rule, or rules without a key: {', '.join(unmatched)}"
     )
 
 
 def changes(old: Config, new: Config) -> list[Change]:
-    """What differs of the keys that all share, in the order of the rules."""
-    was, becomes = plain(old), plain(new)
-    found = []
+    """Returns the differences in shared keys, in the order of ``SHARED_KEYS``."""
+    old_values, new_values = plain(old), plain(new)
+    found_changes = []
     for path, (rule, why) in SHARED_KEYS.items():
-        head, star, key = path.partition(".*.")
-        if path in NAMED:
-            before, after = _rows(was, path), _rows(becomes, path)
-            if path in PLACED and any(
-                name in after and list(after).index(name) != place for place, name in enumerate(before)
+        list_path, separator, key = path.partition(".*.")
+        if path in KEYED_LISTS:
+            old_rows, new_rows = _rows_by_name(old_values, path), _rows_by_name(new_values, path)
+            if path in ORDERED_LISTS and any(
+                name in new_rows and list(new_rows).index(name) != index
+                for index, name in enumerate(old_rows)
             ):
-                found.append(Change(path, *PLACED[path], list(before), list(after)))
-            for name in [*before, *(name for name in after if name not in before)]:
-                if (name in before) is not (name in after):
-                    row = before.get(name), after.get(name)
-                    found.append(Change(f"{path}.{name}", rule, why, *row))
-        elif star:
-            before, after = _rows(was, head), _rows(becomes, head)
-            for name in [name for name in before if name in after]:
-                values = before[name].get(key), after[name].get(key)
+                found_changes.append(Change(path, *ORDERED_LISTS[path], list(old_rows), list(new_rows)))
+            for name in [*old_rows, *(name for name in new_rows if name not in old_rows)]:
+                if (name in old_rows) is not (name in new_rows):
+                    row = old_rows.get(name), new_rows.get(name)
+                    found_changes.append(Change(f"{path}.{name}", rule, why, *row))
+        elif separator:
+            old_rows, new_rows = _rows_by_name(old_values, list_path), _rows_by_name(new_values, list_path)
+            for name in [name for name in old_rows if name in new_rows]:
+                values = old_rows[name].get(key), new_rows[name].get(key)
                 if values[0] != values[1]:
-                    found.append(Change(f"{head}.{name}.{key}", rule, why, *values))
+                    found_changes.append(Change(f"{list_path}.{name}.{key}", rule, why, *values))
         else:
-            values = _at(was, path), _at(becomes, path)
+            values = _value_at(old_values, path), _value_at(new_values, path)
             if values[0] != values[1]:
-                found.append(Change(path, rule, why, *values))
-    return found
+                found_changes.append(Change(path, rule, why, *values))
+    return found_changes
 
 
-def strictest(found: list[Change]) -> str:
-    """The rule that a version with all these changes goes by."""
-    return max((change.rule for change in found), key=RULES.index, default=TOGETHER)
+def strictest(found_changes: list[Change]) -> str:
+    """Returns the strictest rule among the changes; it applies to the new version as a whole."""
+    return max((change.rule for change in found_changes), key=RULES.index, default=TOGETHER)
 
 
-def _rows(values: dict[str, Any], path: str) -> dict[str, dict[str, Any]]:
+def _rows_by_name(values: dict[str, Any], path: str) -> dict[str, dict[str, Any]]:
     return {row["name"]: row for row in values.get(path) or ()}
 
 
-def _at(values: Any, path: str) -> Any:
-    for word in path.split("."):
-        values = values.get(word) if isinstance(values, dict) else None
+def _value_at(values: Any, path: str) -> Any:
+    for segment in path.split("."):
+        values = values.get(segment) if isinstance(values, dict) else None
     return values
