--- a/birchdrum/commands_settings.py
+++ b/birchdrum/commands_settings.py
@@ -1,4 +1,4 @@
-"""``birchdrum settings``: what a change of the settings of a whole fleet means while it spreads."""
+"""``birchdrum settings``: how changes of settings that all gateways share may roll out over the fleet."""
 
 from __future__ import annotations
 
@@ -12,45 +12,50 @@
 
 @click.group()
 def settings() -> None:
-    """Settings that all gateways of a fleet share."""
+    """Inspect the settings that all gateways of a fleet share."""
 
 
 @settings.command()
-@click.option("--json", "as_json", is_flag=True, help="As JSON, a line each.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, one line per key.")
 def rules(as_json: bool) -> None:
-    """Say for each key whether old and new may hold side by side: together, within a time, or never."""
+    """Show for each key whether its old and new values may be in use at the same time.
+
+    The rules are: together, within a bounded time, or never.
+    """
     from . import contradiction
 
-    wide = max(map(len, contradiction.SHARED_KEYS))
+    key_width = max(map(len, contradiction.SHARED_KEYS))
     for path, (rule, why) in contradiction.SHARED_KEYS.items():
         fields = {"key": path, "rule": rule, "why": why}
-        click.echo(json.dumps(fields) if as_json else f"{path:{wide}}  {rule:8}  {why}")
+        click.echo(json.dumps(fields) if as_json else f"{path:{key_width}}  {rule:8}  {why}")
 
 
 @settings.command()
 @click.argument("old", type=FILE_PATH)
 @click.argument("new", type=FILE_PATH)
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def diff(old: Path, new: Path, as_json: bool) -> None:
-    """Show what differs between two files for the fleet, and by which rule the change would go.
+    """Show the differences of two files in shared keys, and the rule that applies to the change.
 
-    Keys that are each gateway's own are passed over.
+    Keys that are local to a gateway are ignored.
     """
     import msgspec
 
     from . import configuration, contradiction
 
     try:
-        was, becomes = (configuration.load(file, environment={}).config for file in (old, new))
-    except configuration.ConfigurationError as wrong:
-        raise CommandError(USAGE_ERROR, *wrong.lines) from None
-    found = contradiction.changes(was, becomes)
+        old_config, new_config = (configuration.load(file, environment={}).config for file in (old, new))
+    except configuration.ConfigurationError as error:
+        raise CommandError(USAGE_ERROR, *error.lines) from None
+    changes = contradiction.changes(old_config, new_config)
     if as_json:
-        fields = {"changes": found, "rule": contradiction.strictest(found) if found else None}
+        fields = {"changes": changes, "rule": contradiction.strictest(changes) if changes else None}
         click.echo(msgspec.json.encode(fields).decode())
         return
-    for change in found:
+    for change in changes:
         click.echo(str(change))
     click.echo(
-        f"as a whole: {contradiction.strictest(found)}" if found else "nothing that gateways share differs"
+        f"as a whole: {contradiction.strictest(changes)}"
+        if changes
+        else "nothing that gateways share differs"
     )
