--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -1,4 +1,4 @@
-"""``birchdrum registry``: the list service, by its own options."""
+"""``birchdrum registry``: the list service, with the options of ``python -m registry``."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .command import USAGE_ERROR, CommandError
 
 
-def _registry_command(name: str, parser: argparse.ArgumentParser, text: str) -> click.Command:
-    """A command of ours with the options of ``python -m registry``: words are only checked there."""
+def _registry_command(name: str, parser: argparse.ArgumentParser, description: str) -> click.Command:
+    """Builds a click command from an argument parser of ``python -m registry``, which checks the values."""
     params: list[click.Parameter] = []
     for action in parser._actions:
         if isinstance(action, argparse._HelpAction):
@@ -21,66 +21,68 @@
         if not action.option_strings:
             params.append(click.Argument([action.dest], metavar=action.dest.upper()))
             continue
-        words = (action.help or "") % {"default": action.default}
+        help_text = (action.help or "") % {"default": action.default}
         is_flag = action.nargs == 0
-        kind = click.Choice(list(action.choices)) if action.choices else click.STRING
+        parameter_type = click.Choice(list(action.choices)) if action.choices else click.STRING
         metavar = None if is_flag or action.choices else str(action.metavar or action.dest.upper())
         params.append(
             click.Option(
                 [*action.option_strings],
                 is_flag=is_flag,
                 required=action.required,
-                help=words,
-                type=click.BOOL if is_flag else kind,
+                help=help_text,
+                type=click.BOOL if is_flag else parameter_type,
                 metavar=metavar,
             )
         )
 
-    def call(**given: Any) -> None:
-        words = [name]
+    def run_command(**values: Any) -> None:
+        arguments = [name]
         for action in parser._actions:
-            value = given.get(action.dest)
+            value = values.get(action.dest)
             if action.option_strings and value is True:
-                words.append(action.option_strings[0])
+                arguments.append(action.option_strings[0])
             elif action.option_strings and value not in (None, False):
-                words.append(f"{action.option_strings[0]}={value}")
+                arguments.append(f"{action.option_strings[0]}={value}")
             elif value not in (None, False):
-                words.append(str(value))
-        _run_registry(words)
+                arguments.append(str(value))
+        _run_registry(arguments)
 
-    return click.Command(name, params=params, callback=call, help=text)
+    return click.Command(name, params=params, callback=run_command, help=description)
 
 
-def _run_registry(words: Sequence[str]) -> None:
+def _run_registry(arguments: Sequence[str]) -> None:
     from registry import __main__ as service
 
     parser = service.options("birchdrum registry")
-    parser.error = _refuse  # type: ignore[method-assign, assignment]
-    for sub in _subparsers(parser).values():
-        sub.error = _refuse  # type: ignore[method-assign, assignment]
-    code = service.main(words, parser)
+    parser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
+    for subparser in _subparsers(parser).values():
+        subparser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
+    code = service.main(arguments, parser)
     if code:
         sys.exit(code)
 
 
-def _refuse(message: str) -> None:
+def _raise_usage_error(message: str) -> None:
     raise CommandError(USAGE_ERROR, message)
 
 
 def _subparsers(parser: argparse.ArgumentParser) -> dict[str, argparse.ArgumentParser]:
-    [actions] = [a for a in parser._actions if isinstance(a, argparse._SubParsersAction)]
-    return dict(actions.choices)
+    [subparser_action] = [
+        action for action in parser._actions if isinstance(action, argparse._SubParsersAction)
+    ]
+    return dict(subparser_action.choices)
 
 
 class Registry(click.Group):
-    """The list service's commands, made when one of them is asked for."""
+    """The list service's commands, built on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Their names."""
+        """Returns the names of the commands."""
         return ["serve", "agent", "backup"]
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """One of them."""
+        """Builds one command."""
         from registry.__main__ import options
 
         parser = _subparsers(options()).get(name)
@@ -88,5 +90,5 @@
 
 
 registry = Registry(
-    "registry", help="Run the list service: primary, follower, agent, and copies of its store."
+    "registry", help="Run the list service as primary, follower or agent, or back up its store."
 )
