--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -1,4 +1,4 @@
-"""``birchdrum gateway`` and ``birchdrum config``: run one gateway, and look at its configuration."""
+"""``birchdrum gateway`` and ``birchdrum config``: run a gateway, and inspect its configuration."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .command import FILE_PATH, NOT_POSSIBLE, USAGE_ERROR, CommandError
 
 
-def configured(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The file of a configuration and what overrides it."""
+def configuration_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Adds the argument for the configuration file and the options that override its keys."""
     for option in reversed(
         (
             click.argument("file", required=False, type=FILE_PATH),
-            click.option("--listen", metavar="HOST:PORT", help="Where clients connect."),
-            click.option("--control", metavar="HOST:PORT", help="Where operators call."),
-            click.option("--metrics", metavar="HOST:PORT", help="Where monitoring reads GET /metrics."),
+            click.option("--listen", metavar="HOST:PORT", help="Address for clients."),
+            click.option("--control", metavar="HOST:PORT", help="Address for operators' control calls."),
+            click.option("--metrics", metavar="HOST:PORT", help="Address that serves GET /metrics."),
             click.option("--log-form", metavar="FORM", help="text or json."),
             click.option("--log-level", metavar="LEVEL", help="debug, info, warning or error."),
             click.option(
@@ -27,7 +27,7 @@
                 "sets",
                 multiple=True,
                 metavar="KEY=VALUE",
-                help="Any key of the file, as in --set limits.memory=96MiB; may be repeated.",
+                help="Set any key of the file, as in --set limits.memory=96MiB; repeatable.",
             ),
         )
     ):
@@ -35,53 +35,54 @@
     return command
 
 
-def overrides(sets: Sequence[str], **named: str | None) -> dict[str, str]:
-    """Flags as keys of the configuration; raises Ended."""
-    flags = {name.replace("log_", "log."): text for name, text in named.items() if text is not None}
-    for pair in sets:
-        key, sign, text = pair.partition("=")
-        if not sign or not key:
-            raise CommandError(USAGE_ERROR, f"--set {pair}: expected KEY=VALUE")
+def collect_overrides(sets: Sequence[str], **named_flags: str | None) -> dict[str, str]:
+    """Maps flags to configuration keys; raises CommandError if ``--set`` is malformed."""
+    flags = {name.replace("log_", "log."): text for name, text in named_flags.items() if text is not None}
+    for assignment in sets:
+        key, separator, text = assignment.partition("=")
+        if not separator or not key:
+            raise CommandError(USAGE_ERROR, f"--set {assignment}: expected KEY=VALUE")
         flags[key.strip()] = text.strip()
     return flags
 
 
-def named_file(file: Path | None) -> Path:
-    """The one file that is named, by argument or environment; raises Ended."""
+def find_configuration_file(file: Path | None) -> Path:
+    """Returns the file given by argument or environment; raises CommandError unless there is exactly one."""
     import os
 
-    named = {"FILE": str(file) if file else None}
-    named |= {name: os.environ.get(name) or None for name in ("LB_CONFIG", "BIRCHDRUM_CONFIG")}
-    given = {name: path for name, path in named.items() if path}
-    if len(given) > 1:
+    candidates = {"FILE": str(file) if file else None}
+    candidates |= {name: os.environ.get(name) or None for name in ("LB_CONFIG", "BIRCHDRUM_CONFIG")}
+    chosen = {name: path for name, path in candidates.items() if path}
+    if len(chosen) > 1:
         raise CommandError(
-            USAGE_ERROR, f"more than one configuration is named, by {' and '.join(given)}: name one"
+            USAGE_ERROR,
+            f"more than one configuration is given, by {' and '.join(chosen)}: keep one of them",
         )
-    if not given:
+    if not chosen:
         raise CommandError(
-            USAGE_ERROR, "no configuration is named: give FILE, or set BIRCHDRUM_CONFIG or LB_CONFIG"
+            USAGE_ERROR, "no configuration is given: pass FILE, or set BIRCHDRUM_CONFIG or LB_CONFIG"
         )
-    return Path(next(iter(given.values())))
+    return Path(next(iter(chosen.values())))
 
 
 def load_configuration(file: Path, flags: dict[str, str]) -> Any:
-    """The configuration in force; raises Ended with every mistake."""
+    """Loads the configuration; raises CommandError with all its errors."""
     from . import configuration
 
     try:
         return configuration.load(file, flags)
-    except configuration.ConfigurationError as wrong:
-        raise CommandError(USAGE_ERROR, *wrong.lines) from None
+    except configuration.ConfigurationError as error:
+        raise CommandError(USAGE_ERROR, *error.lines) from None
 
 
 @click.command()
-@configured
-def gateway(file: Path | None, sets: tuple[str, ...], **named: str | None) -> None:
+@configuration_options
+def gateway(file: Path | None, sets: tuple[str, ...], **named_flags: str | None) -> None:
     """Run one gateway until SIGTERM or Ctrl-C.
 
-    FILE is TOML, or the platform's JSON; BIRCHDRUM_CONFIG or LB_CONFIG may name it instead. Keys may be set
-    by the environment, as in BIRCHDRUM_LIMITS__MEMORY=96MiB, and over that by flags. SIGHUP reads all of it
-    again.
+    FILE is TOML, or the platform's JSON; BIRCHDRUM_CONFIG or LB_CONFIG may name it instead. Environment
+    variables such as BIRCHDRUM_LIMITS__MEMORY=96MiB override keys of the file, and flags override both.
+    SIGHUP reloads the configuration.
     """
     import uvloop
 
@@ -92,55 +93,57 @@
 
     from . import configuration
 
-    flags, file = overrides(sets, **named), named_file(file)
-    first = load_configuration(file, flags)
+    flags, file = collect_overrides(sets, **named_flags), find_configuration_file(file)
+    initial = load_configuration(file, flags)
 
-    def parsed(whole: configuration.LoadedConfiguration) -> platform.Config:
-        return platform.parse(json.dumps(whole.platform))
+    def platform_config(loaded: configuration.LoadedConfiguration) -> platform.Config:
+        return platform.parse(json.dumps(loaded.platform))
 
-    config = parsed(first)
+    config = platform_config(initial)
     logs.start(config.log_form, config.log_level)
     try:
-        uvloop.run(serve(config, lambda: parsed(configuration.load(file, flags))))
-    except NoStart as wrong:
-        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
+        uvloop.run(serve(config, lambda: platform_config(configuration.load(file, flags))))
+    except NoStart as error:
+        raise CommandError(NOT_POSSIBLE, str(error)) from None
 
 
 @click.group()
 def config() -> None:
-    """Check, show and convert configurations of gateways."""
+    """Check, show and convert gateway configurations."""
 
 
 @config.command()
-@configured
-def check(file: Path | None, sets: tuple[str, ...], **named: str | None) -> None:
-    """Tell all that is wrong with a configuration, one line each; exit code 2 where anything is."""
-    file = named_file(file)
-    load_configuration(file, overrides(sets, **named))
+@configuration_options
+def check(file: Path | None, sets: tuple[str, ...], **named_flags: str | None) -> None:
+    """Check a configuration and print each error on a line; exit code 2 if there are any."""
+    file = find_configuration_file(file)
+    load_configuration(file, collect_overrides(sets, **named_flags))
     click.echo(f"{file}: can be used")
 
 
 @config.command()
-@click.option("--all", "all_keys", is_flag=True, help="With the keys that are as by default.")
-@click.option("--origins", is_flag=True, help="Where each key that was given comes from, instead.")
-@configured
+@click.option("--all", "all_keys", is_flag=True, help="Include keys that have their default value.")
+@click.option(
+    "--origins", is_flag=True, help="Print the origin of each key that is set, instead of its value."
+)
+@configuration_options
 def show(
-    file: Path | None, sets: tuple[str, ...], all_keys: bool, origins: bool, **named: str | None
+    file: Path | None, sets: tuple[str, ...], all_keys: bool, origins: bool, **named_flags: str | None
 ) -> None:
-    """Show the configuration in force: file, environment and flags together."""
+    """Show the effective configuration, from the file, the environment and flags."""
     from . import configuration
 
-    whole = load_configuration(named_file(file), overrides(sets, **named))
+    loaded = load_configuration(find_configuration_file(file), collect_overrides(sets, **named_flags))
     if origins:
-        for key, origin in sorted(whole.origins.items()):
+        for key, origin in sorted(loaded.origins.items()):
             click.echo(f"{key}\t{origin}")
     else:
-        click.echo(configuration.as_toml(whole, all_keys), nl=False)
+        click.echo(configuration.as_toml(loaded, all_keys), nl=False)
 
 
 @config.command("schema")
 def show_schema() -> None:
-    """Print the JSON schema of the file, for editors that check TOML by one."""
+    """Print the JSON schema of the file, for editors that validate TOML."""
     from ops.checking import schema
 
     from .model import Config
@@ -150,25 +153,33 @@
 
 @config.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--to", type=click.Choice(["toml", "json"]), help="By default the other one of the two.")
-@click.option("-o", "--output", type=FILE_PATH, help="By default standard output.")
+@click.option(
+    "--to",
+    type=click.Choice(["toml", "json"]),
+    help="Target format; by default the one that FILE does not have.",
+)
+@click.option("-o", "--output", type=FILE_PATH, help="Output file; by default standard output.")
 def convert(file: Path, to: str | None, output: Path | None) -> None:
-    """Turn the platform's JSON to TOML or back, without loss; environment and flags are left aside."""
+    """Convert the platform's JSON to TOML or back, without loss; the environment and flags are ignored."""
     from ops.files import write_whole
 
     from . import configuration
 
     try:
         _, is_json = configuration.read_file(file)
-        whole = configuration.load(file, environment={})
-    except configuration.ConfigurationError as wrong:
-        raise CommandError(USAGE_ERROR, *wrong.lines) from None
-    form = to or ("toml" if is_json else "json")
-    text = configuration.as_toml(whole) if form == "toml" else json.dumps(whole.platform, indent=1) + "\n"
+        loaded = configuration.load(file, environment={})
+    except configuration.ConfigurationError as error:
+        raise CommandError(USAGE_ERROR, *error.lines) from None
+    output_format = to or ("toml" if is_json else "json")
+    text = (
+        configuration.as_toml(loaded)
+        if output_format == "toml"
+        else json.dumps(loaded.platform, indent=1) + "\n"
+    )
     if output is None:
         click.echo(text, nl=False)
         return
     try:
         write_whole(output, text)
-    except OSError as wrong:
-        raise CommandError(NOT_POSSIBLE, f"{output}: {(wrong.strerror or str(wrong)).lower()}") from None
+    except OSError as error:
+        raise CommandError(NOT_POSSIBLE, f"{output}: {(error.strerror or str(error)).lower()}") from None
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -56,9 +56,9 @@
     assert refused("config", "check", tmp_path / "none") == [f"{tmp_path}/none: no such file or directory"]
     assert refused("config", "check", tmp_path) == [f"{tmp_path}: is a directory, expected a file"]
     assert refused("config", "check", "/dev/zero") == ["/dev/zero: is not a regular file"]
-    assert "no configuration is named" in refused("gateway")[0]
+    assert "no configuration is given" in refused("gateway")[0]
     both = refused("gateway", tmp_path / "a", LB_CONFIG=str(tmp_path / "b"))
-    assert both == ["more than one configuration is named, by FILE and LB_CONFIG: name one"]
+    assert both == ["more than one configuration is given, by FILE and LB_CONFIG: keep one of them"]
 
 
 def test_all_mistakes_are_told_at_once_each_with_key_value_and_what_is_expected(tmp_path):
