--- a/birchdrum/calling.py
+++ b/birchdrum/calling.py
@@ -1,4 +1,4 @@
-"""Calls by hand: an operator's to several gateways at once, and one request as a client."""
+"""Manual calls: a control call to several gateways at once, and a single client request."""
 
 from __future__ import annotations
 
@@ -18,139 +18,143 @@
 
 from .configuration import ConfigurationError, read_file
 
-MAX_ANSWER_BYTES = 131_072  # bytes of an operator's answer: a table of 1,000 members
-RESPONSE_MARGIN = 0.5  # seconds for the way there and back
+MAX_ANSWER_BYTES = 131_072  # of a control call; fits a member table of 1,000 gateways
+RESPONSE_MARGIN = 0.5  # seconds beyond the deadline, for the round trip
 
 HostPort = tuple[str, int]
 
 
 class InvalidCall(Exception):
-    """A call that can't be made as it was asked for; the text says what to change."""
+    """The call's arguments are invalid; the message says what to change."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What one gateway said; None: it was not reached, ``why`` tells how."""
+    """One gateway's reply to a control call; None if there was none, ``failure`` then gives the reason."""
 
     name: str
-    at: HostPort
-    said: str | None
-    why: str = ""
+    address: HostPort
+    reply: str | None
+    failure: str = ""
 
     @property
-    def done(self) -> bool:
-        """Whether it said yes."""
-        return self.said is not None and self.said.startswith("done")
+    def accepted(self) -> bool:
+        """Whether the gateway carried out the call."""
+        return self.reply is not None and self.reply.startswith("done")
 
     def fields(self) -> dict[str, Any]:
-        """For machines."""
-        reached = self.said is not None
+        """Returns the fields of the JSON output."""
+        reached = self.reply is not None
         return {
             "gateway": self.name,
-            "address": "{}:{}".format(*self.at),
+            "address": "{}:{}".format(*self.address),
             "reached": reached,
-            "done": self.done,
-            "answer": self.said if reached else self.why,
+            "done": self.accepted,
+            "answer": self.reply if reached else self.failure,
         }
 
     def __str__(self) -> str:
-        where = "{}:{}".format(*self.at)
+        where = "{}:{}".format(*self.address)
         name = where if self.name == where else f"{self.name} {where}"
-        return f"{name}\t{self.said if self.said is not None else 'not reached: ' + self.why}"
+        return f"{name}\t{self.reply if self.reply is not None else 'not reached: ' + self.failure}"
 
 
-def select_gateways(at: Sequence[HostPort], fleet: Path | None, only: Sequence[str]) -> dict[str, HostPort]:
-    """Names and addresses that a call goes to; raises Nobody."""
-    named = {"{}:{}".format(*address): address for address in at}
+def select_gateways(
+    addresses: Sequence[HostPort], fleet: Path | None, only: Sequence[str]
+) -> dict[str, HostPort]:
+    """Returns the names and addresses of the gateways to call; raises InvalidCall."""
+    gateways = {"{}:{}".format(*address): address for address in addresses}
     if fleet is not None:
-        listed = _fleet(fleet)
+        listed = _read_fleet_file(fleet)
         if unknown := [name for name in only if name not in listed]:
-            raise InvalidCall(f"{fleet}: no gateway {unknown[0]!r}, there are {', '.join(listed)}")
-        named |= {name: address for name, address in listed.items() if not only or name in only}
+            raise InvalidCall(f"{fleet}: no gateway {unknown[0]!r}, expected one of {', '.join(listed)}")
+        gateways |= {name: address for name, address in listed.items() if not only or name in only}
     elif only:
-        raise InvalidCall("--only goes with --fleet")
-    if not named:
-        raise InvalidCall("no gateway is named: give --at HOST:PORT or --fleet FILE")
-    return named
+        raise InvalidCall("--only requires --fleet")
+    if not gateways:
+        raise InvalidCall("no gateway is given: pass --at HOST:PORT or --fleet FILE")
+    return gateways
 
 
-def _fleet(file: Path) -> dict[str, HostPort]:
+def _read_fleet_file(file: Path) -> dict[str, HostPort]:
     try:
         values, _ = read_file(file)
-    except ConfigurationError as wrong:
-        raise InvalidCall(str(wrong)) from None
+    except ConfigurationError as error:
+        raise InvalidCall(str(error)) from None
     table = values.get("gateways")
     if not isinstance(table, dict) or not table:
         raise InvalidCall(f'{file}: expected a table [gateways] with lines such as gw-0 = "127.0.0.1:7000"')
-    done = {}
+    addresses = {}
     for name, text in table.items():
         try:
             address = Address(str(text))
-        except ValueError as wrong:
-            raise InvalidCall(f"{file}: gateways.{name} = {text!r}: {wrong}") from None
-        done[name] = (address.host, address.port)
-    return done
+        except ValueError as error:
+            raise InvalidCall(f"{file}: gateways.{name} = {text!r}: {error}") from None
+        addresses[name] = (address.host, address.port)
+    return addresses
 
 
-def call_all(named: dict[str, HostPort], line: str, within: float) -> list[Answer]:
-    """Make one operator's call at each of them at once; their answers in order."""
-    return asyncio.run(call_each(named, line, within))
+def call_all(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
+    """Makes one control call to all gateways concurrently; returns their answers in order."""
+    return asyncio.run(call_each(gateways, line, timeout))
 
 
-async def call_each(named: dict[str, HostPort], line: str, within: float) -> list[Answer]:
-    """The same within a running loop."""
-    return await asyncio.gather(*(_one(name, at, line, within) for name, at in named.items()))
+async def call_each(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
+    """Like ``call_all``, for use in a running event loop."""
+    return await asyncio.gather(
+        *(_call_one(name, address, line, timeout) for name, address in gateways.items())
+    )
 
 
-async def _one(name: str, at: HostPort, line: str, within: float) -> Answer:
+async def _call_one(name: str, address: HostPort, line: str, timeout: float) -> Answer:
     try:
-        async with asyncio.timeout(within):
-            reader, writer = await asyncio.open_connection(*at, limit=MAX_ANSWER_BYTES)
+        async with asyncio.timeout(timeout):
+            reader, writer = await asyncio.open_connection(*address, limit=MAX_ANSWER_BYTES)
             try:
                 writer.write(line.encode() + b"\n")
-                said = (await reader.readline()).decode("utf-8", "replace").strip()
+                reply = (await reader.readline()).decode("utf-8", "replace").strip()
             finally:
                 writer.close()
     except TimeoutError:
-        return Answer(name, at, None, f"no answer within {within:g} s")
+        return Answer(name, address, None, f"no answer within {timeout:g} s")
     except ValueError:
-        return Answer(name, at, None, f"an answer of more than {MAX_ANSWER_BYTES} bytes")
-    except OSError as wrong:
-        return Answer(name, at, None, _reason(wrong))
-    return Answer(name, at, said) if said else Answer(name, at, None, "closed without an answer")
+        return Answer(name, address, None, f"the answer is larger than {MAX_ANSWER_BYTES} bytes")
+    except OSError as error:
+        return Answer(name, address, None, _connection_failure(error))
+    return Answer(name, address, reply) if reply else Answer(name, address, None, "closed without an answer")
 
 
-def _reason(wrong: OSError) -> str:
-    while wrong.errno is None and isinstance(wrong.__context__, OSError):
-        wrong = wrong.__context__
-    text = wrong.strerror or str(wrong)
+def _connection_failure(error: OSError) -> str:
+    while error.errno is None and isinstance(error.__context__, OSError):
+        error = error.__context__
+    text = error.strerror or str(error)
     return text.partition("Connect call failed")[0].strip().lower() or "no connection"
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How one request went; ``outcome`` is served, refused, failed or nobody."""
+    """The result of one request; ``outcome`` is served, refused, failed, or nobody for no answer."""
 
     outcome: str
     number: str
-    took: float  # seconds
+    seconds: float
     value: str
 
     def fields(self) -> dict[str, Any]:
-        """For machines."""
+        """Returns the fields of the JSON output."""
         return {
             "outcome": self.outcome,
             "id": self.number,
-            "took_ms": round(self.took * 1e3, 3),
+            "took_ms": round(self.seconds * 1e3, 3),
             "value": self.value,
         }
 
     def __str__(self) -> str:
-        return f"{self.outcome} in {self.took * 1e3:.1f} ms: {self.value}"
+        return f"{self.outcome} in {self.seconds * 1e3:.1f} ms: {self.value}"
 
 
 def request(
-    at: HostPort,
+    address: HostPort,
     kind: str,
     plan: str,
     customer: int,
@@ -162,9 +166,9 @@
     key: str | None,
     number: str | None,
 ) -> Result:
-    """Send one request and wait for its answer; raises Nobody where it can't be worded."""
+    """Sends one request and waits for the answer; raises InvalidCall if the body file can't be read."""
     number = number or secrets.token_hex(8)
-    words = protocol.request(
+    command = protocol.request(
         kind,
         plan,
         customer,
@@ -176,19 +180,19 @@
         key=key,
         body=None if body is None else _body(body),
     )
-    began = time.monotonic()
+    started = time.monotonic()
 
     def result(outcome: str, value: str) -> Result:
-        return Result(outcome, number, time.monotonic() - began, value)
+        return Result(outcome, number, time.monotonic() - started, value)
 
     try:
-        reply = _ask(at, words, deadline + RESPONSE_MARGIN)
+        reply = _exchange(address, command, deadline + RESPONSE_MARGIN)
     except TimeoutError:
         return result("nobody", f"no answer within {deadline + RESPONSE_MARGIN:g} s")
-    except OSError as wrong:
-        return result("nobody", _reason(wrong))
-    except hiredis.ProtocolError as wrong:
-        return result("failed", f"no RESP2 answer: {wrong}")
+    except OSError as error:
+        return result("nobody", _connection_failure(error))
+    except hiredis.ProtocolError as error:
+        return result("failed", f"the answer is not valid RESP2: {error}")
     value = reply[0] if isinstance(reply, list) and reply else reply
     text = value.decode("utf-8", "backslashreplace") if isinstance(value, bytes) else str(value)
     return result(protocol.outcome(reply), text)
@@ -199,18 +203,18 @@
         return text.encode()
     try:
         return Path(text[1:]).read_bytes()
-    except OSError as wrong:
-        raise InvalidCall(f"{text[1:]}: {(wrong.strerror or str(wrong)).lower()}") from None
+    except OSError as error:
+        raise InvalidCall(f"{text[1:]}: {(error.strerror or str(error)).lower()}") from None
 
 
-def _ask(at: HostPort, command: bytes, within: float) -> object:
-    ends = time.monotonic() + within
+def _exchange(address: HostPort, command: bytes, timeout: float) -> object:
+    expires = time.monotonic() + timeout
     reader = hiredis.Reader()
-    with socket.create_connection(at, timeout=within) as link:
-        link.sendall(command)
+    with socket.create_connection(address, timeout=timeout) as connection:
+        connection.sendall(command)
         while (reply := reader.gets()) is False:
-            link.settimeout(max(0.001, ends - time.monotonic()))
-            data = link.recv(65_536)
+            connection.settimeout(max(0.001, expires - time.monotonic()))
+            data = connection.recv(65_536)
             if not data:
                 raise ConnectionResetError(None, "closed without an answer")
             reader.feed(data)
--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -72,9 +72,9 @@
         answers = calling.call_all(gateways, f"{word} {host}".strip(), within)
         for answer in answers:
             click.echo(json.dumps(answer.fields()) if as_json else str(answer))
-        if any(answer.said is None for answer in answers):
+        if any(answer.reply is None for answer in answers):
             sys.exit(NOT_POSSIBLE)
-        sys.exit(SUCCESS if all(answer.done for answer in answers) else REFUSED)
+        sys.exit(SUCCESS if all(answer.accepted for answer in answers) else REFUSED)
 
     command = addressed(call)
     if takes_host:
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -193,7 +193,7 @@
 
     async def all_ready() -> bool:
         answers = await calling.call_each(controls, "HEALTH", 1.0)
-        return all(answer.done for answer in answers)
+        return all(answer.accepted for answer in answers)
 
     await _wait(fleet, all_ready, "the gateways")
     front = Front([split(gateway.listen) for gateway in fleet.gateways])
@@ -220,7 +220,7 @@
     """What gateways say of themselves, where something goes wrong with one."""
     controls = {gateway.name: split(gateway.control) for gateway in fleet.gateways}
     answers = await calling.call_each(controls, "HEALTH", LOOK_EVERY / 2)
-    fleet.states = [answer.said or f"no answer: {answer.why}" for answer in answers]
+    fleet.states = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
 
 
 async def _wait(fleet: Fleet, ready: Any, what: str) -> None:
--- a/birchdrum/members.py
+++ b/birchdrum/members.py
@@ -75,8 +75,8 @@
     """Ask each of them at once."""
     tables, missing = {}, {}
     for answer in calling.call_all(gateways, "MEMBERS", within):
-        if answer.done and answer.said:
-            tables[answer.name] = json.loads(answer.said.removeprefix("done "))
+        if answer.accepted and answer.reply:
+            tables[answer.name] = json.loads(answer.reply.removeprefix("done "))
         else:
-            missing[answer.name] = answer.said or f"not reached: {answer.why}"
+            missing[answer.name] = answer.reply or f"not reached: {answer.failure}"
     return Views(tables, missing)
--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -156,9 +156,9 @@
 WRONG_CALLS = [
     ((), 2, "Usage"),
     (("gatewy",), 2, "gatewy"),
-    (("control", "health"), 2, "no gateway is named"),
+    (("control", "health"), 2, "no gateway is given"),
     (("control", "health", "--at", "nowhere"), 2, "127.0.0.1:6379"),
-    (("control", "health", "--only", "a"), 2, "--only goes with --fleet"),
+    (("control", "health", "--only", "a"), 2, "--only requires --fleet"),
     (("call", "127.0.0.1:1"), 2, "--class"),
     (("call", "127.0.0.1:1", "--class", "a", "--plan", "b", "--body", "@/none"), 2, "no such file"),
     (("demo", "--for", "20"), 2, '"250ms"'),
