--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -1,4 +1,4 @@
-"""``birchdrum control`` and ``birchdrum call``: an operator's calls, and one request as a client."""
+"""``birchdrum control`` and ``birchdrum call``: control calls to gateways, and a single client request."""
 
 from __future__ import annotations
 
@@ -23,23 +23,31 @@
 )
 
 
-def addressed(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Which gateways a call goes to."""
+def gateway_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Adds the options that select the gateways to call."""
     for option in reversed(
         (
             click.option(
-                "--at", multiple=True, type=AddressType(), help="A gateway's operators' address; repeatable."
+                "--at", multiple=True, type=AddressType(), help="A gateway's control address; repeatable."
             ),
             click.option(
                 "--fleet",
                 type=FILE_PATH,
-                help='A TOML file that names gateways: [gateways], then gw-0 = "127.0.0.1:7000".',
+                help='A TOML file that lists gateways: [gateways], then gw-0 = "127.0.0.1:7000".',
             ),
-            click.option("--only", multiple=True, help="Of the fleet, the gateway of this name; repeatable."),
             click.option(
-                "--within", type=DurationType(), default="2s", show_default=True, help="Time for all answers."
+                "--only",
+                multiple=True,
+                help="Call only the gateway of this name in the fleet file; repeatable.",
             ),
-            click.option("--json", "as_json", is_flag=True, help="Answers as JSON, a line each."),
+            click.option(
+                "--within",
+                type=DurationType(),
+                default="2s",
+                show_default=True,
+                help="Timeout for all answers.",
+            ),
+            click.option("--json", "as_json", is_flag=True, help="Print answers as JSON, one per line."),
         )
     ):
         command = option(command)
@@ -48,14 +56,14 @@
 
 @click.group()
 def control() -> None:
-    """Call gateways as an operator.
+    """Make control calls to gateways.
 
-    Exit code 0 where each said done, 3 where one said error, 1 where one was not reached.
+    Exit code 0 if all gateways answer done, 3 if one answers error, 1 if one can't be reached.
     """
 
 
-def _control(name: str, word: str, text: str, takes_host: bool) -> None:
-    def call(
+def _add_control_command(name: str, operation: str, help_text: str, takes_host: bool) -> None:
+    def run(
         at: tuple[tuple[str, int], ...],
         fleet: Path | None,
         only: tuple[str, ...],
@@ -67,32 +75,36 @@
 
         try:
             gateways = calling.select_gateways(at, fleet, only)
-        except calling.InvalidCall as wrong:
-            raise CommandError(USAGE_ERROR, str(wrong)) from None
-        answers = calling.call_all(gateways, f"{word} {host}".strip(), within)
+        except calling.InvalidCall as error:
+            raise CommandError(USAGE_ERROR, str(error)) from None
+        answers = calling.call_all(gateways, f"{operation} {host}".strip(), within)
         for answer in answers:
             click.echo(json.dumps(answer.fields()) if as_json else str(answer))
         if any(answer.reply is None for answer in answers):
             sys.exit(NOT_POSSIBLE)
         sys.exit(SUCCESS if all(answer.accepted for answer in answers) else REFUSED)
 
-    command = addressed(call)
+    command = gateway_options(run)
     if takes_host:
         command = click.argument("host")(command)
-    control.command(name, help=text)(command)
+    control.command(name, help=help_text)(command)
 
 
-_control("health", "HEALTH", "Ask whether each is ready to serve.", False)
-_control("offline", "OFFLINE", "Send nothing more to HOST, whatever the list says.", True)
-_control("online", "ONLINE", "Put HOST back as the list sees it.", True)
-_control("leave", "LEAVE", "Drain: say no to the front, close connections between requests.", False)
-_control("join", "JOIN", "Back to work.", False)
+_add_control_command("health", "HEALTH", "Check whether gateways are ready to serve.", False)
+_add_control_command(
+    "offline", "OFFLINE", "Stop sending requests to HOST, regardless of the host list.", True
+)
+_add_control_command("online", "ONLINE", "Undo offline: use HOST as the host list says.", True)
+_add_control_command(
+    "leave", "LEAVE", "Drain: report not ready, and close connections between requests.", False
+)
+_add_control_command("join", "JOIN", "Undo leave: accept requests again.", False)
 
 
 @control.command()
-@addressed
-@click.option("--watch", is_flag=True, help="Again and again, until Ctrl-C.")
-@click.option("--every", type=DurationType(), default="1s", show_default=True, help="With --watch.")
+@gateway_options
+@click.option("--watch", is_flag=True, help="Repeat until Ctrl-C.")
+@click.option("--every", type=DurationType(), default="1s", show_default=True, help="Interval of --watch.")
 def members(
     at: tuple[tuple[str, int], ...],
     fleet: Path | None,
@@ -102,10 +114,10 @@
     watch: bool,
     every: float,
 ) -> None:
-    """Show what each gateway holds of the others, side by side, and where they disagree.
+    """Show each gateway's view of the others side by side, and where the views disagree.
 
-    Exit code 0 where all that answer hold the same and doubt nothing, 3 where they don't, 1 where one was not
-    reached.
+    Exit code 0 if all views agree and no gateway reports a problem with its own, 3 if not, 1 if a gateway
+    can't be reached.
     """
     import time
 
@@ -114,19 +126,19 @@
 
     try:
         gateways = calling.select_gateways(at, fleet, only)
-    except calling.InvalidCall as wrong:
-        raise CommandError(USAGE_ERROR, str(wrong)) from None
+    except calling.InvalidCall as error:
+        raise CommandError(USAGE_ERROR, str(error)) from None
     while True:
-        found = views.gather(gateways, within)
+        member_views = views.gather(gateways, within)
         if watch and not as_json:
             click.clear()
-        click.echo(json.dumps(found.fields()) if as_json else "\n".join(found.lines()))
+        click.echo(json.dumps(member_views.fields()) if as_json else "\n".join(member_views.lines()))
         if not watch:
             break
         time.sleep(every)
-    if found.missing:
+    if member_views.missing:
         sys.exit(NOT_POSSIBLE)
-    sys.exit(REFUSED if found.disagreements else SUCCESS)
+    sys.exit(REFUSED if member_views.disagreements else SUCCESS)
 
 
 @click.command()
@@ -134,28 +146,34 @@
 @click.option("--class", "kind", required=True, help="The class of the request.")
 @click.option("--plan", required=True, help="The customer's plan.")
 @click.option(
-    "--customer", type=click.IntRange(0, 2**33 - 1), default=1, show_default=True, help="Its number."
+    "--customer",
+    type=click.IntRange(0, 2**33 - 1),
+    default=1,
+    show_default=True,
+    help="The customer's number.",
+)
+@click.option(
+    "--units", type=click.FloatRange(min=0, min_open=True), default=1.0, help="Units that the request uses."
 )
 @click.option(
-    "--units", type=click.FloatRange(min=0, min_open=True), default=1.0, help="Units that it takes."
+    "--deadline", type=DurationType(), default="2s", show_default=True, help="Deadline of the request."
 )
-@click.option("--deadline", type=DurationType(), default="2s", show_default=True, help="How long to wait.")
-@click.option("--first", type=click.IntRange(0), default=0, help="The first gateway of the customer's set.")
-@click.option("--spread", type=click.IntRange(1), default=1, help="How many gateways the set has.")
-@click.option("--body", help="Sent as CALL.POST with this body, @FILE for a file's.")
-@click.option("--key", help="The idempotency key, in a keyed class; sent as CALL.POST.")
-@click.option("--id", "number", help="The request's id; by default a new one.")
-@click.option("--json", "as_json", is_flag=True, help="Outcome, time and value as JSON.")
-def call(gateway: tuple[str, int], as_json: bool, **given: Any) -> None:
-    """Send one request to GATEWAY by hand, and print what came back.
+@click.option("--first", type=click.IntRange(0), default=0, help="First gateway of the customer's set.")
+@click.option("--spread", type=click.IntRange(1), default=1, help="Number of gateways in the set.")
+@click.option("--body", help="Send this body with CALL.POST; @FILE reads it from a file.")
+@click.option("--key", help="Idempotency key, for a class with effect by_key; sent with CALL.POST.")
+@click.option("--id", "number", help="Request id; by default a random one.")
+@click.option("--json", "as_json", is_flag=True, help="Print outcome, time and value as JSON.")
+def call(gateway: tuple[str, int], as_json: bool, **request: Any) -> None:
+    """Send one request to GATEWAY and print the result.
 
     Exit code 0 served, 3 refused, 4 failed, 1 not reached or not answered in time.
     """
     from . import calling
 
     try:
-        answer = calling.request(gateway, **given)
-    except calling.InvalidCall as wrong:
-        raise CommandError(USAGE_ERROR, str(wrong)) from None
-    click.echo(json.dumps(answer.fields()) if as_json else str(answer))
-    sys.exit({"served": SUCCESS, "refused": REFUSED, "failed": FAILED}.get(answer.outcome, NOT_POSSIBLE))
+        result = calling.request(gateway, **request)
+    except calling.InvalidCall as error:
+        raise CommandError(USAGE_ERROR, str(error)) from None
+    click.echo(json.dumps(result.fields()) if as_json else str(result))
+    sys.exit({"served": SUCCESS, "refused": REFUSED, "failed": FAILED}.get(result.outcome, NOT_POSSIBLE))
