--- a/birchdrum/cli.py
+++ b/birchdrum/cli.py
@@ -84,10 +84,10 @@
     """Run the command line and return its exit code."""
     try:
         cli.main(args=argv, prog_name="birchdrum", standalone_mode=False)
-    except CommandError as error:
-        for line in error.lines:
+    except CommandError as failure:
+        for line in failure.lines:
             click.echo(f"birchdrum: {line}", err=True)
-        return error.code
+        return failure.code
     except click.exceptions.NoArgsIsHelpError as help_requested:
         click.echo(help_requested.format_message())
         return USAGE_ERROR
@@ -104,6 +104,6 @@
     except BrokenPipeError:  # the reader of standard output closed the pipe
         sys.stderr.close()
         return SUCCESS
-    except SystemExit as error:
-        return error.code if isinstance(error.code, int) else NOT_POSSIBLE
+    except SystemExit as exit_request:
+        return exit_request.code if isinstance(exit_request.code, int) else NOT_POSSIBLE
     return SUCCESS
--- a/birchdrum/members.py
+++ b/birchdrum/members.py
@@ -62,11 +62,11 @@
             column_width = max(len(str(ranks[-1])), 1)
             name_width = max(len(name) for name in self.tables)
             lines.append(" ".join([" " * name_width, *(str(rank).rjust(column_width) for rank in ranks)]))
-            for name, table in self.tables.items():
+            for gateway, table in self.tables.items():
                 states = (table["members"].get(str(rank), ["itself"])[0] for rank in ranks)
                 symbols = [STATE_SYMBOLS.get(state, "@") for state in states]
                 lines.append(
-                    " ".join([name.ljust(name_width), *(symbol.rjust(column_width) for symbol in symbols)])
+                    " ".join([gateway.ljust(name_width), *(symbol.rjust(column_width) for symbol in symbols)])
                 )
             legend = ", ".join(f"{symbol} {state}" for state, symbol in STATE_SYMBOLS.items())
             lines.append(f"@ itself, {legend}")
