--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -1,4 +1,4 @@
-"""``birchdrum lab``: scenarios on a virtual clock, experiments, and real processes under faults."""
+"""``birchdrum lab``: scenarios on a virtual clock, experiments, and real processes with injected faults."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @click.group()
 def lab() -> None:
-    """Play scenarios of a whole fleet, and compare the gateway with baselines."""
+    """Simulate scenarios of a whole fleet, and compare the gateway with baselines."""
 
 
 @lab.command("list")
 def list_scenarios() -> None:
-    """The scenarios that ship, and the variants that can be compared."""
+    """List the included scenarios and the variants that can be compared."""
     from lab import runs, scenario
 
     for name, file in scenario.shipped().items():
@@ -30,76 +30,84 @@
 @lab.command("check")
 @click.argument("file", type=FILE_PATH)
 def check_scenario(file: Path) -> None:
-    """Tell all that is wrong with a scenario, and how large it is."""
+    """Check a scenario file, print its errors, or its request rate and host utilization."""
     from lab import scenario
 
-    found = _scenario(str(file))
-    rate = scenario.requests_a_second(found)
-    click.echo(f"{file}: {rate:.0f} first tries a second, hosts in use {scenario.use(found):.0%}")
+    loaded = _load_scenario(str(file))
+    rate = scenario.requests_a_second(loaded)
+    click.echo(f"{file}: {rate:.0f} first tries a second, hosts in use {scenario.use(loaded):.0%}")
 
 
-def _scenario(name: str) -> Any:
+def _load_scenario(name: str) -> Any:
     from lab import scenario
 
     try:
         return scenario.load(scenario.shipped().get(name, Path(name)))
-    except scenario.Impossible as wrong:
-        raise CommandError(USAGE_ERROR, *wrong.lines) from None
+    except scenario.Impossible as error:
+        raise CommandError(USAGE_ERROR, *error.lines) from None
 
 
 @lab.command("run")
 @click.argument("scenario")
-@click.option("--seed", "seeds", multiple=True, type=click.IntRange(0), help="By default 1; repeatable.")
-@click.option("--variant", "variants", multiple=True, help="By default birchdrum; repeatable, all for each.")
-@click.option("--gateways", type=click.IntRange(1, 1000), help="Another number of gateways than the file's.")
-@click.option("--json", "as_json", is_flag=True, help="Whole results, a line each.")
+@click.option(
+    "--seed", "seeds", multiple=True, type=click.IntRange(0), help="Random seed, by default 1; repeatable."
+)
+@click.option(
+    "--variant", "variants", multiple=True, help="By default birchdrum; repeatable, all for every variant."
+)
+@click.option("--gateways", type=click.IntRange(1, 1000), help="Override the file's number of gateways.")
+@click.option("--json", "as_json", is_flag=True, help="Print full results as JSON, one per line.")
 def run_scenario(
     scenario: str, seeds: tuple[int, ...], variants: tuple[str, ...], gateways: int | None, as_json: bool
 ) -> None:
-    """Play SCENARIO, a file or the name of one that ships, in the virtual world.
+    """Simulate SCENARIO, a file or the name of an included one, on the virtual clock.
 
-    The same seed has the same arrivals for every variant, and the same result to the byte. Exit code 0 where
-    no rule was broken by the gateway, else 1.
+    A seed gives every variant the same arrivals, and always the same result, byte for byte. Exit code 0 if
+    the gateway broke no rule, else 1.
     """
     from lab import runs
 
     try:
-        plays = runs.plan(_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways)
-    except runs.Unknown as wrong:
-        raise CommandError(USAGE_ERROR, str(wrong)) from None
-    broken = False
+        plays = runs.plan(_load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways)
+    except runs.Unknown as error:
+        raise CommandError(USAGE_ERROR, str(error)) from None
+    rule_broken = False
     for play in plays:
         result, cost = play.run()
-        broken |= play.variant == "birchdrum" and bool(result["broken"])
+        rule_broken |= play.variant == "birchdrum" and bool(result["broken"])
         if as_json:
             click.echo(json.dumps({"variant": play.variant, **result}, sort_keys=True))
         else:
             click.echo(runs.line(play, result, cost))
-    sys.exit(NOT_POSSIBLE if broken else SUCCESS)
+    sys.exit(NOT_POSSIBLE if rule_broken else SUCCESS)
 
 
-def _seeds(text: str) -> list[int]:
-    """``1-5,9`` as numbers; raises Ended."""
-    found: list[int] = []
+def _parse_seeds(text: str) -> list[int]:
+    """Parses numbers and ranges such as ``1-5,9``; raises CommandError."""
+    seeds: list[int] = []
     try:
-        for part in text.split(","):
-            first, _, last = part.partition("-")
-            found += range(int(first), int(last or first) + 1)
+        for segment in text.split(","):
+            first, _, last = segment.partition("-")
+            seeds += range(int(first), int(last or first) + 1)
     except ValueError:
         raise CommandError(
             USAGE_ERROR, f"--seeds {text}: expected numbers and ranges, such as 1-5,9"
         ) from None
-    return found
+    return seeds
 
 
 @lab.command("compare")
 @click.argument("scenarios", nargs=-1, required=True)
-@click.option("--seeds", default="1-5", show_default=True, help="Such as 1-5,9.")
-@click.option("--variant", "variants", multiple=True, help="By default birchdrum; the first is the base.")
-@click.option("--against", multiple=True, metavar="REV", help="Another revision's decisions; repeatable.")
-@click.option("--gateways", "sizes", multiple=True, type=click.IntRange(1, 1000), help="Sizes; repeatable.")
+@click.option("--seeds", default="1-5", show_default=True, help="Random seeds, such as 1-5,9.")
+@click.option("--variant", "variants", multiple=True, help="By default birchdrum; the first is the baseline.")
+@click.option(
+    "--against", multiple=True, metavar="REV", help="Compare with the decisions of this revision; repeatable."
+)
+@click.option(
+    "--gateways", "sizes", multiple=True, type=click.IntRange(1, 1000), help="Number of gateways; repeatable."
+)
 @click.option("--out", type=FILE_PATH, default=Path("found/lab"), show_default=True)
-@click.option("--workers", type=click.IntRange(1), help="Plays side by side; by default one a core.")
+@click.option("--workers", type=click.IntRange(1), help="Parallel runs; by default one per core.")
 def compare(
     scenarios: tuple[str, ...],
     seeds: str,
@@ -109,10 +117,10 @@
     out: Path,
     workers: int | None,
 ) -> None:
-    """Play a matrix over all cores and tell differences to the first variant, in pairs by seed.
+    """Run all combinations in parallel and report differences to the first variant, paired by seed.
 
-    Results are kept in --out, one file a play; called again, only what is missing is played. Exit code 0
-    where every play was made, else 1.
+    Results are stored in --out, one file per run; a repeated call runs only those that are missing. Exit code
+    0 if all runs completed, else 1.
     """
     import asyncio
     import os
@@ -122,59 +130,63 @@
 
     try:
         from lab import experiment, runs
-    except ModuleNotFoundError as missing:
+    except ModuleNotFoundError as error:
         raise CommandError(
-            NOT_POSSIBLE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]"
+            NOT_POSSIBLE, f"lab compare needs {error.name}: install birchdrum's extra [lab]"
         ) from None
 
     try:
-        found = [
-            runs.sized(scenario, size) for scenario in map(_scenario, scenarios) for size in sizes or (None,)
+        sized_scenarios = [
+            runs.sized(scenario, size)
+            for scenario in map(_load_scenario, scenarios)
+            for size in sizes or (None,)
         ]
-        plays = experiment.matrix(found, _seeds(seeds), variants or ("birchdrum",), against)
+        plays = experiment.matrix(sized_scenarios, _parse_seeds(seeds), variants or ("birchdrum",), against)
         console = Console(stderr=True)
-        with Progress(console=console, transient=True, disable=not console.is_terminal) as view:
-            bar = view.add_task("playing", total=len(plays))
-
-            def told(done: int, total: int, what: str) -> None:
-                view.update(bar, completed=done, description=what)
-
-            made = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, told))
-    except runs.Unknown as wrong:
-        raise CommandError(USAGE_ERROR, str(wrong)) from None
-    except OSError as wrong:
-        raise CommandError(NOT_POSSIBLE, f"{out}: {(wrong.strerror or str(wrong)).lower()}") from None
-    for row in experiment.differences(made):
+        with Progress(console=console, transient=True, disable=not console.is_terminal) as progress:
+            task = progress.add_task("playing", total=len(plays))
+
+            def report_progress(done: int, total: int, what: str) -> None:
+                progress.update(task, completed=done, description=what)
+
+            outcome = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, report_progress))
+    except runs.Unknown as error:
+        raise CommandError(USAGE_ERROR, str(error)) from None
+    except OSError as error:
+        raise CommandError(NOT_POSSIBLE, f"{out}: {(error.strerror or str(error)).lower()}") from None
+    for row in experiment.differences(outcome):
         click.echo(str(row))
-    if made.kept:
-        click.echo(f"{made.kept} of {len(plays)} plays were kept in {out}")
-    if made.failures:
-        raise CommandError(NOT_POSSIBLE, *made.failures)
+    if outcome.kept:
+        click.echo(f"{outcome.kept} of {len(plays)} plays were kept in {out}")
+    if outcome.failures:
+        raise CommandError(NOT_POSSIBLE, *outcome.failures)
 
 
 @lab.command("again")
 @click.argument("file", type=FILE_PATH)
 def play_again(file: Path) -> None:
-    """Play a kept result anew from its file alone; exit code 0 where it is the same, else 1."""
+    """Repeat the run of a stored result from its file alone; exit code 0 if it gives the same, else 1."""
     from lab import experiment, runs
 
     try:
-        same, text = experiment.again(file)
-    except runs.Unknown as wrong:
-        raise CommandError(USAGE_ERROR, str(wrong)) from None
+        identical, text = experiment.again(file)
+    except runs.Unknown as error:
+        raise CommandError(USAGE_ERROR, str(error)) from None
     click.echo(text)
-    sys.exit(SUCCESS if same else NOT_POSSIBLE)
+    sys.exit(SUCCESS if identical else NOT_POSSIBLE)
 
 
 @lab.command()
 @click.argument("schedules", nargs=-1)
-@click.option("--seed", "seeds", default="1", show_default=True, help="Such as 1-5,9.")
-@click.option("--gateways", type=click.IntRange(2, 200), help="Another number than the schedule's.")
+@click.option("--seed", "seeds", default="1", show_default=True, help="Random seeds, such as 1-5,9.")
+@click.option("--gateways", type=click.IntRange(2, 200), help="Override the schedule's number of gateways.")
 @click.option("--out", type=FILE_PATH, default=Path("found/cluster"), show_default=True)
-@click.option("--defect", help="Run gateways with a planted defect of this name: the checker must find it.")
-@click.option("--before", metavar="REV", help="Gateways begin as this revision; restarts bring today's.")
-@click.option("--shrink", is_flag=True, help="Look for the fewest faults that still break a rule.")
-@click.option("--json", "as_json", is_flag=True, help="Verdicts as JSON, a line each.")
+@click.option("--defect", help="Run gateways with this planted defect, which the checker must find.")
+@click.option(
+    "--before", metavar="REV", help="Start gateways from this revision; restarts use the current one."
+)
+@click.option("--shrink", is_flag=True, help="Minimize the faults that still break a rule.")
+@click.option("--json", "as_json", is_flag=True, help="Print verdicts as JSON, one per line.")
 def cluster(
     schedules: tuple[str, ...],
     seeds: str,
@@ -185,11 +197,11 @@
     shrink: bool,
     as_json: bool,
 ) -> None:
-    """Run real processes under the faults of SCHEDULES, files or names that ship; none: tell which ship.
+    """Run real processes with the faults of SCHEDULES: files, or names of included ones.
 
-    Starts gateways, list service, agents, hosts and clients on loopback with a relay between them, does the
-    faults, and checks the files that are left in --out. Exit code 0 where no rule was broken, 4 where one
-    was, 1 where the fleet could not run. Nothing is left behind but the files.
+    Without SCHEDULES, lists the included ones. Starts gateways, list service, agents, hosts and clients on
+    loopback with a relay between them, injects the faults, and checks the records written to --out, which are
+    all that is left behind. Exit code 0 if no rule was broken, 4 if one was, 1 if the fleet could not run.
     """
     import asyncio
     import os
@@ -204,78 +216,109 @@
     module = "birchdrum"
     if defect is not None:
         if defect not in defects.NAMES:
-            raise CommandError(USAGE_ERROR, f"--defect {defect}: known are {', '.join(defects.NAMES)}")
+            raise CommandError(USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.NAMES)}")
         module, os.environ[defects.VARIABLE] = "lab.defects", defect
-    found = {}
+    loaded = {}
     for name in schedules:
         try:
-            found[name] = schedule.load(schedule.shipped().get(name, Path(name)))
+            loaded[name] = schedule.load(schedule.shipped().get(name, Path(name)))
             if gateways:
-                found[name] = schedule.sized(found[name], gateways)
-        except schedule.Impossible as wrong:
-            raise CommandError(USAGE_ERROR, *wrong.lines) from None
+                loaded[name] = schedule.sized(loaded[name], gateways)
+        except schedule.Impossible as error:
+            raise CommandError(USAGE_ERROR, *error.lines) from None
 
-    async def one(name: str, seed: int) -> bool:
-        at = out / f"{Path(name).stem}-{seed}"
-        verdict = await campaign.run(found[name], seed, at, module, None, before)
+    async def run_one(name: str, seed: int) -> bool:
+        results = out / f"{Path(name).stem}-{seed}"
+        verdict = await campaign.run(loaded[name], seed, results, module, None, before)
         click.echo(json.dumps(verdict.fields()) if as_json else "\n".join(campaign.lines(name, verdict)))
         if verdict.breaches and shrink:
 
-            async def breaks(faults: list[schedule.Planned]) -> bool:
-                smaller = out / f"{at.name}-shrunk"
-                again = await campaign.run(found[name], seed, smaller, module, faults, before)
-                return bool(again.breaches)
+            async def breaks_rule(faults: list[schedule.Planned]) -> bool:
+                smaller = out / f"{results.name}-shrunk"
+                shrunk = await campaign.run(loaded[name], seed, smaller, module, faults, before)
+                return bool(shrunk.breaches)
 
-            fewest = await campaign.shrink(verdict.faults, breaks)
+            fewest = await campaign.shrink(verdict.faults, breaks_rule)
             click.echo("\n".join(["fewest faults that break a rule:", *(f"  {fault}" for fault in fewest)]))
         return not verdict.breaches
 
-    async def all_of_them() -> int:
-        kept = [await one(name, seed) for name in found for seed in _seeds(seeds)]
-        return SUCCESS if all(kept) else FAILED
+    async def run_all() -> int:
+        passed = [await run_one(name, seed) for name in loaded for seed in _parse_seeds(seeds)]
+        return SUCCESS if all(passed) else FAILED
 
     try:
-        sys.exit(asyncio.run(campaign.until_told(all_of_them())))
-    except (fleet.Broken, OSError) as wrong:
-        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
+        sys.exit(asyncio.run(campaign.until_told(run_all())))
+    except (fleet.Broken, OSError) as error:
+        raise CommandError(NOT_POSSIBLE, str(error)) from None
 
 
 @lab.command()
 @click.option("--members", type=click.IntRange(2, 4), default=3, show_default=True)
-@click.option("--window", type=click.IntRange(1, 200), default=12, show_default=True, help="Steps of 50 ms.")
-@click.option("--faults", type=click.IntRange(0, 4), default=1, show_default=True, help="At most, on a path.")
-@click.option("--kind", "kinds", multiple=True, help="lose, double, late, pause, restart; by default all.")
-@click.option("--defect", help="Check a core with a planted defect of this name.")
+@click.option(
+    "--window",
+    type=click.IntRange(1, 200),
+    default=12,
+    show_default=True,
+    help="Length of the explored window, in steps of 50 ms.",
+)
+@click.option(
+    "--faults",
+    type=click.IntRange(0, 4),
+    default=1,
+    show_default=True,
+    help="Maximum number of faults on a path.",
+)
+@click.option(
+    "--kind", "kinds", multiple=True, help="Fault kind: lose, double, late, pause, restart; by default all."
+)
+@click.option("--defect", help="Check an implementation with this planted defect.")
 def model(members: int, window: int, faults: int, kinds: tuple[str, ...], defect: str | None) -> None:
-    """Check membership's invariants over every placing of a few faults in a short time.
+    """Check the invariants of membership for every placement of a few faults in a short time.
 
-    Exit code 0 where all hold, 4 where one does not; the faults that led there are told.
+    Exit code 0 if all invariants hold, 4 if one is violated; prints the faults that lead to it.
     """
     from lab import defects
     from lab import model as states
     from orchidlane.membership import Membership
 
-    if odd := set(kinds) - set(states.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(odd)}: known are {', '.join(states.KINDS)}")
+    if unknown := set(kinds) - set(states.KINDS):
+        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(states.KINDS)}")
     if defect is not None and defect not in defects.DEFECTS:
-        raise CommandError(USAGE_ERROR, f"--defect {defect}: known are {', '.join(defects.DEFECTS)}")
+        raise CommandError(USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.DEFECTS)}")
     core = defects.DEFECTS[defect] if defect else Membership
-    found = states.check(core, members, window, faults, kinds or states.KINDS)
-    click.echo(f"{found.states} states, {found.paths} paths, {found.known} of them known by then")
-    for broken in found.broken:
-        click.echo(f"BROKEN {broken}")
-    sys.exit(FAILED if found.broken else SUCCESS)
+    result = states.check(core, members, window, faults, kinds or states.KINDS)
+    click.echo(f"{result.states} states, {result.paths} paths, {result.known} of them known by then")
+    for violation in result.broken:
+        click.echo(f"BROKEN {violation}")
+    sys.exit(FAILED if result.broken else SUCCESS)
 
 
 @lab.command()
-@click.option("--what", "whats", multiple=True, help="kill, false, pauses, name, heal, rest; by default all.")
+@click.option(
+    "--what",
+    "whats",
+    multiple=True,
+    help="Measurement: kill, false, pauses, name, heal, rest; by default all.",
+)
 @click.option("--variant", "variants", multiple=True, help="birchdrum, swim, heartbeats; by default all.")
-@click.option("--size", "sizes", multiple=True, type=click.IntRange(2, 1000), help="Members; by default 30.")
-@click.option("--loss", "losses", multiple=True, type=click.FloatRange(0, 0.9), help="By default none.")
-@click.option("--seeds", default="1-5", show_default=True, help="Such as 1-5,9.")
+@click.option(
+    "--size",
+    "sizes",
+    multiple=True,
+    type=click.IntRange(2, 1000),
+    help="Number of members, by default 30; repeatable.",
+)
+@click.option(
+    "--loss",
+    "losses",
+    multiple=True,
+    type=click.FloatRange(0, 0.9),
+    help="Fraction of messages lost, by default 0; repeatable.",
+)
+@click.option("--seeds", default="1-5", show_default=True, help="Random seeds, such as 1-5,9.")
 @click.option("--out", type=FILE_PATH, default=Path("found/members"), show_default=True)
-@click.option("--workers", type=click.IntRange(1), help="Measurements side by side; by default one a core.")
-@click.option("--plot", type=FILE_PATH, help="Draw what was measured, as this .png, .svg or .pdf.")
+@click.option("--workers", type=click.IntRange(1), help="Parallel measurements; by default one per core.")
+@click.option("--plot", type=FILE_PATH, help="Plot the results to this .png, .svg or .pdf file.")
 def members(
     whats: tuple[str, ...],
     variants: tuple[str, ...],
@@ -286,103 +329,122 @@
     workers: int | None,
     plot: Path | None,
 ) -> None:
-    """Measure membership on the virtual clock against two baselines, in pairs by seed.
+    """Compare membership with two baselines on the virtual clock, paired by seed.
 
-    Results are kept in --out, one file a measurement; called again, only what is missing is measured.
+    Results are stored in --out, one file per measurement; a repeated call runs only those that are missing.
     """
     import os
 
     from lab import member_baselines, member_study
 
-    for words, known, option in (
+    for values, accepted, option in (
         (whats, member_study.WHAT, "--what"),
         (variants, member_baselines.VARIANTS, "--variant"),
     ):
-        if odd := set(words) - set(known):
-            raise CommandError(USAGE_ERROR, f"{option} {min(odd)}: known are {', '.join(known)}")
+        if unknown := set(values) - set(accepted):
+            raise CommandError(USAGE_ERROR, f"{option} {min(unknown)}: expected one of {', '.join(accepted)}")
     jobs = [
         member_study.Job(what, variant, size, seed, loss)
         for what in whats or member_study.WHAT
         for size in sizes or (30,)
         for loss in losses or (0.0,)
-        for seed in _seeds(seeds)
+        for seed in _parse_seeds(seeds)
         for variant in variants or member_baselines.VARIANTS
     ]
     if plot and plot.suffix not in (".png", ".svg", ".pdf"):
-        raise CommandError(USAGE_ERROR, f"--plot {plot}: expected a name that ends in .png, .svg or .pdf")
+        raise CommandError(USAGE_ERROR, f"--plot {plot}: expected a file name ending in .png, .svg or .pdf")
     if plot:
         try:
             from lab import member_plots
-        except ModuleNotFoundError as missing:
+        except ModuleNotFoundError as error:
             raise CommandError(
-                NOT_POSSIBLE, f"lab members --plot needs {missing.name}: install birchdrum's extra [lab]"
+                NOT_POSSIBLE, f"lab members --plot needs {error.name}: install birchdrum's extra [lab]"
             ) from None
-    found = member_study.run(jobs, out, workers or os.cpu_count() or 1)
-    for line in member_study.summary(found):
+    measurements = member_study.run(jobs, out, workers or os.cpu_count() or 1)
+    for line in member_study.summary(measurements):
         click.echo(line)
     if plot:
-        member_plots.draw(found, plot)
+        member_plots.draw(measurements, plot)
 
 
 @lab.command()
 @click.option(
-    "--kind", "kinds", multiple=True, help="calm, loss, cuts, pauses, restarts, source, all; or each."
+    "--kind",
+    "kinds",
+    multiple=True,
+    help="Fault kind: calm, loss, cuts, pauses, restarts, source, all; by default each.",
+)
+@click.option(
+    "--size", type=click.IntRange(1, 1000), default=8, show_default=True, help="Number of gateways."
 )
-@click.option("--size", type=click.IntRange(1, 1000), default=8, show_default=True, help="Gateways.")
-@click.option("--seeds", default="1-3", show_default=True, help="Such as 1-5,9.")
+@click.option("--seeds", default="1-3", show_default=True, help="Random seeds, such as 1-5,9.")
 @click.option(
-    "--for", "span", type=DurationType(), default="60s", show_default=True, help="Of the virtual clock."
+    "--for",
+    "span",
+    type=DurationType(),
+    default="60s",
+    show_default=True,
+    help="Duration on the virtual clock.",
 )
 def agreement(kinds: tuple[str, ...], size: int, seeds: str, span: float) -> None:
-    """Change settings all the time under faults, and measure how far decisions contradict each other.
+    """Change settings continuously under faults, and measure how long gateways use conflicting versions.
 
-    On the virtual clock. Exit code 4 where two decided by versions that may never be mixed, or by others for
-    longer than the bound.
+    Runs on the virtual clock. Exit code 4 if gateways mixed versions that must never be mixed, or mixed others
+    for longer than the bound.
     """
     import numpy as np
 
     from lab import agreement as virtual
     from registry.agreement import NEVER, WITHIN
 
-    if odd := set(kinds) - set(virtual.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(odd)}: known are {', '.join(virtual.KINDS)}")
-    broken = False
+    if unknown := set(kinds) - set(virtual.KINDS):
+        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(virtual.KINDS)}")
+    rule_broken = False
     for kind in kinds or virtual.KINDS:
-        for seed in _seeds(seeds):
-            every = 4.0 if kind == "calm" else 0.5  # seconds between two changes
-            world = virtual.World(size, seed, virtual.KINDS[kind], change_every=every)
+        for seed in _parse_seeds(seeds):
+            change_interval = 4.0 if kind == "calm" else 0.5  # seconds between two changes
+            world = virtual.World(size, seed, virtual.KINDS[kind], change_every=change_interval)
             world.run(span)
-            never, longest = len(world.overlaps(NEVER)), world.longest(WITHIN)
-            broken = broken or never > 0 or longest > 1
+            never_overlaps, longest = len(world.overlaps(NEVER)), world.longest(WITHIN)
+            rule_broken = rule_broken or never_overlaps > 0 or longest > 1
             p50, p99 = np.percentile(world.spread() or [0.0], [50, 99])
             lapsed = world.counts["lapsed"] / max(1, world.counts["decisions"])
-            head = f"{kind:8} {size} gateways, seed {seed}: {world.counts['changes']} changes"
-            contradicted = f"{never} that never may did, others for {longest:.2f} of the bound at most"
-            known = f"p50 {p50:.3f} p99 {p99:.3f} s"
+            prefix = f"{kind:8} {size} gateways, seed {seed}: {world.counts['changes']} changes"
+            contradicted = (
+                f"{never_overlaps} that never may did, others for {longest:.2f} of the bound at most"
+            )
+            propagation = f"p50 {p50:.3f} p99 {p99:.3f} s"
             click.echo(
-                f"{head}; contradicted: {contradicted}; with the last gateway after {known};"
+                f"{prefix}; contradicted: {contradicted}; with the last gateway after {propagation};"
                 f" {lapsed:.1%} of the decisions out of lease"
             )
-    sys.exit(FAILED if broken else SUCCESS)
+    sys.exit(FAILED if rule_broken else SUCCESS)
 
 
 @lab.command()
 @click.option("--gateways", type=click.IntRange(2, 100), default=5, show_default=True)
 @click.option("--pairs", "count", type=click.IntRange(1, 100), default=10, show_default=True)
-@click.option("--rate", type=click.FloatRange(1), default=300.0, show_default=True, help="Requests a second.")
 @click.option(
-    "--for", "span", type=DurationType(), default="3s", show_default=True, help="Of load, each time."
+    "--rate", type=click.FloatRange(1), default=300.0, show_default=True, help="Requests per second."
+)
+@click.option(
+    "--for",
+    "span",
+    type=DurationType(),
+    default="3s",
+    show_default=True,
+    help="Duration of the load on each fleet.",
 )
 def cost(gateways: int, count: int, rate: float, span: float) -> None:
-    """Measure what membership costs a gateway: two fleets, with it and without, loaded in turn."""
+    """Measure the cost of membership with two fleets, one with it and one without, loaded in turn."""
     import asyncio
 
-    from lab.cluster import cost as measured
+    from lab.cluster import cost as cost_study
     from lab.cluster import fleet, schedule
 
     wanted = schedule.Schedule(gateways=gateways, hosts=4, customers=0)
     try:
-        for line in asyncio.run(measured.pairs(wanted, count, rate, span)):
+        for line in asyncio.run(cost_study.pairs(wanted, count, rate, span)):
             click.echo(line)
-    except (fleet.Broken, OSError) as wrong:
-        raise CommandError(NOT_POSSIBLE, str(wrong)) from None
+    except (fleet.Broken, OSError) as error:
+        raise CommandError(NOT_POSSIBLE, str(error)) from None
