--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -130,9 +130,9 @@
 
     try:
         from lab import experiment, runs
-    except ModuleNotFoundError as error:
+    except ModuleNotFoundError as missing:
         raise CommandError(
-            NOT_POSSIBLE, f"lab compare needs {error.name}: install birchdrum's extra [lab]"
+            NOT_POSSIBLE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]"
         ) from None
 
     try:
@@ -356,9 +356,9 @@
     if plot:
         try:
             from lab import member_plots
-        except ModuleNotFoundError as error:
+        except ModuleNotFoundError as missing:
             raise CommandError(
-                NOT_POSSIBLE, f"lab members --plot needs {error.name}: install birchdrum's extra [lab]"
+                NOT_POSSIBLE, f"lab members --plot needs {missing.name}: install birchdrum's extra [lab]"
             ) from None
     measurements = member_study.run(jobs, out, workers or os.cpu_count() or 1)
     for line in member_study.summary(measurements):
@@ -374,9 +374,7 @@
     multiple=True,
     help="Fault kind: calm, loss, cuts, pauses, restarts, source, all; by default each.",
 )
-@click.option(
-    "--size", type=click.IntRange(1, 1000), default=8, show_default=True, help="Number of gateways."
-)
+@click.option("--size", type=click.IntRange(1, 1000), default=8, show_default=True, help="Gateways.")
 @click.option("--seeds", default="1-3", show_default=True, help="Random seeds, such as 1-5,9.")
 @click.option(
     "--for",
@@ -389,8 +387,8 @@
 def agreement(kinds: tuple[str, ...], size: int, seeds: str, span: float) -> None:
     """Change settings continuously under faults, and measure how long gateways use conflicting versions.
 
-    Runs on the virtual clock. Exit code 4 if gateways mixed versions that must never be mixed, or mixed others
-    for longer than the bound.
+    Runs on the virtual clock. Exit code 4 if gateways mixed versions that must never be mixed, or others for
+    longer than the bound.
     """
     import numpy as np
 
