--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -1,4 +1,7 @@
-"""A small fleet on loopback: list service and gateways as processes, stand-ins for the rest in this one."""
+"""Runs a small fleet on loopback.
+
+The list service and the gateways are processes; hosts and clients are simulated in this process.
+"""
 
 from __future__ import annotations
 
@@ -34,23 +37,24 @@
 from .trouble import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
-KINDS = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
-PLANS = {"domestic": (4.0, 12.0), "large-user": (20.0, 40.0)}  # units a second and burst of a customer
-# Of its quota: what each customer asks for on average. Every third one asks for more than it may.
+REQUEST_CLASSES = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
+PLANS = {"domestic": (4.0, 12.0), "large-user": (20.0, 40.0)}  # units per second and burst of each customer
+# Average demand of customers as a share of their quota; every third one exceeds it.
 DEMANDS = (0.5, 0.9, 1.6)
-READY_WITHIN = 20.0  # seconds
-END_WITHIN = 8.0  # seconds for the fleet to end
-SENT_LEAST = 20  # requests: after fewer, none served says nothing yet
-LOOK_EVERY = 0.5  # seconds between two pictures
-SLACK = 1.1  # what a customer may get of its quota, as gateways decide on counts that are a moment old
+READY_TIMEOUT = 20.0  # seconds
+SHUTDOWN_TIMEOUT = 8.0  # seconds until processes are killed
+MIN_SENT = 20  # requests; a run with fewer may have served none yet
+REFRESH_INTERVAL = 0.5  # seconds between two updates of the live table
+# Share of its quota that a customer may get, since gateways decide on counts that lag behind.
+QUOTA_TOLERANCE = 1.1
 
 
-class Broken(Exception):
-    """The demo can't go on; the text says why."""
+class DemoError(Exception):
+    """The demo can't continue; the message gives the reason."""
 
 
 @dataclass(slots=True)
-class Address:
+class GatewayAddresses:
     """The addresses of one gateway."""
 
     name: str
@@ -62,32 +66,32 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """What is running, and what has been seen of it."""
+    """The running parts of the demo, and the figures collected from them."""
 
     folder: Path
     children: Children
-    gateways: list[Address]
-    registry: tuple[str, str]  # where readers and writers call, and where operators do
+    gateways: list[GatewayAddresses]
+    registry: tuple[str, str]  # its service address and its control address
     hosts: list[Host] = field(default_factory=list)
     registrations: list[Registration] = field(default_factory=list)
     clients: Clients | None = None
-    began: float = field(default_factory=time.monotonic)
-    ended: float = 0.0  # when clients asked no more
-    causes: Counter[str] = field(default_factory=Counter)  # of refusals, as the gateways tell
-    trouble: FaultInjection | None = None
-    states: list[str] = field(default_factory=list)  # of the gateways, by their own word
+    started_at: float = field(default_factory=time.monotonic)
+    stopped_at: float = 0.0  # when clients stopped sending
+    causes: Counter[str] = field(default_factory=Counter)  # of refusals, from the gateways' metrics
+    fault: FaultInjection | None = None
+    health: list[str] = field(default_factory=list)  # each gateway's answer to HEALTH
 
 
-def split(address: str) -> tuple[str, int]:
-    """``HOST:PORT`` as a pair."""
+def parse_address(address: str) -> tuple[str, int]:
+    """Splits ``HOST:PORT`` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def gateway_file(fleet: Fleet, rank: int) -> str:
-    """One gateway's configuration, as a person would write it."""
+def gateway_toml(fleet: Fleet, rank: int) -> str:
+    """Returns the TOML configuration of one gateway."""
     own = fleet.gateways[rank]
-    relay = fleet.trouble.datagrams if fleet.trouble else None
+    relay = fleet.fault.datagrams if fleet.fault else None
     peers = [
         gateway.peer
         if gateway is own or relay is None
@@ -112,8 +116,8 @@
             },
             "hosts": {"cold_from": 0.5, "warm_within": "3s"},
             "classes": [
-                {"name": KINDS[0].name, "effect": "repeatable", "aim": "500ms", "deadline": "2s"},
-                {"name": KINDS[1].name, "effect": "by_key", "aim": "1s", "deadline": "3s"}
+                {"name": REQUEST_CLASSES[0].name, "effect": "repeatable", "aim": "500ms", "deadline": "2s"},
+                {"name": REQUEST_CLASSES[1].name, "effect": "by_key", "aim": "1s", "deadline": "3s"}
                 | {"repeat_window": "5s", "worth": 3.0},
             ],
             "plans": [{"name": name, "rate": rate, "burst": burst} for name, (rate, burst) in PLANS.items()],
@@ -121,152 +125,163 @@
     )
 
 
-def customers(count: int, gateways: int) -> list[Customer]:
-    """Some of each plan and demand, their sets shifted round the gateways."""
-    done = []
-    for i in range(count):
-        plan = list(PLANS)[i % len(PLANS)]
+def create_customers(count: int, gateways: int) -> list[Customer]:
+    """Creates customers of all plans and demands, their gateway sets spread round the fleet."""
+    result = []
+    for index in range(count):
+        plan = list(PLANS)[index % len(PLANS)]
         quota, burst = PLANS[plan]
-        rate = quota * DEMANDS[i // len(PLANS) % len(DEMANDS)]
-        done.append(Customer(100 + i, plan, rate, quota, burst, i % gateways, min(2, gateways)))
-    return done
+        rate = quota * DEMANDS[index // len(PLANS) % len(DEMANDS)]
+        result.append(Customer(100 + index, plan, rate, quota, burst, index % gateways, min(2, gateways)))
+    return result
 
 
-async def start(
-    folder: Path, gateways: int, hosts: int, count: int, seed: int, trouble: FaultInjection | None
+async def start_fleet(
+    folder: Path, gateways: int, hosts: int, count: int, seed: int, fault: FaultInjection | None
 ) -> Fleet:
-    """Bring all of it up, the list service first; raises Broken."""
-    addresses = iter(ports.free(2 + 4 * gateways))
+    """Starts the fleet, the list service first; raises DemoError."""
+    free_ports = iter(ports.free(2 + 4 * gateways))
 
     def address() -> str:
-        return f"127.0.0.1:{next(addresses)}"
-
-    own = [Address(f"gw-{rank}", address(), address(), address(), address()) for rank in range(gateways)]
-    # A process that stands still takes no other word.
-    children = Children(folder, signal.SIGKILL if trouble else signal.SIGTERM)
-    fleet = Fleet(folder, children, own, (address(), address()), trouble=trouble)
-    if trouble and trouble.kind == "cut":
-        trouble.relay({gateway.name: split(gateway.peer) for gateway in own}, seed)
+        return f"127.0.0.1:{next(free_ports)}"
+
+    gateway_addresses = [
+        GatewayAddresses(f"gw-{rank}", address(), address(), address(), address()) for rank in range(gateways)
+    ]
+    # A paused process handles no signal but SIGKILL.
+    children = Children(folder, signal.SIGKILL if fault else signal.SIGTERM)
+    fleet = Fleet(folder, children, gateway_addresses, (address(), address()), fault=fault)
+    if fault and fault.kind == "cut":
+        fault.create_relay({gateway.name: parse_address(gateway.peer) for gateway in gateway_addresses}, seed)
     try:
-        await _start_parts(fleet, hosts, count, seed)
+        await _start_components(fleet, hosts, count, seed)
     except BaseException:
-        await end(fleet)
+        await stop_fleet(fleet)
         raise
     return fleet
 
 
-async def _start_parts(fleet: Fleet, hosts: int, count: int, seed: int) -> None:
+async def _start_components(fleet: Fleet, hosts: int, count: int, seed: int) -> None:
     folder, children = fleet.folder, fleet.children
-    # Nobody's configuration but the files here: TMPDIR would have gateways look for a process before them.
-    environment = {k: v for k, v in os.environ.items() if not k.startswith(("BIRCHDRUM_", "LB_", "TMPDIR"))}
-    parts = np.random.SeedSequence(seed).spawn(hosts + 1)
+    # Gateways must read only the files written here. With TMPDIR set, they would look for a predecessor
+    # process to take over from.
+    environment = {
+        name: value
+        for name, value in os.environ.items()
+        if not name.startswith(("BIRCHDRUM_", "LB_", "TMPDIR"))
+    }
+    seeds = np.random.SeedSequence(seed).spawn(hosts + 1)
     store = folder / "list.db"
-    words = ["registry", "serve", "--listen", fleet.registry[0], "--operators", fleet.registry[1]]
+    arguments = ["registry", "serve", "--listen", fleet.registry[0], "--operators", fleet.registry[1]]
     await children.start(
-        "registry", *words, "--store", store, "--new", "--settle", "0", environment=environment
+        "registry", *arguments, "--store", store, "--new", "--settle", "0", environment=environment
     )
     machine = Machine(slots=8, work={b"reading": 0.03, b"order": 0.08}, cold_from=0.5, warm_within=3.0)
-    for i, part in enumerate(parts[:hosts]):
-        host = await Host(f"host-{i}", machine, np.random.default_rng(part)).listen()
+    for index, host_seed in enumerate(seeds[:hosts]):
+        host = await Host(f"host-{index}", machine, np.random.default_rng(host_seed)).listen()
         fleet.hosts.append(host)
         dial = "{}:{}".format(*host.address)
-        service = split(fleet.registry[0])
+        service = parse_address(fleet.registry[0])
         fleet.registrations.append(
-            Registration(service, host.name, dial, ZONES[i % len(ZONES)], block=i // 4)
+            Registration(service, host.name, dial, ZONES[index % len(ZONES)], block=index // 4)
         )
-    await _wait(fleet, lambda: asyncio.to_thread(_answers, fleet.registry[0]), "the list service")
+    await _wait_until_ready(
+        fleet, lambda: asyncio.to_thread(_answers_http, fleet.registry[0]), "the list service"
+    )
     for registration in fleet.registrations:
         if not await registration.register():
-            raise Broken(f"{registration.name} can't register: {registration.failures[-1]}")
+            raise DemoError(f"{registration.name} can't register: {registration.failures[-1]}")
         registration.start()
 
-    async def begin(rank: int) -> Child:
+    async def start_gateway(rank: int) -> Child:
         file = folder / f"{fleet.gateways[rank].name}.toml"
-        file.write_text(gateway_file(fleet, rank))
+        file.write_text(gateway_toml(fleet, rank))
         return await children.start(fleet.gateways[rank].name, "gateway", file, environment=environment)
 
-    begun = [await begin(rank) for rank in range(len(fleet.gateways))]
+    processes = [await start_gateway(rank) for rank in range(len(fleet.gateways))]
     (folder / "fleet.toml").write_text(
         tomlkit.dumps({"gateways": {gateway.name: gateway.control for gateway in fleet.gateways}})
     )
-    controls = {gateway.name: split(gateway.control) for gateway in fleet.gateways}
+    controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
 
     async def all_ready() -> bool:
         answers = await calling.call_each(controls, "HEALTH", 1.0)
         return all(answer.accepted for answer in answers)
 
-    await _wait(fleet, all_ready, "the gateways")
-    front = Front([split(gateway.listen) for gateway in fleet.gateways])
-    fleet.clients = Clients(front, customers(count, len(fleet.gateways)), KINDS, parts[hosts])
+    await _wait_until_ready(fleet, all_ready, "the gateways")
+    front = Front([parse_address(gateway.listen) for gateway in fleet.gateways])
+    fleet.clients = Clients(
+        front, create_customers(count, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
+    )
     fleet.clients.start()
-    fleet.began = time.monotonic()
-    if trouble := fleet.trouble:
-        fleet.clients.observer = _watch_losses(trouble)
+    fleet.started_at = time.monotonic()
+    if fault := fleet.fault:
+        fleet.clients.observer = _record_losses(fault)
         others = [gateway.name for gateway in fleet.gateways]
         victim = others.pop(VICTIM_RANK)
-        work = trouble.play(victim, begun[VICTIM_RANK], others, lambda: begin(VICTIM_RANK))
-        trouble.task = asyncio.get_running_loop().create_task(work)
+        injection = fault.inject(victim, processes[VICTIM_RANK], others, lambda: start_gateway(VICTIM_RANK))
+        fault.task = asyncio.get_running_loop().create_task(injection)
 
 
-def _watch_losses(trouble: FaultInjection) -> Callable[[Customer, str, str, float, int], None]:
-    def seen(customer: Customer, number: str, came: str, took: float, rank: int) -> None:
-        if came == "lost":
-            trouble.lost(rank, took)
+def _record_losses(fault: FaultInjection) -> Callable[[Customer, str, str, float, int], None]:
+    def observe(customer: Customer, number: str, outcome: str, duration: float, rank: int) -> None:
+        if outcome == "lost":
+            fault.record_loss(rank, duration)
 
-    return seen
+    return observe
 
 
-async def look(fleet: Fleet) -> None:
-    """What gateways say of themselves, where something goes wrong with one."""
-    controls = {gateway.name: split(gateway.control) for gateway in fleet.gateways}
-    answers = await calling.call_each(controls, "HEALTH", LOOK_EVERY / 2)
-    fleet.states = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
+async def poll_health(fleet: Fleet) -> None:
+    """Updates the gateways' health, which is shown when a fault is injected."""
+    controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
+    answers = await calling.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
+    fleet.health = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
 
 
-async def _wait(fleet: Fleet, ready: Any, what: str) -> None:
-    ends = time.monotonic() + READY_WITHIN
+async def _wait_until_ready(fleet: Fleet, ready: Any, component: str) -> None:
+    expires = time.monotonic() + READY_TIMEOUT
     while not await ready():
-        await broken(fleet)
-        if time.monotonic() > ends:
-            raise Broken(f"{what} is not ready after {READY_WITHIN:g} s")
+        await check_processes(fleet)
+        if time.monotonic() > expires:
+            raise DemoError(f"{component} is not ready after {READY_TIMEOUT:g} s")
         await asyncio.sleep(0.05)
 
 
-async def broken(fleet: Fleet) -> None:
-    """Raise Broken where a process has ended by itself."""
-    expected = fleet.trouble.expected if fleet.trouble else ()
+async def check_processes(fleet: Fleet) -> None:
+    """Raises DemoError if a process has exited unexpectedly."""
+    expected = fleet.fault.expected_exits if fleet.fault else ()
     for child in fleet.children.ended():
         if child in expected:
             continue
-        raise Broken(await child.why())
+        raise DemoError(await child.why())
 
 
-def _answers(address: str) -> bool:
-    """Whether HTTP is spoken there by now."""
+def _answers_http(address: str) -> bool:
+    """Whether an HTTP server answers at the address."""
     try:
-        _get(address, "/registry/instances")
+        _http_get(address, "/registry/instances")
     except (OSError, http.client.HTTPException):
         return False
     return True
 
 
-def _get(address: str, path: str) -> str | None:
-    link = http.client.HTTPConnection(*split(address), timeout=1.0)
+def _http_get(address: str, path: str) -> str | None:
+    connection = http.client.HTTPConnection(*parse_address(address), timeout=1.0)
     try:
-        link.request("GET", path)
-        answer = link.getresponse()
-        text = answer.read().decode()
-        return text if answer.status == 200 else None
+        connection.request("GET", path)
+        response = connection.getresponse()
+        text = response.read().decode()
+        return text if response.status == 200 else None
     finally:
-        link.close()
+        connection.close()
 
 
-def refusals(addresses: list[str]) -> Counter[str]:
-    """Causes of refusals over all gateways, from their metrics; one that does not answer tells none."""
+def refusals_by_cause(addresses: list[str]) -> Counter[str]:
+    """Counts refusals by cause over all gateways, from their metrics; skips gateways that don't answer."""
     causes: Counter[str] = Counter()
     for address in addresses:
         try:
-            text = _get(address, "/metrics") or ""
+            text = _http_get(address, "/metrics") or ""
         except (OSError, http.client.HTTPException):
             continue
         for family in text_string_to_metric_families(text):
@@ -276,38 +291,38 @@
     return +causes
 
 
-async def end(fleet: Fleet) -> None:
-    """Clients, then gateways, hosts and the list service: nothing is left."""
-    ends = time.monotonic() + END_WITHIN
-    if fleet.trouble:
-        await fleet.trouble.end()
+async def stop_fleet(fleet: Fleet) -> None:
+    """Stops clients, gateways, hosts and the list service, in this order."""
+    expires = time.monotonic() + SHUTDOWN_TIMEOUT
+    if fleet.fault:
+        await fleet.fault.stop()
 
-    def left() -> float:
-        return ends - time.monotonic()
+    def remaining() -> float:
+        return expires - time.monotonic()
 
     if fleet.clients:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(fleet.clients.stop(), max(0.1, left()))
-    await fleet.children.end(left, [gateway.name for gateway in fleet.gateways] or ["-"])
+            await asyncio.wait_for(fleet.clients.stop(), max(0.1, remaining()))
+    await fleet.children.end(remaining, [gateway.name for gateway in fleet.gateways] or ["-"])
     await asyncio.gather(*(registration.leave() for registration in fleet.registrations))
     for host in fleet.hosts:
         await host.close()
-    await fleet.children.end(left)
+    await fleet.children.end(remaining)
 
 
-# -- what is shown ----------------------------------------------------------------------------------------
+# -- output -----------------------------------------------------------------------------------------------
 
 
 def summary(fleet: Fleet) -> dict[str, Any]:
-    """All figures by now, for people and machines."""
+    """Returns the figures of the run so far, for the JSON output and the tables."""
     clients = fleet.clients
     assert clients is not None
-    span = (fleet.ended or time.monotonic()) - fleet.began
+    elapsed = (fleet.stopped_at or time.monotonic()) - fleet.started_at
     rows: list[dict[str, Any]] = []
     for customer in clients.customers:
         account = clients.accounts[customer.number]
-        may = customer.quota * span + customer.burst
-        times = sorted(account.times)
+        allowance = customer.quota * elapsed + customer.burst
+        latencies = sorted(account.times)
         rows.append(
             {
                 "customer": f"{customer.number:016x}",
@@ -315,32 +330,34 @@
                 "sent": account.sent,
                 **{name: account.answers[name] for name in ("served", "refused", "failed", "lost")},
                 "asked_of_quota": round(customer.rate * customer.units / customer.quota, 3),
-                "used_of_quota": round(account.units / may, 3),
+                "used_of_quota": round(account.units / allowance, 3),
                 "beyond_units": round(account.overrun, 1),
-                "median_ms": round(1000 * times[len(times) // 2], 1) if times else None,
+                "median_ms": round(1000 * latencies[len(latencies) // 2], 1) if latencies else None,
             }
         )
     hosts = []
     for host in fleet.hosts:
-        seen = host.seen
-        away = sum(seen.turned_away.values())
+        stats = host.seen
+        turned_away = sum(stats.turned_away.values())
         hosts.append(
             {
                 "host": host.name,
                 "address": "{}:{}".format(*host.address),
-                "begun": seen.begun,
-                "served": seen.served,
-                "turned_away": away,
+                "begun": stats.begun,
+                "served": stats.served,
+                "turned_away": turned_away,
                 "running": host.station.running,
                 "waiting": len(host.station.queue),
                 "links": len(host.links),
-                "busy": round(seen.busy_time / (host.station.machine.slots * span), 3) if span else 0.0,
+                "busy": round(stats.busy_time / (host.station.machine.slots * elapsed), 3)
+                if elapsed
+                else 0.0,
             }
         )
     total = {name: sum(row[name] for row in rows) for name in ("sent", "served", "refused", "failed", "lost")}
-    trouble = {"trouble": fleet.trouble.figures(fleet.began)} if fleet.trouble else {}
-    return trouble | {
-        "seconds": round(span, 1),
+    fault = {"trouble": fleet.fault.summary(fleet.started_at)} if fleet.fault else {}
+    return fault | {
+        "seconds": round(elapsed, 1),
         "total": total,
         "refused_by_cause": dict(sorted(fleet.causes.items())),
         "customers": rows,
@@ -348,31 +365,33 @@
     }
 
 
-def verdict(figures: dict[str, Any]) -> list[str]:
-    """What is wrong with a run; empty: nothing."""
-    total, wrong = figures["total"], []
-    if not total["served"] and total["sent"] >= SENT_LEAST:
-        wrong.append("no request was served")
+def find_problems(figures: dict[str, Any]) -> list[str]:
+    """Lists the problems of a run; empty if there are none."""
+    total, problems = figures["total"], []
+    if not total["served"] and total["sent"] >= MIN_SENT:
+        problems.append("no request was served")
     lost = figures["trouble"]["lost_besides"] if "trouble" in figures else total["lost"]
     if lost:
-        wrong.append(f"{lost} requests were lost")
-    over = [row["customer"] for row in figures["customers"] if row["used_of_quota"] > SLACK]
+        problems.append(f"{lost} requests were lost")
+    over = [row["customer"] for row in figures["customers"] if row["used_of_quota"] > QUOTA_TOLERANCE]
     if over:
-        wrong.append(f"beyond their quota: {', '.join(over)}")
-    return wrong
+        problems.append(f"beyond their quota: {', '.join(over)}")
+    return problems
 
 
-def picture(fleet: Fleet) -> Group:
-    """The live table."""
+def render(fleet: Fleet) -> Group:
+    """Renders the live table."""
     figures = summary(fleet)
     total = figures["total"]
-    head = Table(title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C ends it", title_justify="left")
+    customer_table = Table(
+        title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C ends it", title_justify="left"
+    )
     for name in ("customer", "plan", "sent", "served", "refused", "failed", "lost"):
-        head.add_column(name, justify="right" if name not in ("customer", "plan") else "left")
+        customer_table.add_column(name, justify="right" if name not in ("customer", "plan") else "left")
     for name in ("asks of quota", "got of quota", "median ms"):
-        head.add_column(name, justify="right")
+        customer_table.add_column(name, justify="right")
     for row in figures["customers"]:
-        head.add_row(
+        customer_table.add_row(
             row["customer"][-4:],
             row["plan"],
             *(str(row[name]) for name in ("sent", "served", "refused", "failed", "lost")),
@@ -381,49 +400,55 @@
             "-" if row["median_ms"] is None else f"{row['median_ms']:.0f}",
         )
     names = ("sent", "served", "refused", "failed", "lost")
-    head.add_section()
-    head.add_row("all", "", *(str(total[name]) for name in names), "", "", "")
-    hosts = Table()
+    customer_table.add_section()
+    customer_table.add_row("all", "", *(str(total[name]) for name in names), "", "", "")
+    host_table = Table()
     columns = ("host", "begun", "served", "turned_away", "running", "waiting", "links")
     for name in (*columns, "busy"):
-        hosts.add_column(name.replace("_", " "), justify="left" if name == "host" else "right")
+        host_table.add_column(name.replace("_", " "), justify="left" if name == "host" else "right")
     for row in figures["hosts"]:
-        hosts.add_row(*(str(row[name]) for name in columns), f"{row['busy']:.0%}")
+        host_table.add_row(*(str(row[name]) for name in columns), f"{row['busy']:.0%}")
     causes = ", ".join(f"{name} {count}" for name, count in figures["refused_by_cause"].items()) or "none"
     parts: list[RenderableType] = []
-    if fleet.trouble:
-        view = Table()
-        for name in ("gateway", "trouble", "what it says of itself"):
-            view.add_column(name)
-        for gateway, state in zip(fleet.gateways, fleet.states, strict=False):
-            mark = fleet.trouble.is_on and gateway.name == fleet.trouble.name
-            word = DESCRIPTIONS[fleet.trouble.kind] if mark else ""
-            view.add_row(gateway.name, word, state, style="red" if mark else None)
-        parts = [view, describe(figures["trouble"])]
-    return Group(*parts, head, f"refused, as the gateways tell: {causes}", hosts, *_addresses(fleet))
+    if fleet.fault:
+        fault_table = Table()
+        for name in ("gateway", "trouble", "health"):
+            fault_table.add_column(name)
+        for gateway, state in zip(fleet.gateways, fleet.health, strict=False):
+            has_fault = fleet.fault.is_active and gateway.name == fleet.fault.gateway_name
+            description = DESCRIPTIONS[fleet.fault.kind] if has_fault else ""
+            fault_table.add_row(gateway.name, description, state, style="red" if has_fault else None)
+        parts = [fault_table, describe(figures["trouble"])]
+    return Group(
+        *parts,
+        customer_table,
+        f"refused, as reported by the gateways: {causes}",
+        host_table,
+        *_addresses(fleet),
+    )
 
 
 def _addresses(fleet: Fleet) -> list[str]:
-    one = fleet.gateways[0]
+    first = fleet.gateways[0]
     lines = [
-        f"{g.name}: clients {g.listen}, operators {g.control}, metrics http://{g.metrics}/metrics"
-        for g in fleet.gateways
+        f"{gateway.name}: clients {gateway.listen}, operators {gateway.control}, metrics http://{gateway.metrics}/metrics"
+        for gateway in fleet.gateways
     ]
     lines.append(f"list: curl {fleet.registry[0]}/registry/instances   logs: {fleet.folder}")
-    lines.append(f"send one yourself: birchdrum call {one.listen} --class reading --plan domestic")
-    lines.append(f"ask them all:      birchdrum control health --fleet {fleet.folder / 'fleet.toml'}")
+    lines.append(f"send a request:    birchdrum call {first.listen} --class reading --plan domestic")
+    lines.append(f"check all health:  birchdrum control health --fleet {fleet.folder / 'fleet.toml'}")
     return lines
 
 
-def plain(figures: dict[str, Any]) -> list[str]:
-    """The summary in plain lines."""
+def summary_lines(figures: dict[str, Any]) -> list[str]:
+    """Formats the summary as lines of text."""
     total = figures["total"]
     lines = [
         f"{figures['seconds']:.0f} s: "
         + ", ".join(f"{name} {total[name]}" for name in ("sent", "served", "refused", "failed", "lost"))
     ]
     causes = ", ".join(f"{name} {count}" for name, count in figures["refused_by_cause"].items())
-    lines.append(f"refused by cause, as the gateways tell: {causes or 'none'}")
+    lines.append(f"refused by cause, as reported by the gateways: {causes or 'none'}")
     if "trouble" in figures:
         lines.append(describe(figures["trouble"]))
     for row in figures["customers"]:
@@ -450,10 +475,10 @@
     trouble: str | None,
 ) -> int:
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        loop.add_signal_handler(number, stop.set)
-    wrong_thing = FaultInjection(trouble, span) if trouble else None
-    starting = loop.create_task(start(folder, gateways, hosts, customers, seed, wrong_thing))
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        loop.add_signal_handler(signal_number, stop.set)
+    fault = FaultInjection(trouble, span) if trouble else None
+    starting = loop.create_task(start_fleet(folder, gateways, hosts, customers, seed, fault))
     stopping = loop.create_task(stop.wait())
     await asyncio.wait({starting, stopping}, return_when=asyncio.FIRST_COMPLETED)
     if not starting.done():
@@ -462,40 +487,45 @@
         return 130
     fleet = await starting
     console = Console(stderr=as_json)
-    live = console.is_terminal and not as_json
+    is_live = console.is_terminal and not as_json
     metrics = [gateway.metrics for gateway in fleet.gateways]
-    if not live and not as_json:
+    if not is_live and not as_json:
         print("\n".join(_addresses(fleet)), flush=True)
     try:
         with (
             Live(console=console, auto_refresh=False, transient=True)
-            if live
-            else contextlib.nullcontext() as view
+            if is_live
+            else contextlib.nullcontext() as display
         ):
-            ends = None if span is None else fleet.began + span
-            while not stop.is_set() and (ends is None or time.monotonic() < ends):
-                left = LOOK_EVERY if ends is None else min(LOOK_EVERY, ends - time.monotonic())
+            expires = None if span is None else fleet.started_at + span
+            while not stop.is_set() and (expires is None or time.monotonic() < expires):
+                remaining = (
+                    REFRESH_INTERVAL if expires is None else min(REFRESH_INTERVAL, expires - time.monotonic())
+                )
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(stop.wait(), max(0.0, left))
-                await broken(fleet)
-                if fleet.trouble:
-                    await look(fleet)
-                fleet.causes = await asyncio.to_thread(refusals, metrics)
-                if view is not None:
-                    view.update(picture(fleet), refresh=True)
-        fleet.ended = time.monotonic()
+                    await asyncio.wait_for(stop.wait(), max(0.0, remaining))
+                await check_processes(fleet)
+                if fleet.fault:
+                    await poll_health(fleet)
+                fleet.causes = await asyncio.to_thread(refusals_by_cause, metrics)
+                if display is not None:
+                    display.update(render(fleet), refresh=True)
+        fleet.stopped_at = time.monotonic()
         if fleet.clients:
-            await fleet.clients.stop()  # what is out gets its answer, so that the sums agree
-        fleet.causes = await asyncio.to_thread(refusals, metrics)
+            await fleet.clients.stop()  # pending requests get their answers, so that the totals agree
+        fleet.causes = await asyncio.to_thread(refusals_by_cause, metrics)
         figures = summary(fleet)
     finally:
-        await end(fleet)
+        await stop_fleet(fleet)
         stopping.cancel()
-    wrong = verdict(figures)
-    print(json.dumps(figures | {"wrong": wrong}) if as_json else "\n".join(plain(figures)), flush=True)
-    for line in wrong:
+    problems = find_problems(figures)
+    print(
+        json.dumps(figures | {"wrong": problems}) if as_json else "\n".join(summary_lines(figures)),
+        flush=True,
+    )
+    for line in problems:
         print(f"birchdrum: {line}", file=sys.stderr)
-    return 1 if wrong else 0
+    return 1 if problems else 0
 
 
 def run(
@@ -507,10 +537,10 @@
     seed: int,
     trouble: str | None = None,
 ) -> int:
-    """Until Ctrl-C, or for so many seconds; the exit code."""
+    """Runs the demo until Ctrl-C or for ``span`` seconds; returns the exit code."""
     with tempfile.TemporaryDirectory(prefix="birchdrum-demo-") as folder:
         try:
             return asyncio.run(_run(span, as_json, Path(folder), gateways, hosts, customers, seed, trouble))
-        except (Broken, OSError) as wrong:
-            print(f"birchdrum: {wrong}", file=sys.stderr)
+        except (DemoError, OSError) as error:
+            print(f"birchdrum: {error}", file=sys.stderr)
             return 1
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -1,4 +1,4 @@
-"""One thing that goes wrong in the demo, so that an operator sees what it looks like, and what it cost."""
+"""Injects one fault into the demo, so that operators see its symptoms and the requests that it costs."""
 
 from __future__ import annotations
 
@@ -14,77 +14,83 @@
 from lab.cluster.schedule import Planned
 
 KINDS = ("pause", "kill", "cut")
-VICTIM_RANK = 1  # the gateway of this rank
-AFTER, LASTS = 3.0, 5.0  # seconds after the start, and how long
-START = 2.0  # seconds that a process may take to serve again
-SHARE = 3.0  # of a run's time at most, a third for what is before and after
+VICTIM_RANK = 1  # rank of the gateway that gets the fault
+START_DELAY, DURATION = 3.0, 5.0  # seconds
+RECOVERY_TIME = 2.0  # seconds until a restarted or resumed gateway serves again
+RUN_DIVISOR = (
+    3.0  # delay and fault each take at most a third of the run, which leaves a third for the recovery
+)
 DESCRIPTIONS = {
-    "pause": "stands still (SIGSTOP)",
-    "kill": "is killed (SIGKILL), then started again",
-    "cut": "and the others hear nothing of each other",
+    "pause": "is paused (SIGSTOP)",
+    "kill": "is killed (SIGKILL), then restarted",
+    "cut": "is cut off from the other gateways",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """A request without an answer, as its client saw it; seconds of the monotonic clock."""
+    """A request that its client gave up on without an answer; times are of the monotonic clock."""
 
-    sent: float
-    ended: float
+    sent_at: float
+    gave_up_at: float
     rank: int
 
 
 @dataclass(slots=True)
 class FaultInjection:
-    """What goes wrong with one gateway, and when."""
+    """A fault of one gateway: its kind, its time, and the requests lost meanwhile."""
 
     kind: str
-    span: float | None  # seconds of the whole run; None: until Ctrl-C
-    name: str = ""
-    began: float = 0.0
-    ended: float = 0.0
+    run_seconds: float | None  # None: until Ctrl-C
+    gateway_name: str = ""
+    started_at: float = 0.0
+    ended_at: float = 0.0
     losses: list[Loss] = field(default_factory=list)
     links: Links | None = None
     datagrams: Datagrams | None = None
-    expected: set[Child] = field(default_factory=set)  # that are gone because of it
+    expected_exits: set[Child] = field(default_factory=set)  # processes that the fault kills
     task: asyncio.Task[None] | None = None
 
     @property
-    def is_on(self) -> bool:
-        """Whether it lasts now."""
-        return self.began > 0 and not self.ended
+    def is_active(self) -> bool:
+        """Whether the fault is in effect now."""
+        return self.started_at > 0 and not self.ended_at
 
-    def times(self) -> tuple[float, float]:
-        """Seconds from the start until it begins, and how long it lasts."""
-        part = LASTS if self.span is None else self.span / SHARE
-        return min(AFTER, part), min(LASTS, part)
+    def timing(self) -> tuple[float, float]:
+        """Returns the seconds from the start of the run to the fault, and the duration of the fault."""
+        longest = DURATION if self.run_seconds is None else self.run_seconds / RUN_DIVISOR
+        return min(START_DELAY, longest), min(DURATION, longest)
 
-    def relay(self, peers: dict[str, tuple[str, int]], seed: int) -> Datagrams:
-        """Between the gateways, for a cut; to be asked for addresses before they start."""
+    def create_relay(self, peers: dict[str, tuple[str, int]], seed: int) -> Datagrams:
+        """Creates the datagram relay that a cut needs; gateways must be configured with its addresses."""
         self.links = Links(seed)
         self.datagrams = Datagrams(self.links, peers)
         return self.datagrams
 
-    async def play(
-        self, name: str, child: Child, others: list[str], restart: Callable[[], Awaitable[Child]]
+    async def inject(
+        self, gateway_name: str, child: Child, others: list[str], restart: Callable[[], Awaitable[Child]]
     ) -> None:
-        """Do it to this gateway in its time."""
-        self.name = name
-        after, lasts = self.times()
-        await asyncio.sleep(after)
-        self.began = time.monotonic()
-        links = tuple((a, b) for other in others for a, b in ((name, other), (other, name)))
-        fault = Planned(self.kind, after, lasts, (name,), links, 0.0, 0.0)
+        """Waits for the start time, injects the fault and removes it after its duration."""
+        self.gateway_name = gateway_name
+        delay, duration = self.timing()
+        await asyncio.sleep(delay)
+        self.started_at = time.monotonic()
+        links = tuple(
+            (source, target)
+            for other in others
+            for source, target in ((gateway_name, other), (other, gateway_name))
+        )
+        fault = Planned(self.kind, delay, duration, (gateway_name,), links, 0.0, 0.0)
         match self.kind:
             case "pause":
                 child.process.send_signal(signal.SIGSTOP)
             case "kill":
-                self.expected.add(child)
+                self.expected_exits.add(child)
                 child.process.kill()
             case "cut" if self.links:
                 self.links.begin(fault)
         try:
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
         finally:
             if self.kind == "pause" and child.process.returncode is None:
                 child.process.send_signal(signal.SIGCONT)
@@ -93,49 +99,51 @@
         if self.kind == "kill":
             await child.process.wait()
             await restart()
-        self.ended = time.monotonic()
+        self.ended_at = time.monotonic()
 
-    async def end(self) -> None:
-        """Undo it, whenever the demo ends."""
+    async def stop(self) -> None:
+        """Cancels the fault and closes the relay."""
         if self.task:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
         if self.datagrams:
             self.datagrams.close()
 
-    def lost(self, rank: int, took: float) -> None:
-        """A client had no answer by this gateway after so many seconds."""
+    def record_loss(self, rank: int, duration: float) -> None:
+        """Records that a client got no answer from this gateway for ``duration`` seconds."""
         now = time.monotonic()
-        self.losses.append(Loss(now - took, now, rank))
+        self.losses.append(Loss(now - duration, now, rank))
 
-    def _explains(self, loss: Loss) -> bool:
-        if self.kind == "cut" or not self.began or loss.rank != VICTIM_RANK:
+    def _is_caused_by_fault(self, loss: Loss) -> bool:
+        if self.kind == "cut" or not self.started_at or loss.rank != VICTIM_RANK:
             return False
-        until = self.ended + START if self.ended else float("inf")
-        return loss.ended >= self.began and loss.sent <= until
+        affected_until = self.ended_at + RECOVERY_TIME if self.ended_at else float("inf")
+        return loss.gave_up_at >= self.started_at and loss.sent_at <= affected_until
 
-    def figures(self, began: float) -> dict[str, Any]:
-        """For the summary; seconds from the start of the demo."""
-        explained = sum(map(self._explains, self.losses))
+    def summary(self, run_started_at: float) -> dict[str, Any]:
+        """Returns the figures for the demo's summary; times are relative to the start of the run."""
+        caused_by_fault = sum(map(self._is_caused_by_fault, self.losses))
         return {
             "what": self.kind,
-            "gateway": self.name,
-            "began_s": round(self.began - began, 1) if self.began else None,
-            "lasted_s": round((self.ended or time.monotonic()) - self.began, 1) if self.began else None,
-            "lost_by_it": explained,
-            "lost_besides": len(self.losses) - explained,
+            "gateway": self.gateway_name,
+            "began_s": round(self.started_at - run_started_at, 1) if self.started_at else None,
+            "lasted_s": round((self.ended_at or time.monotonic()) - self.started_at, 1)
+            if self.started_at
+            else None,
+            "lost_by_it": caused_by_fault,
+            "lost_besides": len(self.losses) - caused_by_fault,
         }
 
 
 def describe(figures: dict[str, Any]) -> str:
-    """The trouble in a line, and what it cost."""
+    """Describes the fault and the requests that it cost, in one line."""
     if figures["began_s"] is None:
-        return f"the trouble {figures['what']} did not begin: give --for more time"
-    why = {
-        "pause": "sent to it before or while it stood still, and not answered in time",
-        "kill": "open at it when it was killed, or sent before the front knew",
-        "cut": "a cut between gateways loses no request: quotas are kept by each one's part",
+        return f"the fault {figures['what']} did not start: increase --for"
+    cause = {
+        "pause": "sent to it before or while it was paused, and not answered in time",
+        "kill": "pending when it was killed, or sent to it before the load balancer detected the failure",
+        "cut": "a cut between gateways loses no requests: each one enforces its share of the quotas",
     }[figures["what"]]
     when = f"at {figures['began_s']:g} s, for {figures['lasted_s']:g} s, {figures['gateway']}"
-    lost = f"{figures['lost_by_it']} requests lost by it ({why}), {figures['lost_besides']} besides"
+    lost = f"{figures['lost_by_it']} requests lost by it ({cause}), {figures['lost_besides']} besides"
     return f"{when} {DESCRIPTIONS[figures['what']]}: {lost}"
