--- a/tests/command.py
+++ b/tests/command.py
@@ -1,4 +1,4 @@
-"""The installed ``birchdrum`` command as a process."""
+"""Runs the installed ``birchdrum`` command as a process."""
 
 from __future__ import annotations
 
@@ -29,23 +29,25 @@
 
 
 def environment(**more: str) -> dict[str, str]:
-    """Ours without anything that names a configuration, with some more."""
-    kept = {k: v for k, v in os.environ.items() if not k.startswith(("BIRCHDRUM_", "LB_"))}
-    return kept | more
+    """Returns the environment without variables that configure birchdrum, with ``more`` added."""
+    inherited = {
+        name: value for name, value in os.environ.items() if not name.startswith(("BIRCHDRUM_", "LB_"))
+    }
+    return inherited | more
 
 
 def drop_capabilities() -> None:
-    """Root without the right to read everything and to listen below 1024: for others it changes nothing."""
-    for right in (1, 2, 10):  # CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_NET_BIND_SERVICE
-        ctypes.CDLL(None).prctl(24, right)  # PR_CAPBSET_DROP
+    """Drops root's capabilities to read any file and to bind ports below 1024; no effect for other users."""
+    for capability in (1, 2, 10):  # CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_NET_BIND_SERVICE
+        ctypes.CDLL(None).prctl(24, capability)  # PR_CAPBSET_DROP
 
 
 def run(
-    *words: object, timeout: float = 60, preexec_fn=None, **more: str
+    *arguments: object, timeout: float = 60, preexec_fn=None, **more: str
 ) -> subprocess.CompletedProcess[str]:
-    """One call to its end."""
+    """Runs one command until it exits."""
     return subprocess.run(
-        [COMMAND, *map(str, words)],
+        [COMMAND, *map(str, arguments)],
         env=environment(**more),
         stdin=subprocess.DEVNULL,
         capture_output=True,
@@ -56,18 +58,18 @@
     )
 
 
-def refused(*words: object, code: int = 2, preexec_fn=None, **more: str) -> list[str]:
-    """A call that must fail; what it said, a line each, without a traceback."""
-    ended = run(*words, preexec_fn=preexec_fn, **more)
-    assert ended.returncode == code, (ended.returncode, ended.stderr)
-    lines = ended.stderr.splitlines()
-    assert lines and all(line.startswith("birchdrum: ") for line in lines), ended.stderr
+def refused(*arguments: object, code: int = 2, preexec_fn=None, **more: str) -> list[str]:
+    """Runs a command that must fail without a traceback; returns its error lines."""
+    completed = run(*arguments, preexec_fn=preexec_fn, **more)
+    assert completed.returncode == code, (completed.returncode, completed.stderr)
+    lines = completed.stderr.splitlines()
+    assert lines and all(line.startswith("birchdrum: ") for line in lines), completed.stderr
     return [line.removeprefix("birchdrum: ") for line in lines]
 
 
 def processes_matching(pattern: str) -> list[int]:
-    """Processes whose command line has this in it."""
-    found = []
+    """Returns the ids of processes whose command line matches the pattern."""
+    pids = []
     for folder in Path("/proc").iterdir():
         if folder.name.isdigit():
             try:
@@ -75,5 +77,5 @@
             except OSError:
                 continue
             if re.search(pattern, line):
-                found.append(int(folder.name))
-    return found
+                pids.append(int(folder.name))
+    return pids
--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -1,4 +1,4 @@
-"""The installed command: gateways, operators' calls, requests by hand, the list service, the demo."""
+"""Tests of the installed command: gateways, control calls, single requests, the list service, the demo."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Gateway:
-    """``birchdrum gateway`` with a file of ours, a list service that is not there, and what it logged."""
+    """A ``birchdrum gateway`` process whose list service is unreachable, and its log events."""
 
     def __init__(self, folder, host: FakeHost | None = None, more: str = "") -> None:
         self.folder = folder
@@ -35,10 +35,12 @@
         self.events: list[dict] = []
 
     async def __aenter__(self) -> Gateway:
-        words = [COMMAND, "gateway", self.file, "--log-form", "json"]
-        kept = environment()
-        kept.pop("TMPDIR", None)
-        self.process = await asyncio.create_subprocess_exec(*words, env=kept, stderr=asyncio.subprocess.PIPE)
+        arguments = [COMMAND, "gateway", self.file, "--log-form", "json"]
+        inherited = environment()
+        inherited.pop("TMPDIR", None)
+        self.process = await asyncio.create_subprocess_exec(
+            *arguments, env=inherited, stderr=asyncio.subprocess.PIPE
+        )
         self.reading = asyncio.create_task(self._read())
         while (await asyncio.to_thread(run, "control", "health", "--at", self.control)).returncode != 0:
             assert self.process.returncode is None
@@ -54,106 +56,106 @@
         await self.process.wait()
         await self.reading
 
-    async def told(self, name: str) -> dict:
-        """The last event of this name, once there is one."""
+    async def wait_for_event(self, name: str) -> dict:
+        """Waits for an event of this name and returns the last one."""
         await until(lambda: any(event["event"] == name for event in self.events))
         return [event for event in self.events if event["event"] == name][-1]
 
 
 @asyncio_test
-async def test_requests_and_operators_calls_by_hand_and_the_exit_codes_that_scripts_use(tmp_path):
+async def test_requests_control_calls_and_their_exit_codes(tmp_path):
     host = await FakeHost("host-1").listen()
     async with Gateway(tmp_path, host) as gateway:
 
-        async def by_hand(*words: object) -> tuple[int, str]:
-            ended = await asyncio.to_thread(run, *words)
-            return ended.returncode, ended.stdout.strip()
+        async def run_command(*arguments: object) -> tuple[int, str]:
+            completed = await asyncio.to_thread(run, *arguments)
+            return completed.returncode, completed.stdout.strip()
 
         ask = ("call", gateway.listen, "--class", "read", "--plan", "team", "--customer", "7")
-        code, said = await by_hand(*ask, "--json")
-        answer = json.loads(said)
+        code, output = await run_command(*ask, "--json")
+        answer = json.loads(output)
         assert (code, answer["outcome"], answer["value"]) == (0, "served", "ok")
         assert host.commands[0][1:3] == [b"%016x" % 7, answer["id"].encode()]
         host.script = lambda command: b"-ERR failed\r\n"
-        code, said = await by_hand(*ask, "--deadline", "1s")
-        assert code in (3, 4) and said.split()[0] in ("failed", "refused")
+        code, output = await run_command(*ask, "--deadline", "1s")
+        assert code in (3, 4) and output.split()[0] in ("failed", "refused")
         host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
-        assert (await by_hand("call", gateway.listen, "--class", "none", "--plan", "team"))[0] == 4
-        code, said = await by_hand("call", free_address(), "--class", "read", "--plan", "team")
-        assert (code, "connection refused" in said) == (1, True)
+        assert (await run_command("call", gateway.listen, "--class", "none", "--plan", "team"))[0] == 4
+        code, output = await run_command("call", free_address(), "--class", "read", "--plan", "team")
+        assert (code, "connection refused" in output) == (1, True)
 
         fleet = tmp_path / "fleet.toml"
-        nobody = free_address()
-        fleet.write_text(f'[gateways]\ngw-0 = "{gateway.control}"\ngw-1 = "{nobody}"\n')
-        code, said = await by_hand("control", "health", "--fleet", fleet, "--json")
-        lines = [json.loads(line) for line in said.splitlines()]
+        unreachable = free_address()
+        fleet.write_text(f'[gateways]\ngw-0 = "{gateway.control}"\ngw-1 = "{unreachable}"\n')
+        code, output = await run_command("control", "health", "--fleet", fleet, "--json")
+        lines = [json.loads(line) for line in output.splitlines()]
         assert code == 1
         assert [(line["gateway"], line["done"]) for line in lines] == [("gw-0", True), ("gw-1", False)]
         only = ("--fleet", fleet, "--only", "gw-0")
-        assert (await by_hand("control", "offline", "host-1", *only))[0] == 0
-        code, said = await by_hand(*ask)
-        assert code == 3, said
-        assert (await by_hand("control", "offline", "host-9", *only))[0] == 3
-        assert (await by_hand("control", "online", "host-1", *only))[0] == 0
-        assert (await by_hand("control", "leave", "--at", gateway.control))[0] == 0
-        assert (await by_hand("control", "health", *only))[0] == 3
-        assert (await by_hand("control", "join", *only))[0] == 0
-        assert (await by_hand("control", "health", *only))[0] == 0
+        assert (await run_command("control", "offline", "host-1", *only))[0] == 0
+        code, output = await run_command(*ask)
+        assert code == 3, output
+        assert (await run_command("control", "offline", "host-9", *only))[0] == 3
+        assert (await run_command("control", "online", "host-1", *only))[0] == 0
+        assert (await run_command("control", "leave", "--at", gateway.control))[0] == 0
+        assert (await run_command("control", "health", *only))[0] == 3
+        assert (await run_command("control", "join", *only))[0] == 0
+        assert (await run_command("control", "health", *only))[0] == 0
         gateway.process.terminate()
         assert await asyncio.wait_for(gateway.process.wait(), 10) == 0
 
 
 @asyncio_test
-async def test_sighup_tells_what_is_in_force_and_what_waits_and_a_bad_file_changes_nothing(tmp_path):
+async def test_sighup_logs_applied_and_pending_changes_and_rejects_an_invalid_file(tmp_path):
     async with Gateway(tmp_path, await FakeHost("host-1").listen()) as gateway:
-        assert (await gateway.told("discovery_unreachable"))["address"] == gateway.discovery
+        assert (await gateway.wait_for_event("discovery_unreachable"))["address"] == gateway.discovery
         gateway.file.write_text("limits = 3\n" + gateway.text)
         gateway.process.send_signal(signal.SIGHUP)
-        assert "limits" in (await gateway.told("config_unusable"))["error"]
+        assert "limits" in (await gateway.wait_for_event("config_unusable"))["error"]
         moved = gateway.text.replace(gateway.discovery, free_address()).replace("rate = 5.0", "rate = 6.0")
         gateway.file.write_text(moved + '\n[log]\nlevel = "warning"\n')
         gateway.process.send_signal(signal.SIGHUP)
-        event = await gateway.told("config_read")
+        event = await gateway.wait_for_event("config_read")
         assert event["in_force"] == ["discovery", "log_level"] and event["needs_restart"] == [
             "settings.plans"
         ]
 
 
-def test_what_is_not_permitted_is_told_in_one_line(tmp_path):
+def test_missing_permissions_are_reported_in_one_line(tmp_path):
     file = tmp_path / "gw.toml"
     file.write_text(
         GATEWAY_TOML.format(listen="127.0.0.1:81", discovery=free_address(), control=free_address())
     )
-    said = starts_nothing(tmp_path, file.read_text(), preexec_fn=drop_capabilities)
-    assert said == "cannot listen for clients at 127.0.0.1:81: no permission: ports below 1024 need it"
+    output = failed_start(tmp_path, file.read_text(), preexec_fn=drop_capabilities)
+    assert output == "cannot listen for clients at 127.0.0.1:81: no permission: ports below 1024 need it"
     file.chmod(0)
-    for words in (("gateway",), ("config", "check")):
-        assert refused(*words, file, preexec_fn=drop_capabilities) == [f"{file}: permission denied"]
+    for arguments in (("gateway",), ("config", "check")):
+        assert refused(*arguments, file, preexec_fn=drop_capabilities) == [f"{file}: permission denied"]
 
 
-def starts_nothing(tmp_path, text: str, *flags: str, preexec_fn=None) -> str:
-    """A gateway that must end at once with 1; its one line."""
+def failed_start(tmp_path, text: str, *flags: str, preexec_fn=None) -> str:
+    """Starts a gateway that must exit with code 1; returns its only error line."""
     file = tmp_path / "gw.toml"
     file.write_text(text)
-    ended = run("gateway", file, *flags, preexec_fn=preexec_fn)
-    assert ended.returncode == 1 and "Traceback" not in ended.stderr
+    completed = run("gateway", file, *flags, preexec_fn=preexec_fn)
+    assert completed.returncode == 1 and "Traceback" not in completed.stderr
     assert processes_matching(str(file)) == []
-    [line] = [line for line in ended.stderr.splitlines() if line.startswith("birchdrum: ")]
+    [line] = [line for line in completed.stderr.splitlines() if line.startswith("birchdrum: ")]
     return line.removeprefix("birchdrum: ")
 
 
-def test_an_address_that_is_taken_or_not_ours_ends_the_start_in_one_line(tmp_path):
+def test_an_address_in_use_or_not_local_is_reported_in_one_line(tmp_path):
     text = GATEWAY_TOML.format(listen=free_address(), discovery=free_address(), control=free_address())
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        where = f"127.0.0.1:{taken.getsockname()[1]}"
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        where = f"127.0.0.1:{occupied.getsockname()[1]}"
         for flag, what in (("listen", "clients"), ("control", "operators"), ("metrics", "metrics")):
-            said = starts_nothing(tmp_path, text, f"--{flag}", where)
-            assert said == f"cannot listen for {what} at {where}: {PORT_IN_USE}"
-    said = starts_nothing(tmp_path, text, "--listen", "192.0.2.1:7000")
-    assert said.endswith("this machine has no such address")
+            output = failed_start(tmp_path, text, f"--{flag}", where)
+            assert output == f"cannot listen for {what} at {where}: {PORT_IN_USE}"
+    output = failed_start(tmp_path, text, "--listen", "192.0.2.1:7000")
+    assert output.endswith("this machine has no such address")
 
 
-WRONG_CALLS = [
+INVALID_CALLS = [
     ((), 2, "Usage"),
     (("gatewy",), 2, "gatewy"),
     (("control", "health"), 2, "no gateway is given"),
@@ -168,48 +170,66 @@
 ]
 
 
-@pytest.mark.parametrize(("words", "code", "said"), WRONG_CALLS)
-def test_a_wrong_call_is_told_in_one_line(words, code, said):
-    ended = run(*words)
-    assert ended.returncode == code and "Traceback" not in ended.stderr
-    assert said in ended.stderr + ended.stdout
-    assert len(ended.stderr.splitlines()) == (1 if words else 0)
+@pytest.mark.parametrize(("arguments", "code", "output"), INVALID_CALLS)
+def test_an_invalid_call_is_reported_in_one_line(arguments, code, output):
+    completed = run(*arguments)
+    assert completed.returncode == code and "Traceback" not in completed.stderr
+    assert output in completed.stderr + completed.stdout
+    assert len(completed.stderr.splitlines()) == (1 if arguments else 0)
 
 
-def commands(group: object, words: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """Every command that there is."""
+def commands(group: object, arguments: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+    """Returns the names of all commands and groups."""
     import click
 
-    found = [words]
+    found = [arguments]
     if isinstance(group, click.Group):
         for name in group.list_commands(click.Context(group)):
             inner = group.get_command(click.Context(group), name)
-            found += commands(inner, (*words, name))
+            found += commands(inner, (*arguments, name))
     return found
 
 
-def test_each_command_has_help_and_each_shell_its_completion():
+def test_each_command_has_help_and_each_shell_has_completion():
     from birchdrum.cli import cli
 
-    listed = commands(cli)
-    assert ("registry", "agent") in listed and ("control", "offline") in listed and len(listed) > 18
-    shown = [subprocess.Popen([COMMAND, *words, "--help"], stdout=subprocess.PIPE) for words in listed]
-    for words, process in zip(listed, shown, strict=True):
+    command_paths = commands(cli)
+    assert (
+        ("registry", "agent") in command_paths
+        and ("control", "offline") in command_paths
+        and len(command_paths) > 18
+    )
+    shown = [
+        subprocess.Popen([COMMAND, *arguments, "--help"], stdout=subprocess.PIPE)
+        for arguments in command_paths
+    ]
+    for arguments, process in zip(command_paths, shown, strict=True):
         text = process.communicate(timeout=60)[0].decode()
-        assert process.returncode == 0 and len(text.splitlines()) > 4, words
+        assert process.returncode == 0 and len(text.splitlines()) > 4, arguments
     for shell in ("bash", "zsh", "fish"):
         assert "_BIRCHDRUM_COMPLETE" in run("completion", shell).stdout
-    words = {"_BIRCHDRUM_COMPLETE": "bash_complete", "COMP_WORDS": "birchdrum reg", "COMP_CWORD": "1"}
-    assert "registry" in run(**words).stdout
+    completion_request = {
+        "_BIRCHDRUM_COMPLETE": "bash_complete",
+        "COMP_WORDS": "birchdrum reg",
+        "COMP_CWORD": "1",
+    }
+    assert "registry" in run(**completion_request).stdout
 
 
 @asyncio_test
-async def test_the_list_service_runs_by_the_same_command_and_tells_what_is_wrong_in_one_line(tmp_path):
+async def test_the_list_service_runs_and_reports_a_missing_store_in_one_line(tmp_path):
     listen, operators, store = free_address(), free_address(), tmp_path / "list.db"
-    words = ("registry", "serve", "--listen", listen, "--operators", operators, "--store", store)
-    assert "list.db" in (await asyncio.to_thread(run, *words)).stderr  # there is none, and --new was not said
+    arguments = ("registry", "serve", "--listen", listen, "--operators", operators, "--store", store)
+    # The store doesn't exist, and --new is missing.
+    assert "list.db" in (await asyncio.to_thread(run, *arguments)).stderr
     process = await asyncio.create_subprocess_exec(
-        COMMAND, *map(str, words), "--new", "--settle", "0", "--metrics", stderr=asyncio.subprocess.DEVNULL
+        COMMAND,
+        *map(str, arguments),
+        "--new",
+        "--settle",
+        "0",
+        "--metrics",
+        stderr=asyncio.subprocess.DEVNULL,
     )
     try:
         async with asyncio.timeout(20):
@@ -231,30 +251,30 @@
 # -- the demo -------------------------------------------------------------------------------------------
 
 
-def test_the_demo_serves_under_quotas_and_what_clients_and_hosts_saw_agrees():
-    ended = run("demo", "--for", "6s", "--json", "--customers", "6")
-    assert ended.returncode == 0, ended.stderr
-    figures = json.loads(ended.stdout)
+def test_the_demo_enforces_quotas_and_client_and_host_figures_agree():
+    completed = run("demo", "--for", "6s", "--json", "--customers", "6")
+    assert completed.returncode == 0, completed.stderr
+    figures = json.loads(completed.stdout)
     total = figures["total"]
     assert total["served"] > 100 and total["lost"] == 0
     assert total["sent"] == total["served"] + total["refused"] + total["failed"]
     begun = [host["begun"] for host in figures["hosts"]]
-    assert len(begun) == 8 and all(begun)  # each host was listed, and used
+    assert len(begun) == 8 and all(begun)  # all hosts were listed and received requests
     assert sum(host["served"] for host in figures["hosts"]) >= total["served"]
     assert sum(figures["refused_by_cause"].values()) == total["refused"]
     over = [row for row in figures["customers"] if row["asked_of_quota"] > 1.5]
     assert over and all(row["refused"] > 0 and row["used_of_quota"] <= 1.1 for row in over)
 
 
-def demo(tmp_path, *words: str) -> subprocess.Popen:
-    """One that goes on, with its files in this folder."""
+def demo(tmp_path, *arguments: str) -> subprocess.Popen:
+    """Starts a demo that runs until it is stopped and keeps its files in this directory."""
     inside = environment(TMPDIR=str(tmp_path))
     pipe = subprocess.PIPE
-    return subprocess.Popen([COMMAND, "demo", *words], env=inside, stdout=pipe, stderr=pipe, text=True)
+    return subprocess.Popen([COMMAND, "demo", *arguments], env=inside, stdout=pipe, stderr=pipe, text=True)
 
 
 @pytest.mark.parametrize("end", [signal.SIGINT, signal.SIGHUP, signal.SIGKILL])
-def test_nothing_is_left_whatever_ends_the_demo(end, tmp_path):
+def test_the_demo_leaves_no_processes_or_files_however_it_ends(end, tmp_path):
     process = demo(tmp_path, "--gateways", "2")
     try:
         lines = [process.stdout.readline() for _ in range(5)]
@@ -275,7 +295,7 @@
         process.kill()
 
 
-def test_a_demo_whose_gateway_dies_says_so_and_ends_all(tmp_path):
+def test_the_demo_reports_a_dead_gateway_and_stops_all_processes(tmp_path):
     process = demo(tmp_path)
     try:
         for _ in range(5):
@@ -290,18 +310,18 @@
 
 
 @pytest.mark.parametrize("trouble", ["pause", "kill", "cut"])
-def test_the_demo_shows_a_fault_and_tells_what_was_lost_by_it(trouble, tmp_path):
-    ended = run("demo", "--for", "9s", "--trouble", trouble, "--json", TMPDIR=str(tmp_path))
-    assert ended.returncode == 0, ended.stderr
-    figures = json.loads(ended.stdout)
-    told = figures["trouble"]
-    assert (told["what"], told["gateway"]) == (trouble, "gw-1")
-    assert 2.5 < told["began_s"] < 5 and 2.5 < told["lasted_s"] < 6
-    assert told["lost_by_it"] + told["lost_besides"] == figures["total"]["lost"]
-    assert told["lost_besides"] == 0
-    assert (told["lost_by_it"] > 0) is (trouble != "cut")
+def test_the_demo_injects_a_fault_and_reports_the_requests_lost_to_it(trouble, tmp_path):
+    completed = run("demo", "--for", "9s", "--trouble", trouble, "--json", TMPDIR=str(tmp_path))
+    assert completed.returncode == 0, completed.stderr
+    figures = json.loads(completed.stdout)
+    trouble_figures = figures["trouble"]
+    assert (trouble_figures["what"], trouble_figures["gateway"]) == (trouble, "gw-1")
+    assert 2.5 < trouble_figures["began_s"] < 5 and 2.5 < trouble_figures["lasted_s"] < 6
+    assert trouble_figures["lost_by_it"] + trouble_figures["lost_besides"] == figures["total"]["lost"]
+    assert trouble_figures["lost_besides"] == 0
+    assert (trouble_figures["lost_by_it"] > 0) is (trouble != "cut")
     assert processes_matching(str(tmp_path)) == []
 
 
-def test_a_trouble_needs_another_gateway():
+def test_a_fault_needs_a_second_gateway():
     assert refused("demo", "--gateways", "1", "--trouble", "kill") == ["--trouble needs at least 2 gateways"]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: every mistake at once, precedence, and the platform's file there and back without loss."""
+"""Tests of configurations: error reports, precedence, and lossless conversion of the platform's file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from saffrongw import config as platform
 
 ADDRESSES = {"listen": "127.0.0.1:7301", "discovery": "127.0.0.1:7302", "control": "127.0.0.1:7303"}
-GOOD = GATEWAY_TOML.format(**ADDRESSES)
+VALID_TOML = GATEWAY_TOML.format(**ADDRESSES)
 PLATFORM = {
     "name": "n0",
     "listen": "127.0.0.1:7301",
@@ -31,7 +31,7 @@
     "settings": SITE | {"goal": {"whole": 0.55}, "resolution": 2000, "kinds": ["std-4c"]},
 }
 
-FILES = [
+INVALID_FILES = [
     (b"", "is empty"),
     (b" \n\t\n", "is empty"),
     (b"listen = ", "is not valid TOML"),
@@ -43,16 +43,16 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "said"), FILES)
-def test_a_file_that_cannot_be_read_is_told_in_one_line_and_starts_nothing(tmp_path, raw, said):
+@pytest.mark.parametrize(("raw", "message"), INVALID_FILES)
+def test_an_unreadable_file_is_reported_in_one_line(tmp_path, raw, message):
     file = tmp_path / "gw.toml"
     file.write_bytes(raw)
     for call in (("config", "check"), ("gateway",)):
         [line] = refused(*call, file)
-        assert line.startswith(f"{file}: ") and said in line
+        assert line.startswith(f"{file}: ") and message in line
 
 
-def test_a_file_that_is_none_is_told_in_one_line(tmp_path):
+def test_a_missing_or_special_file_is_reported_in_one_line(tmp_path):
     assert refused("config", "check", tmp_path / "none") == [f"{tmp_path}/none: no such file or directory"]
     assert refused("config", "check", tmp_path) == [f"{tmp_path}: is a directory, expected a file"]
     assert refused("config", "check", "/dev/zero") == ["/dev/zero: is not a regular file"]
@@ -61,10 +61,10 @@
     assert both == ["more than one configuration is given, by FILE and LB_CONFIG: keep one of them"]
 
 
-def test_all_mistakes_are_told_at_once_each_with_key_value_and_what_is_expected(tmp_path):
+def test_all_errors_are_reported_with_key_value_and_expectation(tmp_path):
     file = tmp_path / "gw.toml"
     file.write_text(
-        GOOD.replace('"127.0.0.1:7302"', '"localhost"').replace("rate = 5.0", "rate = -1")
+        VALID_TOML.replace('"127.0.0.1:7302"', '"localhost"').replace("rate = 5.0", "rate = -1")
         + 'burst_units = 3\n[limits]\nmemory = "64 elephants"\ndescriptors = true\n[lgo]\nform = "text"\n'
     )
     lines = refused("config", "check", file, "--set", "log.form=xml", BIRCHDRUM_FLEET__RANK="x")
@@ -80,7 +80,7 @@
     ]
 
 
-RELATIONS = [
+CONFLICTS = [
     ({"fleet.rank": "3"}, "fleet.rank"),
     ({"fleet.gateways": "2"}, "fleet.peers"),
     ({"fleet.gateways": "2", "fleet.peers": "127.0.0.1:1,127.0.0.1:1"}, "fleet.peers"),
@@ -98,19 +98,19 @@
 ]
 
 
-@pytest.mark.parametrize(("flags", "key"), RELATIONS)
-def test_values_that_do_not_go_together_are_told(tmp_path, flags, key):
+@pytest.mark.parametrize(("flags", "key"), CONFLICTS)
+def test_conflicting_values_are_reported(tmp_path, flags, key):
     file = tmp_path / "gw.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_TOML)
     assert configuration.load(file, {}, {}).platform["listen"] == ADDRESSES["listen"]
-    with pytest.raises(configuration.ConfigurationError) as wrong:
+    with pytest.raises(configuration.ConfigurationError) as error:
         configuration.load(file, flags, {})
-    assert [line.split(": ")[1].split(" = ")[0] for line in wrong.value.lines] == [key]
+    assert [line.split(": ")[1].split(" = ")[0] for line in error.value.lines] == [key]
 
 
-def test_flags_go_over_the_environment_and_that_over_the_file(tmp_path):
+def test_flags_override_the_environment_which_overrides_the_file(tmp_path):
     file = tmp_path / "gw.toml"
-    file.write_text(GOOD + '[limits]\nmemory = "64MiB"\ndescriptors = 128\ncores = 0.5\n')
+    file.write_text(VALID_TOML + '[limits]\nmemory = "64MiB"\ndescriptors = 128\ncores = 0.5\n')
     variables = {"BIRCHDRUM_LIMITS__MEMORY": "96MiB", "BIRCHDRUM_LIMITS__DESCRIPTORS": "512"}
     words = ("config", "show", file, "--set", "limits.descriptors=1024")
     shown = tomllib.loads(run(*words, **variables).stdout)
@@ -134,7 +134,7 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=6,
 )
-PLACES = [
+TABLES = [
     (),
     ("limits",),
     ("settings",),
@@ -145,15 +145,15 @@
 ]
 
 
-@given(st.lists(st.tuples(st.sampled_from(PLACES), st.text(max_size=6), JSON), max_size=5), st.data())
+@given(st.lists(st.tuples(st.sampled_from(TABLES), st.text(max_size=6), JSON), max_size=5), st.data())
 @settings(max_examples=150, deadline=None)
-def test_the_platforms_file_comes_back_to_the_value_whatever_else_it_says(tmp_path_factory, more, data):
-    """Unknown keys, nulls, odd numbers: what our types can't hold travels beside them."""
+def test_the_platforms_file_survives_the_round_trip_unchanged(tmp_path_factory, more, data):
+    """Unknown keys, nulls and values that birchdrum's types can't represent survive the round trip."""
     raw = copy.deepcopy(PLATFORM)
-    for place, key, value in more:
+    for path, key, value in more:
         table = raw
-        for word in place:
-            table = table[word]
+        for segment in path:
+            table = table[segment]
         if key not in table:
             table[key] = value
     raw["limits"]["memory_mb"] = data.draw(st.sampled_from([64, 64.0, 63.7, 100.5, 192]))
@@ -170,19 +170,19 @@
     assert json.dumps(second.platform, sort_keys=True) == json.dumps(first.platform, sort_keys=True)
 
 
-def test_ours_goes_to_the_platforms_form_and_back(tmp_path):
+def test_toml_converts_to_the_platforms_json_and_back(tmp_path):
     ours, theirs, again = (tmp_path / name for name in ("a.toml", "a.json", "b.toml"))
-    ours.write_text(GOOD + '[log]\nform = "json"\n[hosts]\nidle_close = "1.5min"\n')
+    ours.write_text(VALID_TOML + '[log]\nform = "json"\n[hosts]\nidle_close = "1.5min"\n')
     assert run("config", "convert", ours, "-o", theirs).returncode == 0
     assert json.loads(theirs.read_text())["settings"]["permissions"]["idleClose"] == 90_000_000
     assert platform.parse(theirs.read_text()).log_form == "json"
     assert run("config", "convert", theirs, "-o", again).returncode == 0
     assert configuration.load(again, {}, {}).config.hosts == configuration.load(ours, {}, {}).config.hosts
-    nowhere = refused("config", "convert", ours, "-o", tmp_path / "none" / "x", code=1)
-    assert "no such file" in nowhere[0]
+    missing_directory = refused("config", "convert", ours, "-o", tmp_path / "none" / "x", code=1)
+    assert "no such file" in missing_directory[0]
 
 
-def test_an_override_of_the_platforms_file_is_not_undone_by_what_it_says(tmp_path):
+def test_an_override_takes_precedence_over_the_platforms_file(tmp_path):
     file = tmp_path / "n0.json"
     file.write_text(json.dumps(PLATFORM | {"limits": {"sockets": 256, "memory_mb": 63.7}}))
     loaded = configuration.load(file, {"limits.memory": "96MiB", "limits.cores": "2"}, {})
@@ -198,8 +198,8 @@
     assert "classes" in tables["Config"]["required"] and "log" not in tables["Config"]["required"]
 
 
-def test_every_key_of_the_file_reaches_the_platforms_form():
-    """A key that is mapped nowhere would be taken and do nothing."""
+def test_every_key_maps_to_the_platforms_file():
+    """A key without a mapping would be accepted and silently ignored."""
     paths = set(convert.FIELDS) | {"zone", "classes", "plans", "known.hosts", "platform"}
     hints = checking.typing.get_type_hints(configuration.Config)
     for name, kind in hints.items():
--- a/tests/test_contradiction.py
+++ b/tests/test_contradiction.py
@@ -1,4 +1,4 @@
-"""Which change of the settings may hold beside the old ones, and the command that tells it."""
+"""Tests of the rules for changes of shared settings, and of the commands that show them."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 HOME, WORKS = BASE["plans"]
 CASES = {
     "nothing": ({}, [], None),
-    "its own": ({"listen": "127.0.0.1:6401", "log": {"level": "debug"}, "name": "other"}, [], None),
+    "local keys": ({"listen": "127.0.0.1:6401", "log": {"level": "debug"}, "name": "other"}, [], None),
     "a price": ({"prices": {"peer": 0.2}}, ["prices.peer"], TOGETHER),
     "a rate": ({"plans": [HOME | {"rate": 2.0}, WORKS]}, ["plans.home.rate"], WITHIN),
-    "a plan goes": ({"plans": [HOME]}, ["plans.works"], WITHIN),
-    "a plan comes": ({"plans": [*BASE["plans"], WORKS | {"name": "new"}]}, ["plans.new"], WITHIN),
-    "in another order": ({"plans": [WORKS, HOME]}, ["plans"], NEVER),
-    "the first plan goes": ({"plans": [WORKS]}, ["plans", "plans.home"], NEVER),
+    "a plan is removed": ({"plans": [HOME]}, ["plans.works"], WITHIN),
+    "a plan is added": ({"plans": [*BASE["plans"], WORKS | {"name": "new"}]}, ["plans.new"], WITHIN),
+    "plans in another order": ({"plans": [WORKS, HOME]}, ["plans"], NEVER),
+    "the first plan is removed": ({"plans": [WORKS]}, ["plans", "plans.home"], NEVER),
     "an effect": ({"classes": [READ | {"effect": "once"}]}, ["classes.read.effect"], NEVER),
     "zones in another order": ({"zones": ["b", "a"]}, ["zones"], NEVER),
-    "a default said out loud": ({"requests": {"attempts": 4}}, [], None),
+    "an explicit default": ({"requests": {"attempts": 4}}, [], None),
     "a rate, a price and a ceiling": (
         {
             "plans": [HOME | {"rate": 3.0, "ceiling_rate": 8.0, "ceiling_burst": 9.0}, WORKS],
@@ -53,25 +53,25 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_change_is_told_with_its_rule(case, tmp_path):
+def test_a_change_is_reported_with_its_rule(case, tmp_path):
     changes, paths, rule = CASES[case]
     old, new = tmp_path / "old.toml", tmp_path / "new.toml"
     old.write_text(tomlkit.dumps(BASE))
     new.write_text(tomlkit.dumps(changed(**changes)))
-    told = json.loads(run("settings", "diff", old, new, "--json").stdout)
-    assert [change["path"] for change in told["changes"]] == paths
-    assert told["rule"] == rule
+    report = json.loads(run("settings", "diff", old, new, "--json").stdout)
+    assert [change["path"] for change in report["changes"]] == paths
+    assert report["rule"] == rule
     lines = run("settings", "diff", old, new).stdout.splitlines()
     assert len(lines) == len(paths) + 1
     assert lines[-1] == (f"as a whole: {rule}" if rule else "nothing that gateways share differs")
 
 
-def test_each_key_has_its_rule_and_one_without_is_named():
-    class More(Config):
+def test_each_key_has_a_rule_and_a_key_without_one_is_found():
+    class ExtendedConfig(Config):
         quota_style: str = "plain"
 
     assert contradiction.unmatched_keys() == []
-    assert contradiction.unmatched_keys(More) == ["quota_style"]
+    assert contradiction.unmatched_keys(ExtendedConfig) == ["quota_style"]
     lines = run("settings", "rules").stdout.splitlines()
     assert len(lines) == len(contradiction.SHARED_KEYS) > 40
     assert json.loads(run("settings", "rules", "--json").stdout.splitlines()[1]) == {
@@ -81,7 +81,7 @@
     }
 
 
-def test_a_file_that_cannot_be_used_is_told_by_its_mistakes(tmp_path):
+def test_an_invalid_file_is_reported_with_its_errors(tmp_path):
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text(tomlkit.dumps(BASE))
     bad.write_text(tomlkit.dumps(changed(zones=[], plans=[HOME | {"rate": "much"}])))
