--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -11,21 +11,21 @@
 
 from .model import Config
 
-MIN_DESCRIPTORS = 96  # 48 for the process itself, a third of the limit for clients, the rest for hosts
+MIN_DESCRIPTORS = 96  # 48 for the process itself, a third of all for clients, some for hosts
 MIN_MEMORY = units.Size("32MiB")  # an idle gateway's memory, and a little for requests
 
 
 def check(raw: dict[str, Any]) -> tuple[Config | None, list[Mistake]]:
-    """Returns the typed configuration and no mistakes, or None and all mistakes."""
-    config, mistakes = typed(raw, Config)
+    """Returns the typed configuration and no errors, or None and all errors."""
+    config, errors = typed(raw, Config)
     if config is None:
-        return None, mistakes
-    mistakes = list(check_relations(config))
-    return (None if mistakes else config), mistakes
+        return None, errors
+    errors = list(check_relations(config))
+    return (None if errors else config), errors
 
 
 def check_relations(config: Config) -> Iterator[Mistake]:
-    """Yields a mistake for each value that conflicts with another one or is out of range."""
+    """Yields an error for each value that conflicts with another one or is out of range."""
     yield from _check_fleet(config)
     yield from _check_zone(config)
     yield from _check_limits(config)
@@ -98,9 +98,7 @@
         if plan.ceiling_rate and not plan.ceiling_burst:
             yield Mistake(f"plans[{index}].ceiling_burst", "0", "expected above 0 if the plan has a ceiling")
         if plan.rate and not plan.burst:
-            yield Mistake(
-                f"plans[{index}].burst", "0", "expected above 0: a burst of 0 refuses every request"
-            )
+            yield Mistake(f"plans[{index}].burst", "0", "expected above 0: a burst of 0 admits no requests")
 
 
 def _check_classes(config: Config) -> Iterator[Mistake]:
--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -440,9 +440,9 @@
     from lab.cluster import cost as cost_study
     from lab.cluster import fleet, schedule
 
-    wanted = schedule.Schedule(gateways=gateways, hosts=4, customers=0)
+    fleet_schedule = schedule.Schedule(gateways=gateways, hosts=4, customers=0)
     try:
-        for line in asyncio.run(cost_study.pairs(wanted, count, rate, span)):
+        for line in asyncio.run(cost_study.pairs(fleet_schedule, count, rate, span)):
             click.echo(line)
     except (fleet.Broken, OSError) as error:
         raise CommandError(NOT_POSSIBLE, str(error)) from None
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -111,8 +111,8 @@
             origins[key] = origin
         except ValueError as error:
             override_errors.append(f"{key} ({origin}): {error}")
-    config, mistakes = checking.check(values)
-    lines = override_errors + [_format_mistake(mistake, file, origins) for mistake in mistakes]
+    config, errors = checking.check(values)
+    lines = override_errors + [_format_error(violation, file, origins) for violation in errors]
     if lines or config is None:
         raise ConfigurationError(lines)
     if platform_values is not None:
@@ -145,9 +145,9 @@
             for pointer in extras["absent"]
             if not any(path.startswith(pointer) for path in overridden_paths)
         ]
-    restored, mistakes = checking.check(plain(config) | ({"platform": extras} if extras else {}))
+    restored, errors = checking.check(plain(config) | ({"platform": extras} if extras else {}))
     if restored is None:
-        raise ConfigurationError(_format_mistake(mistake, file, {}) for mistake in mistakes)
+        raise ConfigurationError(_format_error(violation, file, {}) for violation in errors)
     return restored
 
 
@@ -177,12 +177,12 @@
     node[last] = text
 
 
-def _format_mistake(mistake: Mistake, file: Path, origins: Mapping[str, str]) -> str:
-    segments = re.sub(r"\[(\d+)\]", r".\1", mistake.key).split(".")
+def _format_error(violation: Mistake, file: Path, origins: Mapping[str, str]) -> str:
+    segments = re.sub(r"\[(\d+)\]", r".\1", violation.key).split(".")
     for length in range(len(segments), 0, -1):  # the origin of a list covers its elements
         if where := origins.get(".".join(segments[:length])):
-            return f"{where}: {mistake}"
-    return f"{file}: {mistake}"
+            return f"{where}: {violation}"
+    return f"{file}: {violation}"
 
 
 def as_toml(loaded: LoadedConfiguration, all_keys: bool = False) -> str:
--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -22,21 +22,21 @@
 
 # Key -> (rule, reason). ``*`` stands for the name of a list element, as in ``plans.*.rate``.
 SHARED_KEYS: dict[str, tuple[str, str]] = {
-    "classes": (WITHIN, "a gateway without the new class refuses its requests as unknown"),
+    "classes": (WITHIN, "a gateway that does not know a new class yet answers its requests with an error"),
     "classes.*.effect": (
         NEVER,
         "gateways would disagree on whether a request is safe to retry, and could run it twice",
     ),
     "classes.*.group": (
         NEVER,
-        "a retry may reach a host outside the old group, which does not discard it as a repeat",
+        "hosts outside the group do not discard a retry as a repeat",
     ),
     "classes.*.repeat_window": (NEVER, "a repeat after the shorter window runs a second time"),
     "classes.*.deadline": (TOGETHER, "each gateway applies its own deadline to a request"),
     "classes.*.aim": (TOGETHER, "only affects the gateway's own decisions"),
     "classes.*.worth": (TOGETHER, "only affects the gateway's own decisions"),
     "classes.*.late_worth": (TOGETHER, "only affects the gateway's own decisions"),
-    "plans": (WITHIN, "a gateway without the new plan refuses its requests as unknown"),
+    "plans": (WITHIN, "a gateway that does not know a new plan yet answers its requests with an error"),
     "plans.*.rate": (WITHIN, "some gateways refill limits at the old rate, others at the new one"),
     "plans.*.burst": (WITHIN, "same as the rate"),
     "plans.*.open": (WITHIN, "same as the rate"),
@@ -55,7 +55,7 @@
         "counters and their owners are assigned by rank, which must mean the same everywhere",
     ),
     "fleet.cluster": (NEVER, "gateways with different cluster names ignore each other's messages"),
-    "fleet.intake": (TOGETHER, "each gateway applies its own limit"),
+    "fleet.intake": (TOGETHER, "each gateway keeps to the limit that it knows"),
     "fleet.shared_counter": (WITHIN, "some gateways use the shared counter, others gossip"),
     "hosts.connect_timeout": (TOGETHER, "each connection has its own setting"),
     "hosts.idle_close": (TOGETHER, "each connection has its own setting"),
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -236,22 +236,22 @@
     return result
 
 
-def _differences(wanted: Any, converted: Any, parent_pointer: str) -> Iterator[tuple[str, Any]]:
+def _differences(expected: Any, actual: Any, parent_pointer: str) -> Iterator[tuple[str, Any]]:
     """Yields JSON pointers of differing or missing values, and MISSING for keys that must be removed."""
-    if isinstance(wanted, dict) and isinstance(converted, dict):
-        for key in [*wanted, *(key for key in converted if key not in wanted)]:
+    if isinstance(expected, dict) and isinstance(actual, dict):
+        for key in [*expected, *(key for key in actual if key not in expected)]:
             pointer = f"{parent_pointer}/{key.replace('~', '~0').replace('/', '~1')}"
-            if key not in converted:
-                yield pointer, wanted[key]
-            elif key not in wanted:
+            if key not in actual:
+                yield pointer, expected[key]
+            elif key not in expected:
                 yield pointer, MISSING
             else:
-                yield from _differences(wanted[key], converted[key], pointer)
-    elif isinstance(wanted, list) and isinstance(converted, list) and len(wanted) == len(converted):
-        for index, (wanted_item, converted_item) in enumerate(zip(wanted, converted, strict=True)):
-            yield from _differences(wanted_item, converted_item, f"{parent_pointer}/{index}")
-    elif wanted != converted or isinstance(wanted, bool) != isinstance(converted, bool):
-        yield parent_pointer, wanted
+                yield from _differences(expected[key], actual[key], pointer)
+    elif isinstance(expected, list) and isinstance(actual, list) and len(expected) == len(actual):
+        for index, (expected_item, actual_item) in enumerate(zip(expected, actual, strict=True)):
+            yield from _differences(expected_item, actual_item, f"{parent_pointer}/{index}")
+    elif expected != actual or isinstance(expected, bool) != isinstance(actual, bool):
+        yield parent_pointer, expected
 
 
 def _pointer_segments(pointer: str) -> list[str]:
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -90,21 +90,21 @@
 
 def gateway_toml(fleet: Fleet, rank: int) -> str:
     """Returns the TOML configuration of one gateway."""
-    own = fleet.gateways[rank]
+    this_gateway = fleet.gateways[rank]
     relay = fleet.fault.datagrams if fleet.fault else None
     peers = [
         gateway.peer
-        if gateway is own or relay is None
-        else "{}:{}".format(*relay.address((own.name, gateway.name)))
+        if gateway is this_gateway or relay is None
+        else "{}:{}".format(*relay.address((this_gateway.name, gateway.name)))
         for gateway in fleet.gateways
     ]
     return tomlkit.dumps(
         {
-            "name": own.name,
-            "listen": own.listen,
+            "name": this_gateway.name,
+            "listen": this_gateway.listen,
             "discovery": fleet.registry[0],
-            "control": own.control,
-            "metrics": own.metrics,
+            "control": this_gateway.control,
+            "metrics": this_gateway.metrics,
             "zones": list(ZONES),
             "zone": ZONES[rank % len(ZONES)],
             "fleet": {
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -17,9 +17,8 @@
 VICTIM_RANK = 1  # rank of the gateway that gets the fault
 START_DELAY, DURATION = 3.0, 5.0  # seconds
 RECOVERY_TIME = 2.0  # seconds until a restarted or resumed gateway serves again
-RUN_DIVISOR = (
-    3.0  # delay and fault each take at most a third of the run, which leaves a third for the recovery
-)
+# The delay and the fault each take at most a third of the run, which leaves a third for the recovery.
+RUN_DIVISOR = 3.0
 DESCRIPTIONS = {
     "pause": "is paused (SIGSTOP)",
     "kill": "is killed (SIGKILL), then restarted",
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -112,10 +112,10 @@
     file = tmp_path / "gw.toml"
     file.write_text(VALID_TOML + '[limits]\nmemory = "64MiB"\ndescriptors = 128\ncores = 0.5\n')
     variables = {"BIRCHDRUM_LIMITS__MEMORY": "96MiB", "BIRCHDRUM_LIMITS__DESCRIPTORS": "512"}
-    words = ("config", "show", file, "--set", "limits.descriptors=1024")
-    shown = tomllib.loads(run(*words, **variables).stdout)
+    arguments = ("config", "show", file, "--set", "limits.descriptors=1024")
+    shown = tomllib.loads(run(*arguments, **variables).stdout)
     assert shown["limits"] == {"memory": "96MiB", "descriptors": 1024, "cores": 0.5}
-    origins = dict(line.split("\t") for line in run(*words, "--origins", **variables).stdout.splitlines())
+    origins = dict(line.split("\t") for line in run(*arguments, "--origins", **variables).stdout.splitlines())
     assert origins["limits.memory"] == "BIRCHDRUM_LIMITS__MEMORY"
     assert origins["limits.descriptors"] == "flag"
     assert origins["limits.cores"] == origins["listen"] == str(file)
