--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -12,7 +12,12 @@
 
 import click
 
-SUCCESS, NOT_POSSIBLE, USAGE_ERROR, REFUSED, FAILED, INTERRUPTED = 0, 1, 2, 3, 4, 130
+SUCCESS = 0
+NOT_POSSIBLE = 1
+USAGE_ERROR = 2
+REFUSED = 3
+FAILED = 4
+INTERRUPTED = 130
 FILE_PATH = click.Path(path_type=Path, readable=False)  # commands report their own read errors
 CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 
@@ -22,7 +27,8 @@
 
     def __init__(self, code: int, *lines: str) -> None:
         super().__init__("\n".join(lines))
-        self.code, self.lines = code, lines
+        self.code = code
+        self.lines = lines
 
 
 class DurationType(click.ParamType[Any]):
--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -93,7 +93,8 @@
 
     from . import configuration
 
-    flags, file = collect_overrides(sets, **named_flags), find_configuration_file(file)
+    flags = collect_overrides(sets, **named_flags)
+    file = find_configuration_file(file)
     initial = load_configuration(file, flags)
 
     def platform_config(loaded: configuration.LoadedConfiguration) -> platform.Config:
--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -217,7 +217,8 @@
     if defect is not None:
         if defect not in defects.NAMES:
             raise CommandError(USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.NAMES)}")
-        module, os.environ[defects.VARIABLE] = "lab.defects", defect
+        module = "lab.defects"
+        os.environ[defects.VARIABLE] = defect
     loaded = {}
     for name in schedules:
         try:
@@ -403,7 +404,8 @@
             change_interval = 4.0 if kind == "calm" else 0.5  # seconds between two changes
             world = virtual.World(size, seed, virtual.KINDS[kind], change_every=change_interval)
             world.run(span)
-            never_overlaps, longest = len(world.overlaps(NEVER)), world.longest(WITHIN)
+            never_overlaps = len(world.overlaps(NEVER))
+            longest = world.longest(WITHIN)
             rule_broken = rule_broken or never_overlaps > 0 or longest > 1
             p50, p99 = np.percentile(world.spread() or [0.0], [50, 99])
             lapsed = world.counts["lapsed"] / max(1, world.counts["decisions"])
--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -172,12 +172,14 @@
 
 def changes(old: Config, new: Config) -> list[Change]:
     """Returns the differences in shared keys, in the order of ``SHARED_KEYS``."""
-    old_values, new_values = plain(old), plain(new)
+    old_values = plain(old)
+    new_values = plain(new)
     found_changes = []
     for path, (rule, why) in SHARED_KEYS.items():
         list_path, separator, key = path.partition(".*.")
         if path in KEYED_LISTS:
-            old_rows, new_rows = _rows_by_name(old_values, path), _rows_by_name(new_values, path)
+            old_rows = _rows_by_name(old_values, path)
+            new_rows = _rows_by_name(new_values, path)
             if path in ORDERED_LISTS and any(
                 name in new_rows and list(new_rows).index(name) != index
                 for index, name in enumerate(old_rows)
@@ -188,7 +190,8 @@
                     row = old_rows.get(name), new_rows.get(name)
                     found_changes.append(Change(f"{path}.{name}", rule, why, *row))
         elif separator:
-            old_rows, new_rows = _rows_by_name(old_values, list_path), _rows_by_name(new_values, list_path)
+            old_rows = _rows_by_name(old_values, list_path)
+            new_rows = _rows_by_name(new_values, list_path)
             for name in [name for name in old_rows if name in new_rows]:
                 values = old_rows[name].get(key), new_rows[name].get(key)
                 if values[0] != values[1]:
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -177,7 +177,9 @@
         rows = get(values, path, ".")
         if rows is not MISSING:
             put(result, platform_path, [_convert_row(row, fields, reverse=True) for row in rows], "/")
-    zones, zone, peers = values.get("zones") or ["all"], values.get("zone"), get(values, "fleet.peers", ".")
+    zones = values.get("zones") or ["all"]
+    zone = values.get("zone")
+    peers = get(values, "fleet.peers", ".")
     put(result, ZONE_INDEX_PATH, zones.index(zone) if zone in zones else 0, "/")
     rank = get(values, "fleet.rank", ".")
     if peers and "peer_listen" not in result and isinstance(rank, int) and rank < len(peers):
@@ -210,7 +212,8 @@
         rows = get(platform_values, platform_path, "/")
         if isinstance(rows, list):
             put(result, path, [_convert_row(row, fields, reverse=False) for row in rows], ".")
-    zones, index = result.get("zones"), get(platform_values, ZONE_INDEX_PATH, "/")
+    zones = result.get("zones")
+    index = get(platform_values, ZONE_INDEX_PATH, "/")
     if isinstance(zones, list) and isinstance(index, int) and 0 <= index < len(zones):
         result["zone"] = zones[index]
     return result
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -162,7 +162,8 @@
 
 
 async def _start_components(fleet: Fleet, hosts: int, count: int, seed: int) -> None:
-    folder, children = fleet.folder, fleet.children
+    folder = fleet.folder
+    children = fleet.children
     # Gateways must read only the files written here. With TMPDIR set, they would look for a predecessor
     # process to take over from.
     environment = {
@@ -367,7 +368,8 @@
 
 def find_problems(figures: dict[str, Any]) -> list[str]:
     """Lists the problems of a run; empty if there are none."""
-    total, problems = figures["total"], []
+    total = figures["total"]
+    problems = []
     if not total["served"] and total["sent"] >= MIN_SENT:
         problems.append("no request was served")
     lost = figures["trouble"]["lost_besides"] if "trouble" in figures else total["lost"]
@@ -474,7 +476,8 @@
     seed: int,
     trouble: str | None,
 ) -> int:
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
     for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         loop.add_signal_handler(signal_number, stop.set)
     fault = FaultInjection(trouble, span) if trouble else None
--- a/birchdrum/members.py
+++ b/birchdrum/members.py
@@ -75,7 +75,8 @@
 
 def gather(gateways: dict[str, calling.HostPort], timeout: float) -> MembershipViews:
     """Requests the tables of all gateways concurrently."""
-    tables, missing = {}, {}
+    tables = {}
+    missing = {}
     for answer in calling.call_all(gateways, "MEMBERS", timeout):
         if answer.accepted and answer.reply:
             tables[answer.name] = json.loads(answer.reply.removeprefix("done "))
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -15,7 +15,8 @@
 
 KINDS = ("pause", "kill", "cut")
 VICTIM_RANK = 1  # rank of the gateway that gets the fault
-START_DELAY, DURATION = 3.0, 5.0  # seconds
+START_DELAY = 3.0  # seconds from the start of the run to the fault
+DURATION = 5.0  # seconds
 RECOVERY_TIME = 2.0  # seconds until a restarted or resumed gateway serves again
 # The delay and the fault each take at most a third of the run, which leaves a third for the recovery.
 RUN_DIVISOR = 3.0
