--- a/birchdrum/contradiction.py
+++ b/birchdrum/contradiction.py
@@ -174,35 +174,53 @@
     """Returns the differences in shared keys, in the order of ``SHARED_KEYS``."""
     old_values = plain(old)
     new_values = plain(new)
-    found_changes = []
-    for path, (rule, why) in SHARED_KEYS.items():
-        list_path, separator, key = path.partition(".*.")
+    found_changes: list[Change] = []
+    for path in SHARED_KEYS:
         if path in KEYED_LISTS:
-            old_rows = _rows_by_name(old_values, path)
-            new_rows = _rows_by_name(new_values, path)
-            if path in ORDERED_LISTS and any(
-                name in new_rows and list(new_rows).index(name) != index
-                for index, name in enumerate(old_rows)
-            ):
-                found_changes.append(Change(path, *ORDERED_LISTS[path], list(old_rows), list(new_rows)))
-            for name in [*old_rows, *(name for name in new_rows if name not in old_rows)]:
-                if (name in old_rows) is not (name in new_rows):
-                    row = old_rows.get(name), new_rows.get(name)
-                    found_changes.append(Change(f"{path}.{name}", rule, why, *row))
-        elif separator:
-            old_rows = _rows_by_name(old_values, list_path)
-            new_rows = _rows_by_name(new_values, list_path)
-            for name in [name for name in old_rows if name in new_rows]:
-                values = old_rows[name].get(key), new_rows[name].get(key)
-                if values[0] != values[1]:
-                    found_changes.append(Change(f"{list_path}.{name}.{key}", rule, why, *values))
+            found_changes += _list_changes(path, old_values, new_values)
+        elif ".*." in path:
+            found_changes += _element_changes(path, old_values, new_values)
         else:
-            values = _value_at(old_values, path), _value_at(new_values, path)
-            if values[0] != values[1]:
-                found_changes.append(Change(path, rule, why, *values))
+            found_changes += _value_changes(path, old_values, new_values)
     return found_changes
 
 
+def _list_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
+    """Yields changed order, and added and removed elements, of a list whose elements have names."""
+    rule, why = SHARED_KEYS[path]
+    old_rows = _rows_by_name(old_values, path)
+    new_rows = _rows_by_name(new_values, path)
+    if path in ORDERED_LISTS and any(
+        name in new_rows and list(new_rows).index(name) != index for index, name in enumerate(old_rows)
+    ):
+        yield Change(path, *ORDERED_LISTS[path], list(old_rows), list(new_rows))
+    for name in [*old_rows, *(name for name in new_rows if name not in old_rows)]:
+        if (name in old_rows) is not (name in new_rows):
+            yield Change(f"{path}.{name}", rule, why, old_rows.get(name), new_rows.get(name))
+
+
+def _element_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
+    """Yields changes of one key in the elements that both configurations have."""
+    rule, why = SHARED_KEYS[path]
+    list_path, _, key = path.partition(".*.")
+    old_rows = _rows_by_name(old_values, list_path)
+    new_rows = _rows_by_name(new_values, list_path)
+    for name in [name for name in old_rows if name in new_rows]:
+        old_value = old_rows[name].get(key)
+        new_value = new_rows[name].get(key)
+        if old_value != new_value:
+            yield Change(f"{list_path}.{name}.{key}", rule, why, old_value, new_value)
+
+
+def _value_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
+    """Yields the change of a key outside lists, if there is one."""
+    rule, why = SHARED_KEYS[path]
+    old_value = _value_at(old_values, path)
+    new_value = _value_at(new_values, path)
+    if old_value != new_value:
+        yield Change(path, rule, why, old_value, new_value)
+
+
 def strictest(found_changes: list[Change]) -> str:
     """Returns the strictest rule among the changes; it applies to the new version as a whole."""
     return max((change.rule for change in found_changes), key=RULES.index, default=TOGETHER)
