--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -1,4 +1,4 @@
-"""What a gateway's configuration may not say: its types, and the relations between its values."""
+"""Validates a gateway's configuration: the type of each value, and the constraints between values."""
 
 from __future__ import annotations
 
@@ -11,87 +11,138 @@
 
 from .model import Config
 
-DESCRIPTORS_LEAST = 96  # 48 for the process itself, a third for clients, and some for hosts
-MEMORY_LEAST = units.Size("32MiB")  # what a gateway takes at rest, and a little for requests
+MIN_DESCRIPTORS = 96  # 48 for the process itself, a third of all for clients, some for hosts
+MIN_MEMORY = units.Size("32MiB")  # an idle gateway's memory, and a little for requests
 
 
 def check(raw: dict[str, Any]) -> tuple[Config | None, list[Violation]]:
-    """The typed configuration, or all that is wrong with it."""
-    config, mistakes = validate(raw, Config)
+    """Returns the typed configuration and no errors, or None and all errors."""
+    config, errors = validate(raw, Config)
     if config is None:
-        return None, mistakes
-    mistakes = list(relations(config))
-    return (None if mistakes else config), mistakes
+        return None, errors
+    errors = list(check_relations(config))
+    return (None if errors else config), errors
 
 
-def relations(config: Config) -> Iterator[Violation]:
-    """What each value may not be next to the others."""
-    fleet, limits = config.fleet, config.limits
+def check_relations(config: Config) -> Iterator[Violation]:
+    """Yields an error for each value that conflicts with another one or is out of range."""
+    yield from _check_fleet(config)
+    yield from _check_zone(config)
+    yield from _check_limits(config)
+    yield from _check_plans(config)
+    yield from _check_classes(config)
+    yield from _check_not_empty(config)
+    yield from _check_unique_names(config)
+    yield from _check_listen_addresses(config)
+
+
+def _check_fleet(config: Config) -> Iterator[Violation]:
+    fleet = config.fleet
     if fleet.rank >= fleet.gateways:
         yield Violation("fleet.rank", str(fleet.rank), f"expected below fleet.gateways, {fleet.gateways}")
-    finds = bool(fleet.join or fleet.meet)  # members learn where the others are
-    if config.requests.gossip and fleet.gateways > 1 and not finds and len(fleet.peers) != fleet.gateways:
-        wanted = f"expected one address a gateway, its own included: {fleet.gateways}"
-        yield Violation("fleet.peers", f"{len(fleet.peers)} addresses", wanted)
-    if fleet.cluster is not None and not (config.requests.gossip and (fleet.peers or finds)):
-        wanted = "membership needs requests.gossip and fleet.peers, join or meet: add them, or leave it out"
-        yield Violation("fleet.cluster", f'"{fleet.cluster}"', wanted)
-    if finds and fleet.peers:
-        wanted = "expected none: fleet.join and fleet.meet learn what fleet.peers fixes, choose one"
-        yield Violation("fleet.peers", f"{len(fleet.peers)} addresses", wanted)
-    if finds and (fleet.cluster is None or fleet.listen is None):
-        wanted = (
-            "fleet.join and fleet.meet need fleet.cluster and fleet.listen, where others reach this gateway"
+    discovers_members = bool(fleet.join or fleet.meet)  # membership learns the other addresses
+    if (
+        config.requests.gossip
+        and fleet.gateways > 1
+        and not discovers_members
+        and len(fleet.peers) != fleet.gateways
+    ):
+        expected = f"expected one address for each gateway, including its own: {fleet.gateways}"
+        yield Violation("fleet.peers", f"{len(fleet.peers)} addresses", expected)
+    if fleet.cluster is not None and not (config.requests.gossip and (fleet.peers or discovers_members)):
+        expected = (
+            "membership needs requests.gossip and fleet.peers, join or meet: add them, or remove this key"
+        )
+        yield Violation("fleet.cluster", f'"{fleet.cluster}"', expected)
+    if discovers_members and fleet.peers:
+        expected = (
+            "expected none: fleet.join and fleet.meet discover the peers, remove either these or fleet.peers"
         )
-        yield Violation("fleet.join" if fleet.join else "fleet.meet", "set", wanted)
-    if finds and fleet.listen and not fleet.advertise and str(fleet.listen).startswith("0.0.0.0:"):
-        wanted = "an address that others can reach is needed: set fleet.advertise"
-        yield Violation("fleet.listen", f'"{fleet.listen}"', wanted)
+        yield Violation("fleet.peers", f"{len(fleet.peers)} addresses", expected)
+    if discovers_members and (fleet.cluster is None or fleet.listen is None):
+        expected = (
+            "fleet.join and fleet.meet need fleet.cluster and a fleet.listen that other gateways can reach"
+        )
+        yield Violation("fleet.join" if fleet.join else "fleet.meet", "set", expected)
+    if (
+        discovers_members
+        and fleet.listen
+        and not fleet.advertise
+        and str(fleet.listen).startswith("0.0.0.0:")
+    ):
+        expected = "expected an address that other gateways can reach: set fleet.advertise"
+        yield Violation("fleet.listen", f'"{fleet.listen}"', expected)
+
+
+def _check_zone(config: Config) -> Iterator[Violation]:
     if config.zone is not None and config.zone not in config.zones:
         yield Violation("zone", f'"{config.zone}"', f"expected one of zones: {', '.join(config.zones)}")
-    if limits.descriptors < DESCRIPTORS_LEAST:
-        wanted = f"too few, expected {DESCRIPTORS_LEAST} at least: 48 of the process, a third for clients"
-        yield Violation("limits.descriptors", str(limits.descriptors), wanted)
-    if limits.memory.base < MEMORY_LEAST.base:
-        yield Violation(
-            "limits.memory", f'"{limits.memory}"', f"too little, expected {MEMORY_LEAST} at least"
+
+
+def _check_limits(config: Config) -> Iterator[Violation]:
+    limits = config.limits
+    if limits.descriptors < MIN_DESCRIPTORS:
+        expected = (
+            f"too few, expected at least {MIN_DESCRIPTORS}: 48 for the process, a third of all for clients"
         )
-    for i, plan in enumerate(config.plans):
+        yield Violation("limits.descriptors", str(limits.descriptors), expected)
+    if limits.memory.base < MIN_MEMORY.base:
+        yield Violation("limits.memory", f'"{limits.memory}"', f"too little, expected at least {MIN_MEMORY}")
+
+
+def _check_plans(config: Config) -> Iterator[Violation]:
+    for index, plan in enumerate(config.plans):
         if 0 < plan.ceiling_rate < plan.rate:
-            wanted = f"a ceiling below its quota: expected {plan.rate:g} at least, or 0 for none"
-            yield Violation(f"plans[{i}].ceiling_rate", f"{plan.ceiling_rate:g}", wanted)
+            expected = f"the ceiling is below the quota: expected at least {plan.rate:g}, or 0 for no ceiling"
+            yield Violation(f"plans[{index}].ceiling_rate", f"{plan.ceiling_rate:g}", expected)
         if plan.ceiling_rate and not plan.ceiling_burst:
-            yield Violation(f"plans[{i}].ceiling_burst", "0", "expected above 0 where there is a ceiling")
+            yield Violation(f"plans[{index}].ceiling_burst", "0", "expected above 0 if there is a ceiling")
         if plan.rate and not plan.burst:
-            yield Violation(f"plans[{i}].burst", "0", "expected above 0: nothing would pass")
-    for i, kind in enumerate(config.classes):
-        if kind.aim.base > kind.deadline.base:
-            wanted = f"expected at most its deadline, {kind.deadline}"
-            yield Violation(f"classes[{i}].aim", f'"{kind.aim}"', wanted)
-        if not kind.deadline.base:
-            yield Violation(f"classes[{i}].deadline", f'"{kind.deadline}"', "expected above 0")
-        if kind.effect == "by_key" and not kind.repeat_window.base:
-            wanted = 'expected above 0 for effect = "by_key": how long hosts discard repeats'
-            yield Violation(f"classes[{i}].repeat_window", f'"{kind.repeat_window}"', wanted)
+            yield Violation(f"plans[{index}].burst", "0", "expected above 0: a burst of 0 admits no requests")
+
+
+def _check_classes(config: Config) -> Iterator[Violation]:
+    for index, request_class in enumerate(config.classes):
+        if request_class.aim.base > request_class.deadline.base:
+            expected = f"expected at most the deadline of the class, {request_class.deadline}"
+            yield Violation(f"classes[{index}].aim", f'"{request_class.aim}"', expected)
+        if not request_class.deadline.base:
+            yield Violation(f"classes[{index}].deadline", f'"{request_class.deadline}"', "expected above 0")
+        if request_class.effect == "by_key" and not request_class.repeat_window.base:
+            expected = 'expected above 0 for effect = "by_key": how long hosts discard repeated requests'
+            yield Violation(f"classes[{index}].repeat_window", f'"{request_class.repeat_window}"', expected)
+
+
+def _check_not_empty(config: Config) -> Iterator[Violation]:
     if not config.classes:
-        yield Violation("classes", "[]", "expected one class at least")
+        yield Violation("classes", "[]", "expected at least one class")
     if not config.plans:
-        yield Violation("plans", "[]", "expected one plan at least")
+        yield Violation("plans", "[]", "expected at least one plan")
     if not config.zones:
-        yield Violation("zones", "[]", "expected one zone at least")
+        yield Violation("zones", "[]", "expected at least one zone")
+
+
+def _check_unique_names(config: Config) -> Iterator[Violation]:
     names = {
-        "classes": [kind.name for kind in config.classes],
+        "classes": [request_class.name for request_class in config.classes],
         "plans": [plan.name for plan in config.plans],
         "zones": config.zones,
-        "fleet.peers": [str(peer) for peer in fleet.peers],
+        "fleet.peers": [str(peer) for peer in config.fleet.peers],
     }
     for key, values in names.items():
-        for name in [name for name, times in Counter(values).items() if times > 1]:
-            yield Violation(key, f'"{name}"', "stands twice, expected once")
-    own = {"listen": config.listen, "control": config.control, "metrics": config.metrics}
-    taken: dict[str, str] = {}
-    for key, address in own.items():
+        for name in [name for name, occurrences in Counter(values).items() if occurrences > 1]:
+            yield Violation(key, f'"{name}"', "is listed more than once")
+
+
+def _check_listen_addresses(config: Config) -> Iterator[Violation]:
+    listen_addresses = {"listen": config.listen, "control": config.control, "metrics": config.metrics}
+    used_addresses: dict[str, str] = {}
+    for key, address in listen_addresses.items():
         if address is not None:
-            if str(address) in taken:
-                yield Violation(key, f'"{address}"', f"expected another address than {taken[str(address)]}")
-            taken[str(address)] = key
+            if str(address) in used_addresses:
+                yield Violation(
+                    key,
+                    f'"{address}"',
+                    f"expected an address other than that of {used_addresses[str(address)]}",
+                )
+            used_addresses[str(address)] = key
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -452,7 +452,7 @@
     whats = [argument for what in ("rest", "kill", "name") for argument in ("--what", what)]
     arguments = ["lab", "members", *whats, "--size", "4", "--seeds", "1", "--out", tmp_path / "kept"]
     for name in ("all.svg", "again.png"):
-        result = run(*arguments, "--plot", tmp_path / name, within=120)
+        result = run(*arguments, "--plot", tmp_path / name, timeout=120)
         assert result.returncode == 0, result.stderr
     svg = (tmp_path / "all.svg").read_text()
     assert svg.count('id="axes_') == 3
