--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -6,7 +6,7 @@
 from orchidlane import membership
 from orchidlane.member_messages import Message, Row, RowKind
 
-from .membership import Core, Factory, Ours, ours
+from .membership import Core, Factory, ProductionCore, production_core
 
 EVERY = 1_000_000  # microseconds between two heartbeats to each
 MISSED = 3  # of them until a member is gone
@@ -46,12 +46,12 @@
         """Knows no such word."""
         return []
 
-    def holds_here(self, rank: int) -> bool:
+    def considers_active(self, rank: int) -> bool:
         """Not gone."""
         return rank not in self.gone
 
 
-class PlainSwim(Ours):
+class PlainSwim(ProductionCore):
     """SWIM as published: probes, relays, suspicion of one length, refutation. No health of its own, no look
     of one's own before the end, no evidence but the suspect's word, a DEAD is believed, nothing of links."""
 
@@ -102,4 +102,4 @@
     return PlainSwim(rank, size, "lab", life, seed, now, intake=100.0)
 
 
-VARIANTS: dict[str, Factory] = {"birchdrum": ours, "swim": swim, "heartbeats": heartbeats}
+VARIANTS: dict[str, Factory] = {"birchdrum": production_core, "swim": swim, "heartbeats": heartbeats}
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -39,9 +39,9 @@
 
 def _world(job: Job) -> World:
     world = World(job.size, job.seed, VARIANTS[job.variant], job.loss)
-    world.run_until(world.agreed, SETTLE)
+    world.run_until(world.converged, SETTLE)
     world.run(5)
-    world.changes.clear()
+    world.events.clear()
     return world
 
 
@@ -49,14 +49,14 @@
     """Seconds until each member holds a killed one gone, for each of three that are killed in turn."""
     world, times = _world(job), []
     for victim in range(3):
-        world.changes.clear()
+        world.events.clear()
         began = world.kernel.now
         world.kill(victim)
         try:
-            world.run_until(lambda victim=victim: world.all_hold(victim, False), 30)  # type: ignore[misc]
+            world.run_until(lambda victim=victim: world.all_agree(victim, False), 30)  # type: ignore[misc]
         except TimeoutError:
             times.append(30.0)
-        said = {c.teller: c.at for c in world.gone_words() if c.fields["member"] == victim}
+        said = {c.observer: c.time for c in world.death_events() if c.fields["member"] == victim}
         times += [(at - began) / SECOND for at in said.values()]
         world.run(2)
     return {"seconds": times}
@@ -66,7 +66,7 @@
     """How often a member that ran is held gone by one, and the member hours of watching."""
     world = _world(job)
     world.run(WATCH)
-    return {"false": len(world.gone_words()), "hours": WATCH * job.size / 3600}
+    return {"false": len(world.death_events()), "hours": WATCH * job.size / 3600}
 
 
 def pauses(job: Job) -> dict[str, Any]:
@@ -88,10 +88,10 @@
         world.run(0.1)
     grace = 5 * SECOND  # what was concluded of a standstill may come so much later
     wrong = 0
-    for word in world.gone_words():
+    for word in world.death_events():
         about = word.fields["member"]
-        wrong += not any(rank == about and began <= word.at <= until + grace for rank, began, until in hurt)
-    return {"false": wrong, "words": len(world.gone_words()), "hours": WATCH * job.size / 3600}
+        wrong += not any(rank == about and began <= word.time <= until + grace for rank, began, until in hurt)
+    return {"false": wrong, "words": len(world.death_events()), "hours": WATCH * job.size / 3600}
 
 
 def name(job: Job) -> dict[str, Any]:
@@ -99,19 +99,19 @@
     world, draw, times = _world(job), np.random.default_rng([job.seed, 2]), []
     for _ in range(6):
         a, b = (int(rank) for rank in draw.choice(job.size, 2, replace=False))
-        world.changes.clear()
-        world.cuts, began = {(a, b)}, world.kernel.now
+        world.events.clear()
+        world.blocked_links, began = {(a, b)}, world.kernel.now
         named = {"from": a, "to": b, "down": True}
 
         def is_named(named: dict[str, Any] = named) -> bool:
-            return any(change.fields == named for change in world.changes)
+            return any(change.fields == named for change in world.events)
 
         try:
             world.run_until(is_named, 60)
-            times.append((next(c.at for c in world.changes if c.fields == named) - began) / SECOND)
+            times.append((next(c.time for c in world.events if c.fields == named) - began) / SECOND)
         except TimeoutError:
             times.append(60.0)
-        world.cuts = set()
+        world.blocked_links = set()
         world.run(5)
     return {"seconds": times}
 
@@ -119,14 +119,14 @@
 def heal(job: Job) -> dict[str, Any]:
     """Seconds until all hold the same after a split in halves of 10 s, and messages a member a second."""
     world = _world(job)
-    world.split(range(job.size // 2))
+    world.partition(range(job.size // 2))
     world.run(10)
-    before, world.cuts = world.carried["messages"], set()
+    before, world.blocked_links = world.traffic["messages"], set()
     try:
-        took = world.run_until(world.agreed, 60)
+        took = world.run_until(world.converged, 60)
     except TimeoutError:
         took = 60.0
-    sent = world.carried["messages"] - before
+    sent = world.traffic["messages"] - before
     return {"seconds": [took], "messages": sent / job.size / max(took, 0.05)}
 
 
@@ -134,9 +134,9 @@
     """Messages and bytes a member a second."""
     world = _world(job)
     world.run(35)  # what was new at the start is told on for a while
-    before = dict(world.carried)
+    before = dict(world.traffic)
     world.run(10)
-    of = {key: (world.carried[key] - before[key]) / 10 / job.size for key in ("messages", "bytes")}
+    of = {key: (world.traffic[key] - before[key]) / 10 / job.size for key in ("messages", "bytes")}
     return {"messages": of["messages"], "bytes": of["bytes"]}
 
 
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -32,14 +32,14 @@
     def leave(self, now: int) -> list[state.Action]:
         """End on purpose."""
 
-    def holds_here(self, rank: int) -> bool:
+    def considers_active(self, rank: int) -> bool:
         """Whether a rank is taken to be there."""
 
 
-class Ours(Membership):
+class ProductionCore(Membership):
     """The gateway's own, as the world asks it."""
 
-    def holds_here(self, rank: int) -> bool:
+    def considers_active(self, rank: int) -> bool:
         """Alive or suspect."""
         return self.members[rank].state in state.ACTIVE_STATES
 
@@ -47,18 +47,18 @@
 Factory = Callable[[int, int, int, int, int], Core]  # rank, size, life, seed, now
 
 
-def ours(rank: int, size: int, life: int, seed: int, now: int) -> Core:
+def production_core(rank: int, size: int, life: int, seed: int, now: int) -> Core:
     """What is in service."""
-    return Ours(rank, size, "lab", life, seed, now, intake=100.0)
+    return ProductionCore(rank, size, "lab", life, seed, now, intake=100.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """``teller`` saw this at ``at`` (microseconds)."""
+class LoggedEvent:
+    """``observer`` saw this at ``time`` (microseconds)."""
 
-    at: int
-    teller: int
-    what: str
+    time: int
+    observer: int
+    name: str
     fields: dict[str, object]
 
 
@@ -77,14 +77,14 @@
 class World:
     """A fleet of members from one seed."""
 
-    def __init__(self, size: int, seed: int, factory: Factory = ours, loss: float = 0.0) -> None:
+    def __init__(self, size: int, seed: int, factory: Factory = production_core, loss: float = 0.0) -> None:
         self.kernel, self.size, self.factory, self.loss = Kernel(), size, factory, loss
         self.kernel.now = T0
         self.draw = Uniform(draws(seed, "network"))
         self.seeds = draws(seed, "members")
-        self.cuts: set[tuple[int, int]] = set()  # (from, to)
-        self.changes: list[Change] = []
-        self.carried: Counter[str] = Counter()  # messages, bytes
+        self.blocked_links: set[tuple[int, int]] = set()  # (from, to)
+        self.events: list[LoggedEvent] = []
+        self.traffic: Counter[str] = Counter()  # messages, bytes
         self.lives = 0
         self.nodes: list[Node] = []
         for rank in range(size):
@@ -120,11 +120,11 @@
     def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
             if isinstance(action, state.LogEvent):
-                self.changes.append(Change(self.kernel.now, node.rank, action.name, action.fields))
+                self.events.append(LoggedEvent(self.kernel.now, node.rank, action.name, action.fields))
                 continue
-            self.carried["messages"] += 1
-            self.carried["bytes"] += len(action.body)
-            if (node.rank, action.rank) in self.cuts or self.draw() < self.loss:
+            self.traffic["messages"] += 1
+            self.traffic["bytes"] += len(action.body)
+            if (node.rank, action.rank) in self.blocked_links or self.draw() < self.loss:
                 continue
             way = DELAY[0] + int(self.draw() * (DELAY[1] - DELAY[0]))
             self.kernel.after(way, self._arrive, self.nodes[action.rank], node.rank, action.body)
@@ -171,12 +171,12 @@
         for sender, body in waiting:
             self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
 
-    def split(self, side: Iterable[int]) -> None:
+    def partition(self, side: Iterable[int]) -> None:
         """Nothing passes between these and the others."""
         inside = set(side)
         for a in inside:
             for b in set(range(self.size)) - inside:
-                self.cuts |= {(a, b), (b, a)}
+                self.blocked_links |= {(a, b), (b, a)}
 
     # -- what is seen ---------------------------------------------------------------------------------------
 
@@ -184,14 +184,14 @@
         """Members that are neither dead nor paused."""
         return [node for node in self.nodes if not node.dead and not node.paused]
 
-    def all_hold(self, rank: int, here: bool) -> bool:
+    def all_agree(self, rank: int, here: bool) -> bool:
         """Whether everybody who runs takes a rank to be there, or not."""
-        return all(node.core.holds_here(rank) is here for node in self.running() if node.rank != rank)
+        return all(node.core.considers_active(rank) is here for node in self.running() if node.rank != rank)
 
-    def agreed(self) -> bool:
+    def converged(self) -> bool:
         """Whether everybody who runs holds all that run to be there."""
-        return all(self.all_hold(node.rank, True) for node in self.running())
+        return all(self.all_agree(node.rank, True) for node in self.running())
 
-    def gone_words(self) -> list[Change]:
+    def death_events(self) -> list[LoggedEvent]:
         """Each time that somebody held a member gone."""
-        return [c for c in self.changes if c.what == "member" and c.fields["state"] == "gone"]
+        return [c for c in self.events if c.name == "member" and c.fields["state"] == "gone"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -161,7 +161,7 @@
     """Factory for a world whose members run this variant of the core."""
 
     class Core(core_class):
-        def holds_here(self, rank: int) -> bool:
+        def considers_active(self, rank: int) -> bool:
             return self.members[rank].state.value in ("alive", "suspect")
 
     return lambda rank, size, life, seed, now: Core(rank, size, "lab", life, seed, now, 100.0)
@@ -169,27 +169,27 @@
 
 def converged_world(factory: virtual.Factory, size: int, seed: int, loss: float = 0.0) -> World:
     world = World(size, seed, factory, loss)
-    world.run_until(world.agreed, 20)
+    world.run_until(world.converged, 20)
     world.run(2)
-    world.changes.clear()
+    world.events.clear()
     return world
 
 
 def declared_dead(world: World) -> list[int]:
-    return [change.fields["member"] for change in world.gone_words()]
+    return [change.fields["member"] for change in world.death_events()]
 
 
 def detects_kill(factory: virtual.Factory, seed: int) -> None:
     world = converged_world(factory, 12, seed)
     world.kill(3)
-    assert world.run_until(lambda: world.all_hold(3, False), 4) < 3
+    assert world.run_until(lambda: world.all_agree(3, False), 4) < 3
     assert set(declared_dead(world)) == {3}
 
 
 def announces_leave(factory: virtual.Factory, seed: int) -> None:
     world = converged_world(factory, 12, seed)
     world.leave(3)
-    assert world.run_until(lambda: world.all_hold(3, False), 4) < 0.8
+    assert world.run_until(lambda: world.all_agree(3, False), 4) < 0.8
     assert declared_dead(world) == []
 
 
@@ -203,7 +203,7 @@
     world.kill(3)
     world.run(0.7)
     world.restart(3)
-    world.run_until(world.agreed, 4)
+    world.run_until(world.converged, 4)
     world.run(1)
     core = world.nodes[late_datagram.rank].core
     assert core.members[3].life == world.nodes[3].core.life > old_life
@@ -222,7 +222,7 @@
     core.digest ^= core._digest_part(2, core.life, State.ALIVE)
     core.life = old_life - 100 * 1024
     core.digest ^= core._digest_part(2, core.life, State.ALIVE)
-    world.run_until(world.agreed, 6)
+    world.run_until(world.converged, 6)
     assert world.nodes[2].core.life > old_life
 
 
@@ -246,7 +246,7 @@
         assert all(
             node.core.members[1].incarnation == target.incarnation for node in world.nodes if node.rank != 1
         )
-    assert world.agreed()
+    assert world.converged()
 
 
 def survives_pause(factory: virtual.Factory, seed: int) -> None:
@@ -256,29 +256,29 @@
         world = converged_world(factory, 10, seed)
         world.pause(4, span)
         world.run(span - 0.01)
-        world.changes.clear()
+        world.events.clear()
         world.run(0.3)
-        world.run_until(world.agreed, 5)
-        own = [change for change in world.changes if change.teller == 4]
-        assert own and own[0].what == "stood_still"
+        world.run_until(world.converged, 5)
+        own = [change for change in world.events if change.observer == 4]
+        assert own and own[0].name == "stood_still"
         assert own[0].fields["stood_still_ms"] > 500 * span
         assert [
-            change for change in own if change.what == "member" and change.fields["state"] == "gone"
+            change for change in own if change.name == "member" and change.fields["state"] == "gone"
         ] == []
-        assert "sure_again" in [change.what for change in own]
+        assert "sure_again" in [change.name for change in own]
 
 
 def reports_one_way_link(factory: virtual.Factory, seed: int) -> None:
     """A link that fails in one direction is reported as down, and neither end is declared dead."""
     world = converged_world(factory, 10, seed)
     for a, b in ((2, 7), (7, 2), (0, 5), (9, 0)):
-        world.changes.clear()
-        world.cuts.add((a, b))
+        world.events.clear()
+        world.blocked_links.add((a, b))
         expected = {"from": a, "to": b, "down": True}
-        world.run_until(lambda expected=expected: any(c.fields == expected for c in world.changes), 3)
+        world.run_until(lambda expected=expected: any(c.fields == expected for c in world.events), 3)
         world.run(4)
         assert all(node.core.links.down_links() == [(a, b)] for node in world.nodes)
-        world.cuts.clear()
+        world.blocked_links.clear()
         world.run_until(lambda: not any(node.core.links.down_links() for node in world.nodes), 6)
         assert declared_dead(world) == []
 
@@ -291,25 +291,25 @@
     ring = {(a, b) for a in range(size) for b in range(size) if a != b} - near
     for cuts in (star, ring):
         world = converged_world(factory, size, seed)
-        world.cuts = cuts
+        world.blocked_links = cuts
         world.run(15)
-        assert declared_dead(world) == [] and world.agreed()
+        assert declared_dead(world) == [] and world.converged()
 
 
 def notices_isolation(factory: virtual.Factory, seed: int) -> None:
     """A member that nobody receives from learns it from those it receives from; one that receives nothing
     knows that it is cut off, and declares nobody dead."""
     world = converged_world(factory, 8, seed)
-    world.cuts = {(3, other) for other in range(8) if other != 3}
+    world.blocked_links = {(3, other) for other in range(8) if other != 3}
     world.run(5)
     view = world.nodes[3].core.view
     assert view.unheard and not view.cut_off and view.absent == frozenset()
-    world.cuts = {(other, 3) for other in range(8) if other != 3}
+    world.blocked_links = {(other, 3) for other in range(8) if other != 3}
     world.run(8)
     view = world.nodes[3].core.view
     assert view.cut_off and view.absent == frozenset()  # without messages it has no evidence against others
-    world.cuts = set()
-    world.run_until(world.agreed, 5)
+    world.blocked_links = set()
+    world.run_until(world.converged, 5)
     world.run(1)
     assert not world.nodes[3].core.view.cut_off
 
@@ -319,15 +319,15 @@
     without a message storm."""
     for span in (1, 2, 3, 4, 7):
         world = converged_world(factory, 12, seed)
-        world.split(range(4))
+        world.partition(range(4))
         world.run(span)
         if span >= 7:
             assert {node.core.view.active_of_total for node in world.nodes[:4]} == {(4, 12)}
             assert {node.core.view.active_of_total for node in world.nodes[4:]} == {(8, 12)}
-        before = world.carried["messages"]
-        world.cuts = set()
-        took = world.run_until(world.agreed, 5)
-        assert world.carried["messages"] - before < 12 * 40 * max(1.0, took)
+        before = world.traffic["messages"]
+        world.blocked_links = set()
+        took = world.run_until(world.converged, 5)
+        assert world.traffic["messages"] - before < 12 * 40 * max(1.0, took)
 
 
 def forgets_healed_links(factory: virtual.Factory, seed: int) -> None:
@@ -336,20 +336,20 @@
     world = converged_world(factory, 30, seed)
     for span in (1, 2, 3):
         world.run(4)
-        world.split(range(15))
+        world.partition(range(15))
         world.run(span)
-        world.changes.clear()
-        world.cuts = set()
+        world.events.clear()
+        world.blocked_links = set()
         world.run(5)
-        assert not any(c.what == "link" and c.fields["down"] for c in world.changes)
+        assert not any(c.name == "link" and c.fields["down"] for c in world.events)
     world = converged_world(factory, 5, seed)
-    world.cuts = {(0, 1)}
+    world.blocked_links = {(0, 1)}
     world.run_until(lambda: all(node.core.links.down_links() == [(0, 1)] for node in world.nodes), 6)
-    world.split([1])
+    world.partition([1])
     world.run(8)
     assert declared_dead(world)
-    world.cuts = set()
-    world.run_until(lambda: world.agreed() and not any(n.core.links.down_links() for n in world.nodes), 6)
+    world.blocked_links = set()
+    world.run_until(lambda: world.converged() and not any(n.core.links.down_links() for n in world.nodes), 6)
 
 
 def yields_to_twin(factory: virtual.Factory, seed: int) -> None:
@@ -398,7 +398,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("check", CHECKS)
 def test_membership_under_faults(check, seed):
-    CHECKS[check](virtual.ours, seed)
+    CHECKS[check](virtual.production_core, seed)
 
 
 DETECTED_BY = {
@@ -427,7 +427,7 @@
 def test_the_view_is_doubtful_in_the_first_call_after_a_pause():
     """Whether that is a datagram or a tick: a decision right after it must not use the old view."""
     for first in ("tick", "receive"):
-        world = converged_world(virtual.ours, 5, 1)
+        world = converged_world(virtual.production_core, 5, 1)
         core, now = world.nodes[0].core, world.kernel.now + PAUSE_THRESHOLD + 2 * TICK_INTERVAL
         body = _ping_datagram(world.nodes[1].core, 0, world.kernel.now)
         actions = core.tick(now) if first == "tick" else core.receive(now, 1, body)
@@ -439,11 +439,11 @@
 def test_the_message_rate_does_not_grow_with_the_fleet():
     rates = []
     for size in (8, 64):
-        world = converged_world(virtual.ours, size, 1)
+        world = converged_world(virtual.production_core, size, 1)
         world.run(40)  # gossip about the start dies down
-        before = dict(world.carried)
+        before = dict(world.traffic)
         world.run(10)
-        rates.append((world.carried["messages"] - before["messages"]) / 10 / size)
+        rates.append((world.traffic["messages"] - before["messages"]) / 10 / size)
     assert all(rate <= 2.1 * SECOND / PROBE_INTERVAL for rate in rates), rates
 
 
