--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -11,7 +11,7 @@
 from listing import Registry, call
 
 from lab.defects import DoesNotPassOn, TakesHearsay, TakesSource
-from lab.placing import Land
+from lab.placing import Network
 from ops.http import Invalid, Refused
 from orchidlane import member_messages as messages
 from registry import meeting as table
@@ -21,13 +21,13 @@
 SEEDS = (1, 2, 3)
 
 
-def grown(seed: int, factory=places.Places, size: int = 12, loss: float = 0.0) -> Land:
+def grown(seed: int, factory=places.Places, size: int = 12, loss: float = 0.0) -> Network:
     """A fleet whose members each know one who was there before, and not one list of all."""
-    land = Land(size, seed, factory, loss)
+    land = Network(size, seed, factory, loss)
     for rank in range(size):
-        land.come(rank, 7_000 + rank, [7_000 + rank // 2] if rank else [])
+        land.start(rank, 7_000 + rank, [7_000 + rank // 2] if rank else [])
         land.run(0.3)
-    land.until(land.all_know, 60)
+    land.run_until(land.converged, 60)
     return land
 
 
@@ -35,54 +35,54 @@
     """Through any member, a dead one's place is passed by, and a leave of the first harms nobody."""
     land = grown(seed, factory, loss=0.05)
     for rank in (0, 1):
-        land.seats["10.0.0.1", 7_000 + rank].dead = True
-    for seat in land.seats.values():
-        seat.bound = {rank: at for rank, at in seat.bound.items() if rank > 1}
-    land.come(1, 7_101, [7_000, 7_007])
-    land.until(land.all_know, 30)
+        land.nodes["10.0.0.1", 7_000 + rank].dead = True
+    for seat in land.nodes.values():
+        seat.peer_addresses = {rank: at for rank, at in seat.peer_addresses.items() if rank > 1}
+    land.start(1, 7_101, [7_000, 7_007])
+    land.run_until(land.converged, 30)
 
 
 def apart(factory, seed: int) -> None:
     """Two groups that came up apart find each other by what they were told to join."""
-    land = Land(8, seed, factory)
+    land = Network(8, seed, factory)
     for rank in range(8):
-        land.come(rank, 7_000 + rank, [7_000 + (rank & 4), 7_000])
-    land.until(land.all_know, 60)
+        land.start(rank, 7_000 + rank, [7_000 + (rank & 4), 7_000])
+    land.run_until(land.converged, 60)
 
 
 def moved(factory, seed: int) -> None:
     """A rank that comes up elsewhere is found there; its former self, still running, learns it and yields."""
     land = grown(seed, factory)
-    elder = land.seats["10.0.0.1", 7_003]
-    younger = land.come(3, 7_103, [7_005])
-    others = [seat for at, seat in land.seats.items() if seat.core.rank != 3]
-    land.until(lambda: all(seat.bound[3] == ("10.0.0.1", 7_103) for seat in others), 40)
-    land.until(lambda: elder.replaced == younger.core.life, 60)
-    assert not younger.replaced
+    elder = land.nodes["10.0.0.1", 7_003]
+    younger = land.start(3, 7_103, [7_005])
+    others = [seat for at, seat in land.nodes.items() if seat.core.rank != 3]
+    land.run_until(lambda: all(seat.peer_addresses[3] == ("10.0.0.1", 7_103) for seat in others), 40)
+    land.run_until(lambda: elder.replaced_by == younger.core.life, 60)
+    assert not younger.replaced_by
 
 
 def replayed(factory, seed: int) -> None:
     """What was said once and is said again from elsewhere moves nobody, and wakes no storm."""
     land = grown(seed, factory)
-    held = {at: dict(seat.bound) for at, seat in land.seats.items()}
-    before, seen = land.sent.total(), list(land.seen)
+    held = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items()}
+    before, seen = land.greetings_sent.total(), list(land.transmitted)
     for source, to, body in seen:
-        land.say(("10.9.9.9", source[1]), to, body)
+        land.send(("10.9.9.9", source[1]), to, body)
     land.run(2)
-    assert {at: seat.bound for at, seat in land.seats.items()} == held
-    assert land.sent.total() - before <= 4 * len(seen)
+    assert {at: seat.peer_addresses for at, seat in land.nodes.items()} == held
+    assert land.greetings_sent.total() - before <= 4 * len(seen)
 
 
 def hearsay(factory, seed: int) -> None:
     """A member that tells wrong addresses of greater lives, in the cluster's own name, moves nobody."""
     land = grown(seed, factory)
-    held = {at: dict(seat.bound) for at, seat in land.seats.items() if seat.core.rank != 2}
-    liar = land.seats["10.0.0.1", 7_002].core
+    held = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items() if seat.core.rank != 2}
+    liar = land.nodes["10.0.0.1", 7_002].core
     for rank in liar.known:
         liar.known[rank] = places.Place(liar.life + 10**9, ("10.0.0.1", 9_000 + rank))
     liar.sum = 1  # so that others ask what it knows
     land.run(30)
-    assert {at: seat.bound for at, seat in land.seats.items() if seat.core.rank != 2} == held
+    assert {at: seat.peer_addresses for at, seat in land.nodes.items() if seat.core.rank != 2} == held
 
 
 CHECKS = (joined, apart, moved, replayed, hearsay)
@@ -104,18 +104,18 @@
 
 
 def test_a_hundred_are_known_to_a_newcomer_soon_and_at_a_bounded_price():
-    land = Land(100, 1)
+    land = Network(100, 1)
     for rank in range(99):
-        land.come(rank, 7_000 + rank, [7_000] if rank else [])
-    land.until(land.all_know, 120)
+        land.start(rank, 7_000 + rank, [7_000] if rank else [])
+    land.run_until(land.converged, 120)
     land.run(20)
-    before = dict(land.sent)
-    new = land.come(99, 7_099, [7_050])
-    took = land.until(land.all_know, 30)
+    before = dict(land.greetings_sent)
+    new = land.start(99, 7_099, [7_050])
+    took = land.run_until(land.converged, 30)
     assert took < 8
-    assert land.sent["10.0.0.1", 7_099] < 3 * 100
+    assert land.greetings_sent["10.0.0.1", 7_099] < 3 * 100
     for at, sent in before.items():  # all of them may ask the one that they joined by
-        assert land.sent[at] - sent < (200 if at[1] == 7_000 else 60)
+        assert land.greetings_sent[at] - sent < (200 if at[1] == 7_000 else 60)
     assert not new.core.busy
 
 
