--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -257,10 +257,10 @@
         raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.DEFECTS)}")
     core = defects.DEFECTS[defect] if defect else Membership
     found = states.check(core, members, window, faults, kinds or states.KINDS)
-    click.echo(f"{found.states} states, {found.paths} paths, {found.known} of them known by then")
-    for broken in found.broken:
+    click.echo(f"{found.states} states, {found.paths} paths, {found.revisited} of them known by then")
+    for broken in found.violations:
         click.echo(f"BROKEN {broken}")
-    sys.exit(FAILED if found.broken else DONE)
+    sys.exit(FAILED if found.violations else DONE)
 
 
 @lab.command()
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -15,7 +15,7 @@
 from orchidlane.agreed import Holder
 from registry.agreement import NEVER, WITHIN, PersistedState, Source, max_overlap_us
 
-from .model import Fault, Result, explore, possible
+from .model import Fault, SearchResult, explore, possible
 
 STEP = 100_000  # microseconds
 LEASE_MS = 1_200
@@ -51,14 +51,14 @@
     )  # key, value: first, last step
     wrong: str = ""
 
-    def begin(self) -> World:
+    def warm_up(self) -> World:
         """All hold the first version."""
         self.disk = PersistedState(1, 1, last=1)
         self.source = self.source_of(self.now(), self.disk, LEASE_MS)
         self.cores = [self.core(rank) for rank in range(self.size)]
         self.paused, self.waiting = [0] * self.size, [[] for _ in range(self.size)]
         for _ in range(WARM):
-            self.go()
+            self.advance()
         self.puts = [(self.step + at, version, rule) for at, version, rule in PUTS]
         return self
 
@@ -71,7 +71,7 @@
         """Microseconds."""
         return START + self.step * STEP
 
-    def go(self, faults: tuple[Fault, ...] = ()) -> None:
+    def advance(self, faults: tuple[Fault, ...] = ()) -> None:
         """One step with these faults."""
         self.step += 1
         for fault in faults:
@@ -130,9 +130,9 @@
                     self._note(NEVER, int(effective.version >= 2))
                 if not effective.lapsed:
                     self._note(WITHIN, int(effective.version >= 3))
-        for key, most in ((NEVER, 0), (WITHIN, -(-max_overlap_us(LEASE_MS) // STEP))):
+        for key, max_overlap in ((NEVER, 0), (WITHIN, -(-max_overlap_us(LEASE_MS) // STEP))):
             first, last = self.acted.get((key, 1)), self.acted.get((key, 0))
-            if first and last and last[1] - first[0] > most:
+            if first and last and last[1] - first[0] > max_overlap:
                 self.wrong = (
                     self.wrong or f"{key}: the old value {last[1] - first[0]} steps after the new one"
                 )
@@ -141,14 +141,14 @@
         first, _ = self.acted.get((key, value), (self.step, 0))
         self.acted[key, value] = first, self.step
 
-    def faults(self, kinds: Collection[str]) -> Iterator[Fault]:
+    def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
         """What of these kinds can go wrong in the next step."""
         if "source" in kinds:
             yield Fault(self.step, "source", 0)
         due = sum(message[0] <= self.step + 1 for message in self.way)
         yield from possible(self.step, due, self.paused, kinds, PAUSES)
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """What tells two states apart."""
         cores = [vars(core) for core in self.cores]
         source = self.source.state, self.source.recovery_until, self.source.proposed_at, self.source.holders
@@ -160,7 +160,7 @@
     """Nothing more goes wrong: no contradiction on the way, and all hold the last version then."""
     ends = max([world.step, *world.paused, *(due for due, *_ in world.way)]) + QUIET
     while world.step < ends:
-        world.go()
+        world.advance()
     if world.wrong:
         return world.wrong
     held = [core.effective(world.now()) for core in world.cores]
@@ -174,9 +174,9 @@
     source: Callable[..., Source] = Source,
     size: int = 2,
     window: int = 36,
-    faults: int = 1,
+    max_faults: int = 1,
     kinds: Collection[str] = KINDS,
-    most: int = 10,
-) -> Result:
-    """Every placing of up to so many faults within the window; ends after ``most`` broken paths."""
-    return explore(World(holder, source, size).begin(), _settle, window, faults, kinds, most)
+    max_violations: int = 10,
+) -> SearchResult:
+    """Every placing of up to so many faults within the window; ends after ``max_violations`` violations."""
+    return explore(World(holder, source, size).warm_up(), _settle, window, max_faults, kinds, max_violations)
--- a/lab/model.py
+++ b/lab/model.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """An invariant that does not hold, and the faults that led there."""
 
     what: str
@@ -93,15 +93,15 @@
         """A process from nothing."""
         return self.kind(rank, self.size, "model", life, SEED + rank, self.now(), 200.0)
 
-    def begin(self) -> World:
+    def warm_up(self) -> World:
         """All up, and known to each other."""
         self.cores = [self.core(rank, 1_000 + rank) for rank in range(self.size)]
         self.paused, self.waiting = [0] * self.size, [[] for _ in range(self.size)]
         for _ in range(WARM):
-            self.go()
+            self.advance()
         return self
 
-    def go(self, faults: tuple[Fault, ...] = ()) -> None:
+    def advance(self, faults: tuple[Fault, ...] = ()) -> None:
         """One step with these faults."""
         self.step += 1
         now = self.now()
@@ -168,90 +168,90 @@
             if member.state is state.State.DEAD
         ]
 
-    def faults(self, kinds: Collection[str]) -> Iterator[Fault]:
+    def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
         """What of these kinds can go wrong in the next step."""
         due = sum(message[0] <= self.step + 1 for message in self.way)
         return possible(self.step, due, self.paused, kinds, PAUSES)
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """What tells two states apart."""
         parts = self.step, self.paused, self.waiting, self.way, [vars(core) for core in self.cores]
         return blake2b(pickle.dumps(parts), digest_size=16).digest()
 
 
 @dataclass(slots=True)
-class Result:
+class SearchResult:
     """What was gone through and what was found."""
 
     states: int = 0
     paths: int = 0
-    known: int = 0  # states that were reached before
-    broken: list[Broken] = field(default_factory=list)
+    revisited: int = 0  # states that were reached before
+    violations: list[Violation] = field(default_factory=list)
 
 
 def check(
     kind: type[Membership] = Membership,
     size: int = 2,
     window: int = 24,
-    faults: int = 1,
+    max_faults: int = 1,
     kinds: Collection[str] = KINDS,
-    most: int = 10,
-) -> Result:
-    """Every placing of up to so many faults within the window; ends after ``most`` broken paths."""
-    return explore(World(kind, size).begin(), _settle, window, faults, kinds, most)
+    max_violations: int = 10,
+) -> SearchResult:
+    """Every placing of up to so many faults within the window; ends after ``max_violations`` violations."""
+    return explore(World(kind, size).warm_up(), _settle, window, max_faults, kinds, max_violations)
 
 
-class Steps(Protocol):
+class Explorable(Protocol):
     """A world that is gone through: it can be copied and told from others."""
 
     step: int
 
-    def go(self, faults: tuple[Fault, ...] = ()) -> None:
+    def advance(self, faults: tuple[Fault, ...] = ()) -> None:
         """One step with these faults."""
 
-    def faults(self, kinds: Collection[str]) -> Iterator[Fault]:
+    def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
         """What of these kinds can go wrong in the next step."""
 
-    def print(self) -> bytes:
+    def fingerprint(self) -> bytes:
         """What tells two states apart."""
 
 
-Kind = TypeVar("Kind", bound=Steps)
+Kind = TypeVar("Kind", bound=Explorable)
 
 
 def explore(
     began: Kind,
     settle: Callable[[Kind, tuple[Fault, ...]], str],
     window: int,
-    faults: int,
+    max_faults: int,
     kinds: Collection[str],
-    most: int,
-) -> Result:
+    max_violations: int,
+) -> SearchResult:
     """Go through it; ``settle`` lets nothing more go wrong, and says what does not hold then."""
-    result = Result()
+    result = SearchResult()
     seen: set[bytes] = set()
     stack: list[tuple[Kind, tuple[Fault, ...]]] = [(began, ())]
     first = began.step
-    while stack and len(result.broken) < most:
+    while stack and len(result.violations) < max_violations:
         world, done = stack.pop()
         place = world.step - first
         if place >= window:
-            mark = world.print()
+            mark = world.fingerprint()
             if mark in seen:
-                result.known += 1
+                result.revisited += 1
                 continue
             seen.add(mark)
             result.paths += 1
             if what := settle(world, done):
-                result.broken.append(Broken(what, done))
+                result.violations.append(Violation(what, done))
             continue
         result.states += 1
-        if len(done) < faults and place % EVERY == 0:
-            for fault in world.faults(kinds):
+        if len(done) < max_faults and place % EVERY == 0:
+            for fault in world.possible_faults(kinds):
                 other = copy.deepcopy(world)
-                other.go((fault,))
+                other.advance((fault,))
                 stack.append((other, (*done, fault)))
-        world.go()
+        world.advance()
         stack.append((world, done))
     return result
 
@@ -262,7 +262,7 @@
     hurt = {fault.which for fault in faults if fault.what in ("pause", "restart")}
     anew = {fault.which for fault in faults if fault.what == "restart"}
     while world.step < ends:
-        world.go()
+        world.advance()
         for at, rank in world.gone():
             if rank not in hurt and at not in anew:  # who stood still is no excuse for its word of others
                 return f"{at} held {rank} gone, which ran and was heard"
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -233,8 +233,8 @@
     ],
 )
 def test_every_placing_of_a_few_faults_keeps_the_bound(size, faults, kinds):
-    found = agreement_model.check(size=size, faults=faults, kinds=kinds)
-    assert found.broken == [], found.broken
+    found = agreement_model.check(size=size, max_faults=faults, kinds=kinds)
+    assert found.violations == [], found.violations
     assert found.paths > 30
 
 
@@ -250,4 +250,4 @@
     ids=["no-lease-check", "no-pause-check", "stale-news", "effect-before-answers", "forgets-at-start"],
 )
 def test_a_planted_defect_breaks_the_bound_in_the_model(more, kinds):
-    assert agreement_model.check(**more, faults=2, kinds=kinds, most=1).broken
+    assert agreement_model.check(**more, max_faults=2, kinds=kinds, max_violations=1).violations
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -18,8 +18,8 @@
     ],
 )
 def test_every_placing_of_a_few_faults_keeps_the_invariants(size, window, faults, kinds):
-    result = model.check(size=size, window=window, faults=faults, kinds=kinds)
-    assert result.broken == []
+    result = model.check(size=size, window=window, max_faults=faults, kinds=kinds)
+    assert result.violations == []
     assert result.paths > 30 and result.states > result.paths
 
 
@@ -33,14 +33,16 @@
     ],
 )
 def test_a_planted_defect_breaks_an_invariant(defect, faults, kinds, what):
-    result = model.check(defects.DEFECTS[defect], size=3, window=12, faults=faults, kinds=kinds, most=1)
-    assert what in str(result.broken[0])
+    result = model.check(
+        defects.DEFECTS[defect], size=3, window=12, max_faults=faults, kinds=kinds, max_violations=1
+    )
+    assert what in str(result.violations[0])
 
 
 def test_the_same_choices_lead_to_the_same_state():
-    one, other = (model.World(Membership, 3).begin() for _ in range(2))
-    assert one.print() == other.print()
-    fault = next(iter(one.faults(("restart",))))
-    one.go((fault,))
-    other.go()
-    assert one.print() != other.print()
+    one, other = (model.World(Membership, 3).warm_up() for _ in range(2))
+    assert one.fingerprint() == other.fingerprint()
+    fault = next(iter(one.possible_faults(("restart",))))
+    one.advance((fault,))
+    other.advance()
+    assert one.fingerprint() != other.fingerprint()
