--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -344,11 +344,11 @@
     for kind in kinds or virtual.KINDS:
         for seed in _seeds(seeds):
             every = 4.0 if kind == "calm" else 0.5  # seconds between two changes
-            world = virtual.World(size, seed, virtual.KINDS[kind], change_every=every)
+            world = virtual.World(size, seed, virtual.KINDS[kind], change_interval=every)
             world.run(span)
-            never, longest = len(world.overlaps(NEVER)), world.longest(WITHIN)
+            never, longest = len(world.overlaps(NEVER)), world.max_overlap_ratio(WITHIN)
             broken = broken or never > 0 or longest > 1
-            p50, p99 = np.percentile(world.spread() or [0.0], [50, 99])
+            p50, p99 = np.percentile(world.propagation_times() or [0.0], [50, 99])
             lapsed = world.counts["lapsed"] / max(1, world.counts["decisions"])
             head = f"{kind:8} {size} gateways, seed {seed}: {world.counts['changes']} changes"
             contradicted = f"{never} that never may did, others for {longest:.2f} of the bound at most"
--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -84,12 +84,12 @@
         lease_ms: int = 3_000,
         holder: Make = Holder,
         source: Callable[..., Source] = Source,
-        change_every: float = 0.5,
+        change_interval: float = 0.5,
     ) -> None:
         self.kernel, self.faults, self.lease_ms = Kernel(), faults, lease_ms
         self.kernel.now = T0
         self.draw = Uniform(draws(seed, "agreement"))
-        self.holder, self.make_source, self.change_every = holder, source, change_every
+        self.holder, self.make_source, self.change_interval = holder, source, change_interval
         self.source_rate = self._rate()
         self.disk = PersistedState(1, 1, last=1)
         self.source = source(self._source_now(), self.disk, lease_ms)
@@ -211,7 +211,7 @@
 
     def _write(self) -> None:
         """The next change, once the one before it is in force."""
-        self.kernel.after(int((0.5 + self.draw()) * self.change_every * SECOND), self._write)
+        self.kernel.after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._write)
         if self.kernel.now < self.source_down:
             return
         version, rule = max(self.values) + 1, (NEVER if self.draw() < 0.5 else WITHIN)
@@ -288,11 +288,11 @@
                 found.append((seen.last - others[0], value, name))
         return sorted(found, reverse=True)
 
-    def spread(self) -> list[float]:
+    def propagation_times(self) -> list[float]:
         """Seconds from each put to the last holder that took it; without faults that is all of them."""
         return sorted((at - self.put_at[v]) / SECOND for v, at in self.held_at.items() if v in self.put_at)
 
-    def longest(self, key: str) -> float:
+    def max_overlap_ratio(self, key: str) -> float:
         """The longest contradiction, as a part of the bound; 0: none."""
         found = self.overlaps(key)
         return found[0][0] / max_overlap_us(self.lease_ms) if found else 0.0
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -83,7 +83,7 @@
 def test_nobody_contradicts_for_longer_than_the_bound(kind, seed):
     world = played(kind, seed)
     assert world.overlaps(NEVER) == []
-    assert world.longest(WITHIN) <= 1
+    assert world.max_overlap_ratio(WITHIN) <= 1
     assert world.counts["changes"] > 8
     assert world.counts["lapsed"] < 0.7 * world.counts["decisions"]
 
@@ -101,18 +101,18 @@
 )
 def test_a_planted_defect_is_found(kind, more):
     worlds = [played(kind, seed, span=150, **more) for seed in (1, 2, 3)]
-    assert any(world.overlaps(NEVER) or world.longest(WITHIN) > 1 for world in worlds)
+    assert any(world.overlaps(NEVER) or world.max_overlap_ratio(WITHIN) > 1 for world in worlds)
 
 
 def test_without_faults_a_change_is_everywhere_soon_and_nobody_runs_out_of_lease():
-    world = World(50, 1, KINDS["calm"], change_every=4.0)
+    world = World(50, 1, KINDS["calm"], change_interval=4.0)
     world.run(4)
     before = world.counts["lapsed"]
     world.run(60)
     assert world.counts["lapsed"] == before
     assert world.counts["changes"] > 8 and world.overlaps(NEVER) == []
-    assert 0 < world.longest(WITHIN) < 0.02  # who hears it last still goes by the old one
-    assert world.spread()[-1] < 0.5
+    assert 0 < world.max_overlap_ratio(WITHIN) < 0.02  # who hears it last still goes by the old one
+    assert world.propagation_times()[-1] < 0.5
 
 
 def source(kept: PersistedState = PersistedState(1, 1, last=1), **more) -> Source:  # noqa: B008 a frozen value
