--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -199,9 +199,9 @@
         return
     module = "birchdrum"
     if defect is not None:
-        if defect not in defects.NAMES:
-            raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.NAMES)}")
-        module, os.environ[defects.VARIABLE] = "lab.defects", defect
+        if defect not in defects.DEFECT_NAMES:
+            raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.DEFECT_NAMES)}")
+        module, os.environ[defects.DEFECT_VARIABLE] = "lab.defects", defect
     found = {}
     for name in schedules:
         try:
@@ -253,9 +253,9 @@
 
     if odd := set(kinds) - set(states.KINDS):
         raise Ended(WRONG, f"--kind {min(odd)}: known are {', '.join(states.KINDS)}")
-    if defect is not None and defect not in defects.DEFECTS:
-        raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.DEFECTS)}")
-    core = defects.DEFECTS[defect] if defect else Membership
+    if defect is not None and defect not in defects.CORE_DEFECTS:
+        raise Ended(WRONG, f"--defect {defect}: known are {', '.join(defects.CORE_DEFECTS)}")
+    core = defects.CORE_DEFECTS[defect] if defect else Membership
     found = states.check(core, members, window, faults, kinds or states.KINDS)
     click.echo(f"{found.states} states, {found.paths} paths, {found.revisited} of them known by then")
     for broken in found.violations:
--- a/lab/defects.py
+++ b/lab/defects.py
@@ -20,7 +20,7 @@
 from saffrongw.config import Address
 from saffrongw.places import Action, Moved, Place, Places
 
-VARIABLE = "LAB_DEFECT"  # not of those that the proving ground takes away
+DEFECT_VARIABLE = "LAB_DEFECT"  # not of those that the proving ground takes away
 
 
 class NoIncarnation(Membership):
@@ -120,7 +120,7 @@
         return True
 
 
-DEFECTS: dict[str, type[Membership]] = {
+CORE_DEFECTS: dict[str, type[Membership]] = {
     "no-incarnation": NoIncarnation,
     "no-refutation": NoRefutation,
     "no-self-doubt": NoSelfDoubt,
@@ -129,27 +129,27 @@
     "no-yielding": NoYielding,
     "old-lives-count": OldLivesCount,
 }
-PLACES: dict[str, type[Places]] = {
+ADDRESS_DEFECTS: dict[str, type[Places]] = {
     "does-not-pass-on": DoesNotPassOn,
     "takes-source": TakesSource,
     "takes-hearsay": TakesHearsay,
 }
-NAMES = (*DEFECTS, *PLACES)
+DEFECT_NAMES = (*CORE_DEFECTS, *ADDRESS_DEFECTS)
 
 
 def plant(name: str) -> None:
     """Into this process, before the gateway's parts are loaded."""
-    if name in PLACES:
-        places.Places = PLACES[name]  # type: ignore[misc]
+    if name in ADDRESS_DEFECTS:
+        places.Places = ADDRESS_DEFECTS[name]  # type: ignore[misc]
     else:
-        membership.Membership = DEFECTS[name]  # type: ignore[misc]
+        membership.Membership = CORE_DEFECTS[name]  # type: ignore[misc]
 
 
 def main() -> int:
     """The command with a defect, as a process of the proving ground."""
     import importlib
 
-    plant(os.environ[VARIABLE])
+    plant(os.environ[DEFECT_VARIABLE])
     return int(importlib.import_module("birchdrum.cli").main())
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -121,7 +121,7 @@
     what, fields, rule = PLANTED[defect]
     values = "\n".join(f"{key} = {json.dumps(value)}" for key, value in fields.items())
     file = tmp_path / "one.toml"
-    found = "members" if defect in defects.PLACES else "fixed"
+    found = "members" if defect in defects.ADDRESS_DEFECTS else "fixed"
     head = f'gateways = 4\nfound = "{found}"\nhosts = 1\ncustomers = 2\nlasts = "11s"\nsettle = "4s"\n'
     file.write_text(f'{head}[[faults]]\nwhat = "{what}"\nat = "500ms"\n{values}\n')
     code, [verdict] = play(tmp_path, file, "--defect", defect)
@@ -258,4 +258,4 @@
     shipped = run("lab", "cluster").stdout
     assert all(name in shipped for name in schedule.shipped())
     [line] = refused("lab", "cluster", "smoke", "--defect", "none")
-    assert all(name in line for name in defects.NAMES)
+    assert all(name in line for name in defects.DEFECT_NAMES)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -412,13 +412,13 @@
 }
 
 
-@pytest.mark.parametrize("defect", defects.DEFECTS)
+@pytest.mark.parametrize("defect", defects.CORE_DEFECTS)
 def test_each_planted_defect_is_detected(defect):
     """By its check, on at least one of three seeds."""
     detections = 0
     for seed in (1, 2, 3):
         try:
-            CHECKS[DETECTED_BY[defect]](factory_of(defects.DEFECTS[defect]), seed)
+            CHECKS[DETECTED_BY[defect]](factory_of(defects.CORE_DEFECTS[defect]), seed)
         except (AssertionError, TimeoutError):
             detections += 1
     assert detections
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -34,7 +34,7 @@
 )
 def test_a_planted_defect_breaks_an_invariant(defect, faults, kinds, what):
     result = model.check(
-        defects.DEFECTS[defect], size=3, window=12, max_faults=faults, kinds=kinds, max_violations=1
+        defects.CORE_DEFECTS[defect], size=3, window=12, max_faults=faults, kinds=kinds, max_violations=1
     )
     assert what in str(result.violations[0])
 
