--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -291,14 +291,14 @@
     from lab import member_baselines, member_study
 
     for words, known, option in (
-        (whats, member_study.WHAT, "--what"),
+        (whats, member_study.MEASUREMENTS, "--what"),
         (variants, member_baselines.VARIANTS, "--variant"),
     ):
         if odd := set(words) - set(known):
             raise Ended(WRONG, f"{option} {min(odd)}: known are {', '.join(known)}")
     jobs = [
         member_study.Job(what, variant, size, seed, loss)
-        for what in whats or member_study.WHAT
+        for what in whats or member_study.MEASUREMENTS
         for size in sizes or (30,)
         for loss in losses or (0.0,)
         for seed in _seeds(seeds)
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -140,7 +140,7 @@
     return {"messages": of["messages"], "bytes": of["bytes"]}
 
 
-WHAT: dict[str, Callable[[Job], dict[str, Any]]] = {
+MEASUREMENTS: dict[str, Callable[[Job], dict[str, Any]]] = {
     "kill": kill,
     "false": false,
     "pauses": pauses,
@@ -152,7 +152,7 @@
 
 def measure(job: Job) -> dict[str, Any]:
     """One job's figures."""
-    return asdict(job) | WHAT[job.what](job)
+    return asdict(job) | MEASUREMENTS[job.what](job)
 
 
 def run(jobs: list[Job], out: Path, workers: int) -> list[dict[str, Any]]:
