--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -86,10 +86,14 @@
         source: Callable[..., Source] = Source,
         change_interval: float = 0.5,
     ) -> None:
-        self.kernel, self.faults, self.lease_ms = Kernel(), faults, lease_ms
+        self.kernel = Kernel()
+        self.faults = faults
+        self.lease_ms = lease_ms
         self.kernel.now = T0
         self.draw = Uniform(draws(seed, "agreement"))
-        self.holder, self.make_source, self.change_interval = holder, source, change_interval
+        self.holder = holder
+        self.make_source = source
+        self.change_interval = change_interval
         self.source_rate = self._rate()
         self.disk = PersistedState(1, 1, last=1)
         self.source = source(self._source_now(), self.disk, lease_ms)
@@ -214,7 +218,8 @@
         self.kernel.after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._write)
         if self.kernel.now < self.source_down:
             return
-        version, rule = max(self.values) + 1, (NEVER if self.draw() < 0.5 else WITHIN)
+        version = max(self.values) + 1
+        rule = NEVER if self.draw() < 0.5 else WITHIN
         now = self._source_now()
         if self.source.advance(now):
             self._keep()
@@ -244,13 +249,16 @@
         if is_due(faults.cuts):
             ends = now + span()
             which = self.draw()
-            node.mute, node.deaf = (ends if which < 0.67 else 0), (ends if which > 0.33 else 0)
+            node.mute = ends if which < 0.67 else 0
+            node.deaf = ends if which > 0.33 else 0
         if is_due(faults.pauses) and node.paused <= now:
             ends = span()
             node.paused = now + ends
             self.kernel.after(ends, self._go_on, node)
         if is_due(faults.restarts):
-            node.core, node.waiting, node.paused = self._core(node.name), [], 0
+            node.core = self._core(node.name)
+            node.waiting = []
+            node.paused = 0
         if is_due(faults.source_restarts) and now >= self.source_down:
             ends = span() // 4
             self.source_down = now + ends
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -56,7 +56,8 @@
         self.disk = PersistedState(1, 1, last=1)
         self.source = self.source_of(self.now(), self.disk, LEASE_MS)
         self.cores = [self.core(rank) for rank in range(self.size)]
-        self.paused, self.waiting = [0] * self.size, [[] for _ in range(self.size)]
+        self.paused = [0] * self.size
+        self.waiting = [[] for _ in range(self.size)]
         for _ in range(WARM):
             self.advance()
         self.puts = [(self.step + at, version, rule) for at, version, rule in PUTS]
@@ -74,14 +75,25 @@
     def advance(self, faults: tuple[Fault, ...] = ()) -> None:
         """One step with these faults."""
         self.step += 1
+        self._apply_process_faults(faults)
+        self._deliver_due(faults)
+        # The one who decides acts before anything that waited in its socket is read: the worst order.
+        self._decide()
+        self._run_holders()
+        self._run_source()
+
+    def _apply_process_faults(self, faults: tuple[Fault, ...]) -> None:
         for fault in faults:
             if fault.what == "pause":
                 self.paused[fault.which] = self.step + fault.span
             elif fault.what == "restart":
                 self.cores[fault.which] = self.core(fault.which)
-                self.paused[fault.which], self.waiting[fault.which] = 0, []
+                self.paused[fault.which] = 0
+                self.waiting[fault.which] = []
             elif fault.what == "source":
                 self.source = self.source_of(self.now(), self.disk, LEASE_MS)
+
+    def _deliver_due(self, faults: tuple[Fault, ...]) -> None:
         due = [message for message in self.way if message[0] <= self.step]
         self.way = [message for message in self.way if message[0] > self.step]
         of_step = {fault.which: fault.what for fault in faults if fault.what in ("lose", "double", "late")}
@@ -91,8 +103,8 @@
                 self.way.append((self.step + LATE, rank, to_source, body))
             if what not in ("late", "lose"):
                 self._arrive(rank, to_source, body)
-        # The one who decides acts before anything that waited in its socket is read: the worst order.
-        self._decide()
+
+    def _run_holders(self) -> None:
         for rank, core in enumerate(self.cores):
             if self.paused[rank] > self.step:
                 continue
@@ -101,6 +113,8 @@
                 core.apply_answer(self.now(), body)
             if core.due(self.now()):
                 self.way.append((self.step + 1, rank, True, core.make_request(self.now())))
+
+    def _run_source(self) -> None:
         while self.puts and self.puts[0][0] <= self.step and not self.source.state.pending:
             _, version, rule = self.puts.pop(0)
             self.source.propose(self.now(), version, rule)
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -16,13 +16,17 @@
     """To everybody once a second; gone after three seconds of silence."""
 
     def __init__(self, rank: int, size: int, now: int) -> None:
-        self.rank, self.others = rank, [other for other in range(size) if other != rank]
+        self.rank = rank
+        self.others = [other for other in range(size) if other != rank]
         self.heard_at = dict.fromkeys(self.others, now)
         self.gone: set[int] = set()
         self.next = now
 
     def _turn(self, rank: int, is_gone: bool, now: int) -> state.LogEvent:
-        (self.gone.add if is_gone else self.gone.discard)(rank)
+        if is_gone:
+            self.gone.add(rank)
+        else:
+            self.gone.discard(rank)
         word = "gone" if is_gone else "alive"
         return state.LogEvent("member", {"member": rank, "state": word})
 
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -47,7 +47,8 @@
 
 def kill(job: Job) -> dict[str, Any]:
     """Seconds until each member holds a killed one gone, for each of three that are killed in turn."""
-    world, times = _world(job), []
+    world = _world(job)
+    times = []
     for victim in range(3):
         world.events.clear()
         began = world.kernel.now
@@ -71,7 +72,8 @@
 
 def pauses(job: Job) -> dict[str, Any]:
     """The same where one in ten stands still at any time; words about those, and by them on waking, apart."""
-    world, draw = _world(job), np.random.default_rng([job.seed, 1])
+    world = _world(job)
+    draw = np.random.default_rng([job.seed, 1])
     ends = world.kernel.now + int(WATCH * SECOND)
     still: dict[int, int] = {}  # until when
     hurt: list[tuple[int, int, int]] = []  # rank, from, until
@@ -96,11 +98,14 @@
 
 def name(job: Job) -> dict[str, Any]:
     """Seconds until a dead direction is named by anybody, six of them."""
-    world, draw, times = _world(job), np.random.default_rng([job.seed, 2]), []
+    world = _world(job)
+    draw = np.random.default_rng([job.seed, 2])
+    times = []
     for _ in range(6):
         a, b = (int(rank) for rank in draw.choice(job.size, 2, replace=False))
         world.events.clear()
-        world.blocked_links, began = {(a, b)}, world.kernel.now
+        world.blocked_links = {(a, b)}
+        began = world.kernel.now
         named = {"from": a, "to": b, "down": True}
 
         def is_named(named: dict[str, Any] = named) -> bool:
@@ -121,7 +126,8 @@
     world = _world(job)
     world.partition(range(job.size // 2))
     world.run(10)
-    before, world.blocked_links = world.traffic["messages"], set()
+    before = world.traffic["messages"]
+    world.blocked_links = set()
     try:
         took = world.run_until(world.converged, 60)
     except TimeoutError:
@@ -180,7 +186,8 @@
             p50, p99 = np.percentile(times, [50, 99])
             head += f"p50 {p50:.2f} p99 {p99:.2f} max {times.max():.2f} s, {len(times)} of them"
         if "false" in some[0]:
-            hours, count = sum(one["hours"] for one in some), sum(one["false"] for one in some)
+            hours = sum(one["hours"] for one in some)
+            count = sum(one["false"] for one in some)
             head += f"{count} false in {hours:.1f} member hours, {100 * count / hours:.1f} a hundred"
         if "bytes" in some[0]:
             head += f"{np.mean([one['bytes'] for one in some]):.0f} bytes, "
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -78,7 +78,10 @@
     """A fleet of members from one seed."""
 
     def __init__(self, size: int, seed: int, factory: Factory = production_core, loss: float = 0.0) -> None:
-        self.kernel, self.size, self.factory, self.loss = Kernel(), size, factory, loss
+        self.kernel = Kernel()
+        self.size = size
+        self.factory = factory
+        self.loss = loss
         self.kernel.now = T0
         self.draw = Uniform(draws(seed, "network"))
         self.seeds = draws(seed, "members")
@@ -152,7 +155,10 @@
     def restart(self, rank: int) -> None:
         """From nothing."""
         node = self.nodes[rank]
-        node.core, node.dead, node.paused, node.waiting = self._core(rank), False, False, []
+        node.core = self._core(rank)
+        node.dead = False
+        node.paused = False
+        node.waiting = []
         node.life = self.lives
         self.kernel.after(0, self._tick, node, node.life)
 
--- a/lab/model.py
+++ b/lab/model.py
@@ -96,7 +96,8 @@
     def warm_up(self) -> World:
         """All up, and known to each other."""
         self.cores = [self.core(rank, 1_000 + rank) for rank in range(self.size)]
-        self.paused, self.waiting = [0] * self.size, [[] for _ in range(self.size)]
+        self.paused = [0] * self.size
+        self.waiting = [[] for _ in range(self.size)]
         for _ in range(WARM):
             self.advance()
         return self
@@ -104,15 +105,24 @@
     def advance(self, faults: tuple[Fault, ...] = ()) -> None:
         """One step with these faults."""
         self.step += 1
-        now = self.now()
+        self._apply_process_faults(faults)
+        self._deliver_due(faults)
+        self._run_members()
+        self._look()
+
+    def _apply_process_faults(self, faults: tuple[Fault, ...]) -> None:
         for fault in faults:
             if fault.what == "pause":
                 self.paused[fault.which] = self.step + fault.span
             elif fault.what == "restart":
                 was = self.cores[fault.which].life
                 self.cores[fault.which] = self.core(fault.which, was + 100)
-                self.paused[fault.which], self.waiting[fault.which] = 0, []
+                self.paused[fault.which] = 0
+                self.waiting[fault.which] = []
                 self.known = {at: held for at, held in self.known.items() if at[1] != fault.which}
+
+    def _deliver_due(self, faults: tuple[Fault, ...]) -> None:
+        now = self.now()
         due = [message for message in self.way if message[0] <= self.step]
         self.way = [message for message in self.way if message[0] > self.step]
         of_step = {fault.which: fault.what for fault in faults if fault.what in ("lose", "double", "late")}
@@ -126,6 +136,9 @@
                 case "double":
                     self.way.append((self.step + LATE, sender, rank, body))
             self._arrive(now, sender, rank, body)
+
+    def _run_members(self) -> None:
+        now = self.now()
         for rank in range(self.size):
             if self.paused[rank] > self.step:
                 continue
@@ -135,7 +148,6 @@
             self._carry(rank, self.cores[rank].tick(now))
             if self.paused[rank] == self.step and not self.cores[rank].view.doubtful:
                 self.wrong = self.wrong or f"{rank} stood still and does not doubt its view"
-        self._look()
 
     def _arrive(self, now: int, sender: int, rank: int, body: bytes) -> None:
         if self.paused[rank] > self.step:
--- a/lab/placing.py
+++ b/lab/placing.py
@@ -32,9 +32,13 @@
 
     def __init__(self, size: int, seed: int, factory: Factory = places.Places, loss: float = 0.0) -> None:
         """``size``: ranks that the settings have room for."""
-        self.kernel, self.size, self.factory, self.loss = Kernel(), size, factory, loss
+        self.kernel = Kernel()
+        self.size = size
+        self.factory = factory
+        self.loss = loss
         self.kernel.now = T0
-        self.draw, self.seeds = Uniform(draws(seed, "network")), draws(seed, "places")
+        self.draw = Uniform(draws(seed, "network"))
+        self.seeds = draws(seed, "places")
         self.nodes: dict[Address, Node] = {}
         self.transmitted: list[tuple[Address, Address, bytes]] = []  # from, to, what was sent
         self.greetings_sent: Counter[Address] = Counter()
