--- a/lab/membership.py
+++ b/lab/membership.py
@@ -1,7 +1,7 @@
-"""Membership in the virtual world: many cores of ``orchidlane/membership.py``, or baselines, on one clock.
+"""Membership simulation: a fleet of ``orchidlane/membership.py`` cores, or of baselines, on a virtual clock.
 
-What is lost, late, cut, paused or killed is drawn from a seed; who held what when is kept as ``Change``s. The
-sockets world of the same faults is ``lab/cluster``.
+Message loss and latency are drawn from a seed; the caller sets partitions, pauses, kills and restarts. What
+the members log is recorded as ``LoggedEvent``. ``lab/cluster`` injects the same faults into real processes.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 from .kernel import T0, Kernel, Uniform, draws
 
-SECOND = 1_000_000
-DELAY = (200, 1_200)  # microseconds on the way
+SECOND = 1_000_000  # microseconds
+NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
 
 
 class Core(Protocol):
-    """What a member is to the world: the gateway's own, or a baseline."""
+    """Interface between the simulation and a member: the gateway's membership core or a baseline."""
 
     def tick(self, now: int) -> list[state.Action]:
-        """Time has passed."""
+        """Advance the protocol to the given time."""
 
     def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
-        """A datagram has come."""
+        """Process a datagram."""
 
     def leave(self, now: int) -> list[state.Action]:
-        """End on purpose."""
+        """Leave on purpose."""
 
     def considers_active(self, rank: int) -> bool:
-        """Whether a rank is taken to be there."""
+        """Whether this member considers another one alive or suspect."""
 
 
 class ProductionCore(Membership):
-    """The gateway's own, as the world asks it."""
+    """The gateway's membership core with the simulation's interface."""
 
     def considers_active(self, rank: int) -> bool:
-        """Alive or suspect."""
+        """Whether this member considers another one alive or suspect."""
         return self.members[rank].state in state.ACTIVE_STATES
 
 
@@ -48,13 +48,13 @@
 
 
 def production_core(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """What is in service."""
+    """Factory of the gateway's membership core."""
     return ProductionCore(rank, size, "lab", life, seed, now, intake=100.0)
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
-    """``observer`` saw this at ``time`` (microseconds)."""
+    """An event that member ``observer`` logged at ``time`` (microseconds)."""
 
     time: int
     observer: int
@@ -64,18 +64,22 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One member's process: running, paused with what waits in its socket, or dead."""
+    """One member's process: running, paused, or dead.
+
+    ``life`` counts the processes of the simulation, so that ticks scheduled for an earlier one are ignored.
+    ``socket_buffer`` holds the datagrams (sender, body) that arrive during a pause.
+    """
 
     rank: int
     core: Core
     life: int
     paused: bool = False
     dead: bool = False
-    waiting: list[tuple[int, bytes]] = field(default_factory=list)
+    socket_buffer: list[tuple[int, bytes]] = field(default_factory=list)
 
 
 class World:
-    """A fleet of members from one seed."""
+    """A simulated fleet and its network, deterministic for a given seed."""
 
     def __init__(self, size: int, seed: int, factory: Factory = production_core, loss: float = 0.0) -> None:
         self.kernel = Kernel()
@@ -91,25 +95,28 @@
         self.lives = 0
         self.nodes: list[Node] = []
         for rank in range(size):
-            node = Node(rank, self._core(rank), self.lives)
+            node = Node(rank, self._start_core(rank), self.lives)
             self.nodes.append(node)
             self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
 
-    def _core(self, rank: int) -> Core:
+    def _start_core(self, rank: int) -> Core:
         self.lives += 1
         life = (self.kernel.now // 1_000 << 10) + self.lives % 1_024
         return self.factory(rank, self.size, life, int(self.seeds.integers(2**31)), self.kernel.now)
 
-    def run(self, span: float) -> None:
-        """So many seconds."""
-        self.kernel.run(self.kernel.now + int(span * SECOND))
+    def run(self, duration: float) -> None:
+        """Run the simulation for this many seconds."""
+        self.kernel.run(self.kernel.now + int(duration * SECOND))
+
+    def run_until(self, condition: Callable[[], bool], timeout: float, step: float = 0.05) -> float:
+        """Run until the condition holds and return the seconds that took.
 
-    def run_until(self, holds: Callable[[], bool], most: float, step: float = 0.05) -> float:
-        """Seconds until a condition holds; raises TimeoutError after ``most`` of them."""
+        Raises TimeoutError after ``timeout`` seconds.
+        """
         began = self.kernel.now
-        while not holds():
-            if self.kernel.now - began > most * SECOND:
-                raise TimeoutError(f"not within {most:g} s")
+        while not condition():
+            if self.kernel.now - began > timeout * SECOND:
+                raise TimeoutError(f"condition did not hold within {timeout:g} s")
             self.run(step)
         return (self.kernel.now - began) / SECOND
 
@@ -117,10 +124,10 @@
         if node.dead or node.life != life:
             return
         if not node.paused:
-            self._carry_out(node, node.core.tick(self.kernel.now))
+            self._execute(node, node.core.tick(self.kernel.now))
         self.kernel.after(TICK_INTERVAL, self._tick, node, life)
 
-    def _carry_out(self, node: Node, actions: Iterable[state.Action]) -> None:
+    def _execute(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
             if isinstance(action, state.LogEvent):
                 self.events.append(LoggedEvent(self.kernel.now, node.rank, action.name, action.fields))
@@ -129,75 +136,75 @@
             self.traffic["bytes"] += len(action.body)
             if (node.rank, action.rank) in self.blocked_links or self.draw() < self.loss:
                 continue
-            way = DELAY[0] + int(self.draw() * (DELAY[1] - DELAY[0]))
-            self.kernel.after(way, self._arrive, self.nodes[action.rank], node.rank, action.body)
+            delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
+            self.kernel.after(delay, self._deliver, self.nodes[action.rank], node.rank, action.body)
 
-    def _arrive(self, node: Node, sender: int, body: bytes) -> None:
+    def _deliver(self, node: Node, sender: int, body: bytes) -> None:
         if node.dead:
             return
         if node.paused:
-            node.waiting.append((sender, body))
+            node.socket_buffer.append((sender, body))
         else:
-            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
+            self._execute(node, node.core.receive(self.kernel.now, sender, body))
 
-    # -- what goes wrong ------------------------------------------------------------------------------------
+    # -- faults ---------------------------------------------------------------------------------------------
 
     def kill(self, rank: int) -> None:
-        """Without a word."""
+        """Stop a process without notice, as SIGKILL does."""
         self.nodes[rank].dead = True
 
     def leave(self, rank: int) -> None:
-        """On purpose."""
+        """Shut a process down; it notifies the others first."""
         node = self.nodes[rank]
-        self._carry_out(node, node.core.leave(self.kernel.now))
+        self._execute(node, node.core.leave(self.kernel.now))
         node.dead = True
 
     def restart(self, rank: int) -> None:
-        """From nothing."""
+        """Start a new process under this rank, without any state of the earlier one."""
         node = self.nodes[rank]
-        node.core = self._core(rank)
+        node.core = self._start_core(rank)
         node.dead = False
         node.paused = False
-        node.waiting = []
+        node.socket_buffer = []
         node.life = self.lives
         self.kernel.after(0, self._tick, node, node.life)
 
-    def pause(self, rank: int, span: float) -> None:
-        """As SIGSTOP and SIGCONT: what comes meanwhile waits in its socket."""
+    def pause(self, rank: int, duration: float) -> None:
+        """Pause a process for some seconds, as SIGSTOP and SIGCONT do; datagrams are buffered meanwhile."""
         node = self.nodes[rank]
         if not node.paused and not node.dead:
             node.paused = True
-            self.kernel.after(int(span * SECOND), self._continue, node, node.life)
+            self.kernel.after(int(duration * SECOND), self._resume, node, node.life)
 
-    def _continue(self, node: Node, life: int) -> None:
+    def _resume(self, node: Node, life: int) -> None:
         if node.life != life or node.dead:
             return
         node.paused = False
-        waiting, node.waiting = node.waiting, []
-        for sender, body in waiting:
-            self._carry_out(node, node.core.receive(self.kernel.now, sender, body))
+        buffered, node.socket_buffer = node.socket_buffer, []
+        for sender, body in buffered:
+            self._execute(node, node.core.receive(self.kernel.now, sender, body))
 
     def partition(self, side: Iterable[int]) -> None:
-        """Nothing passes between these and the others."""
+        """Block all links, in both directions, between these members and the others."""
         inside = set(side)
         for a in inside:
             for b in set(range(self.size)) - inside:
                 self.blocked_links |= {(a, b), (b, a)}
 
-    # -- what is seen ---------------------------------------------------------------------------------------
+    # -- observations ---------------------------------------------------------------------------------------
 
     def running(self) -> list[Node]:
         """Members that are neither dead nor paused."""
         return [node for node in self.nodes if not node.dead and not node.paused]
 
-    def all_agree(self, rank: int, here: bool) -> bool:
-        """Whether everybody who runs takes a rank to be there, or not."""
-        return all(node.core.considers_active(rank) is here for node in self.running() if node.rank != rank)
+    def all_agree(self, rank: int, active: bool) -> bool:
+        """Whether all other running members consider this one active, or all consider it not active."""
+        return all(node.core.considers_active(rank) is active for node in self.running() if node.rank != rank)
 
     def converged(self) -> bool:
-        """Whether everybody who runs holds all that run to be there."""
+        """Whether all running members consider each other active."""
         return all(self.all_agree(node.rank, True) for node in self.running())
 
     def death_events(self) -> list[LoggedEvent]:
-        """Each time that somebody held a member gone."""
-        return [c for c in self.events if c.name == "member" and c.fields["state"] == "gone"]
+        """The events in which a member declared another one dead (state "gone")."""
+        return [event for event in self.events if event.name == "member" and event.fields["state"] == "gone"]
