--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -16,7 +16,7 @@
 from orchidlane.agreed import Holder
 from registry.agreement import NEVER, WITHIN, PersistedState, Source, max_overlap_us
 
-from .model import Fault, SearchResult, explore, member_and_message_faults
+from .model import MESSAGE_FAULTS, Fault, SearchResult, explore, member_and_message_faults
 
 STEP = 100_000  # microseconds
 LEASE_MS = 1_200
@@ -26,7 +26,7 @@
 PAUSE_STEPS = (8, 20)  # shorter and longer than a lease
 LATE_STEPS = 9  # delay of a late message
 SETTLE_STEPS = 60  # after the last fault, until all holders must have the last version
-KINDS = ("lose", "double", "late", "pause", "restart", "source")
+KINDS = (*MESSAGE_FAULTS, "pause", "restart", "source")
 
 
 @dataclass(slots=True)
@@ -95,9 +95,7 @@
     def _deliver_due(self, faults: tuple[Fault, ...]) -> None:
         due = [message for message in self.in_flight if message[0] <= self.step]
         self.in_flight = [message for message in self.in_flight if message[0] > self.step]
-        fault_kinds = {
-            fault.target: fault.kind for fault in faults if fault.kind in ("lose", "double", "late")
-        }
+        fault_kinds = {fault.target: fault.kind for fault in faults if fault.kind in MESSAGE_FAULTS}
         for position, (_, rank, to_source, body) in enumerate(due):
             kind = fault_kinds.get(position)
             if kind in ("late", "double"):
--- a/lab/model.py
+++ b/lab/model.py
@@ -26,7 +26,8 @@
 LATE_STEPS = 30  # delay of a late message
 FAULT_INTERVAL = 3  # faults are tried at every third step of the window
 SEED = 7
-KINDS = ("lose", "double", "late", "pause", "restart")
+MESSAGE_FAULTS = ("lose", "double", "late")
+KINDS = (*MESSAGE_FAULTS, "pause", "restart")
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +55,7 @@
 
     Each of the ``due`` messages can be affected, and each member that is not paused.
     """
-    for kind in [kind for kind in ("lose", "double", "late") if kind in kinds]:
+    for kind in [kind for kind in MESSAGE_FAULTS if kind in kinds]:
         for position in range(due):
             yield Fault(step, kind, position)
     for rank in [rank for rank, until in enumerate(paused_until) if until <= step]:
@@ -132,9 +133,7 @@
         now = self.now()
         due = [message for message in self.in_flight if message[0] <= self.step]
         self.in_flight = [message for message in self.in_flight if message[0] > self.step]
-        fault_kinds = {
-            fault.target: fault.kind for fault in faults if fault.kind in ("lose", "double", "late")
-        }
+        fault_kinds = {fault.target: fault.kind for fault in faults if fault.kind in MESSAGE_FAULTS}
         for position, (_, sender, rank, body) in enumerate(due):
             match fault_kinds.get(position):
                 case "lose":
