--- a/lab/defects.py
+++ b/lab/defects.py
@@ -1,9 +1,7 @@
-"""Defects to be planted in the membership core and in what learns addresses.
+"""Planted defects of the membership core and of the learning of addresses; the checks must detect each.
 
-A check that does not find them proves nothing.
-
-Each is a class that stands for the core in the virtual world and the model check; ``plant`` puts one into a
-process of the proving ground, named by the environment.
+Each defect is a class that replaces the core in the simulations and in the model check. ``plant`` installs
+one in a gateway process of ``lab/cluster``, which gets its name from an environment variable.
 """
 
 from __future__ import annotations
@@ -20,22 +18,22 @@
 from saffrongw.config import Address
 from saffrongw.places import Action, Moved, Place, Places
 
-DEFECT_VARIABLE = "LAB_DEFECT"  # not of those that the proving ground takes away
+DEFECT_VARIABLE = "LAB_DEFECT"  # its prefix is not among those that lab/cluster removes from the environment
 
 
 class NoIncarnation(Membership):
-    """Refutes without a new incarnation: nobody has a reason to believe it."""
+    """Refutes a suspicion without a higher incarnation, so that the others ignore the refutation."""
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
-        was = self.incarnation
+        old_incarnation = self.incarnation
         super()._apply_row_about_self(now, row)
         if row.life == self.life:
-            self.incarnation = was
+            self.incarnation = old_incarnation
             self.gossip.drop(self.rank, MEMBER)
 
 
 class NoRefutation(Membership):
-    """Lets others say of it what they like."""
+    """Does not refute a suspicion or death of itself."""
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
         if row.life != self.life:
@@ -43,8 +41,8 @@
 
 
 class NoSelfDoubt(Membership):
-    """Goes on after a standstill as if nothing had been: what waits in its socket is news, and silence is
-    the others'."""
+    """Does not notice its own pause: it trusts the datagrams that were buffered meanwhile, and blames the
+    others for missing messages."""
 
     def _detect_pause(self, now: int) -> None:
         self.last_called = now
@@ -52,14 +50,14 @@
 
 
 class NoLinkReport(Membership):
-    """Does not look at what others heard of it."""
+    """Ignores which of its messages the others have received."""
 
     def _handle_acknowledged(self, now: int, member: state.Member, heard: int) -> None:
         return
 
 
 class NoVouching(Membership):
-    """Keeps to itself whom it heard, and takes a DEAD for the truth."""
+    """Does not report when it last received from a suspect, and believes every DEAD row."""
 
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
@@ -72,7 +70,7 @@
 
 
 class NoYielding(Membership):
-    """Goes on beside a twin."""
+    """Keeps running beside a newer process of the same rank."""
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
         if row.life <= self.life or now - self.started_at <= membership.TWIN_GRACE:
@@ -80,7 +78,7 @@
 
 
 class OldLivesCount(Membership):
-    """Takes a former self's late datagrams for the member's own."""
+    """Accepts late datagrams of an earlier process of the member."""
 
     def _process(self, now: int, message: Message) -> None:
         member = self.members[message.sender]
@@ -90,30 +88,30 @@
 
 
 class DoesNotPassOn(Places):
-    """Tells nobody where the others are."""
+    """Does not pass on the addresses that it knows."""
 
     def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
         known, self.known = self.known, {}
-        done = super().heard(now, source, data)
+        actions = super().heard(now, source, data)
         self.known = known | self.known
-        return done
+        return actions
 
 
 class TakesSource(Places):
-    """Binds a rank to wherever a message of its life comes from."""
+    """Binds a rank to the source address of any message of its current or a newer life."""
 
     def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
-        done = super().heard(now, source, data)
+        actions = super().heard(now, source, data)
         with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
             if rank != self.rank and life >= self.known.get(rank, Place(0, source)).life:
                 self.known[rank] = Place(life, source)
-                done.append(Moved(rank, source))
-        return done
+                actions.append(Moved(rank, source))
+        return actions
 
 
 class TakesHearsay(Places):
-    """Binds a rank to wherever others say that it is."""
+    """Binds a rank to an address reported by others, without a greeting."""
 
     def _hint(self, now: int, rank: int, place: Place) -> bool:
         self._bind(rank, place)
@@ -138,7 +136,7 @@
 
 
 def plant(name: str) -> None:
-    """Into this process, before the gateway's parts are loaded."""
+    """Install a defect in this process; to be called before the gateway's modules are imported."""
     if name in ADDRESS_DEFECTS:
         places.Places = ADDRESS_DEFECTS[name]  # type: ignore[misc]
     else:
@@ -146,7 +144,7 @@
 
 
 def main() -> int:
-    """The command with a defect, as a process of the proving ground."""
+    """Run the birchdrum command with the defect that the environment names."""
     import importlib
 
     plant(os.environ[DEFECT_VARIABLE])
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -1,4 +1,4 @@
-"""What membership is measured against: plain timeouts on heartbeats, and SWIM without self-doubt."""
+"""Baselines that membership is compared with: heartbeats with a timeout, and SWIM without extensions."""
 
 from __future__ import annotations
 
@@ -8,56 +8,59 @@
 
 from .membership import Core, Factory, ProductionCore, production_core
 
-EVERY = 1_000_000  # microseconds between two heartbeats to each
-MISSED = 3  # of them until a member is gone
+HEARTBEAT_INTERVAL = 1_000_000  # microseconds
+MISSED_MAX = 3  # heartbeat intervals without a message; after more, the member is declared dead
 
 
 class Heartbeats:
-    """To everybody once a second; gone after three seconds of silence."""
+    """All-to-all heartbeats once a second; a member is declared dead after three seconds without one."""
 
     def __init__(self, rank: int, size: int, now: int) -> None:
         self.rank = rank
         self.others = [other for other in range(size) if other != rank]
-        self.heard_at = dict.fromkeys(self.others, now)
-        self.gone: set[int] = set()
-        self.next = now
+        self.last_received = dict.fromkeys(self.others, now)
+        self.dead: set[int] = set()
+        self.next_heartbeat = now
 
-    def _turn(self, rank: int, is_gone: bool, now: int) -> state.LogEvent:
-        if is_gone:
-            self.gone.add(rank)
+    def _set_dead(self, rank: int, is_dead: bool, now: int) -> state.LogEvent:
+        if is_dead:
+            self.dead.add(rank)
         else:
-            self.gone.discard(rank)
-        word = "gone" if is_gone else "alive"
-        return state.LogEvent("member", {"member": rank, "state": word})
+            self.dead.discard(rank)
+        state_name = "gone" if is_dead else "alive"
+        return state.LogEvent("member", {"member": rank, "state": state_name})
 
     def tick(self, now: int) -> list[state.Action]:
-        """Beat, and look who is late."""
-        done: list[state.Action] = []
-        if now >= self.next:
-            self.next = max(self.next + EVERY, now)
-            done += [state.Send(other, b"here") for other in self.others]
-        for other, at in self.heard_at.items():
-            if now - at > MISSED * EVERY and other not in self.gone:
-                done.append(self._turn(other, True, now))
-        return done
+        """Send heartbeats that are due, and check the others' timeouts."""
+        actions: list[state.Action] = []
+        if now >= self.next_heartbeat:
+            self.next_heartbeat = max(self.next_heartbeat + HEARTBEAT_INTERVAL, now)
+            actions += [state.Send(other, b"here") for other in self.others]
+        for other, received_at in self.last_received.items():
+            if now - received_at > MISSED_MAX * HEARTBEAT_INTERVAL and other not in self.dead:
+                actions.append(self._set_dead(other, True, now))
+        return actions
 
     def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
-        """It is there."""
-        self.heard_at[sender] = now
-        return [self._turn(sender, False, now)] if sender in self.gone else []
+        """Process a heartbeat."""
+        self.last_received[sender] = now
+        return [self._set_dead(sender, False, now)] if sender in self.dead else []
 
     def leave(self, now: int) -> list[state.Action]:
-        """Knows no such word."""
+        """Does nothing: the protocol has no leave message."""
         return []
 
     def considers_active(self, rank: int) -> bool:
-        """Not gone."""
-        return rank not in self.gone
+        """Whether the member has not been declared dead."""
+        return rank not in self.dead
 
 
 class PlainSwim(ProductionCore):
-    """SWIM as published: probes, relays, suspicion of one length, refutation. No health of its own, no look
-    of one's own before the end, no evidence but the suspect's word, a DEAD is believed, nothing of links."""
+    """SWIM as published: probes, indirect probes, a constant suspicion timeout, and refutation.
+
+    It has no local health, no own check of a suspect before the timeout, no evidence besides the suspect's
+    refutation, and no detection of failed links; it believes every DEAD row.
+    """
 
     def _detect_pause(self, now: int) -> None:
         self.last_called = now
@@ -65,6 +68,7 @@
         self.health = 0
 
     def _suspicion_timeout(self, member: state.Member) -> float:
+        # 0.30103 is log10(2): the size factor is log10 of the fleet's size.
         return membership.SUSPICION_MIN * max(membership.SIZE_FACTOR_MIN, self._log_scaled(1) * 0.30103)
 
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
@@ -97,12 +101,12 @@
 
 
 def heartbeats(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """The first baseline."""
+    """Factory of the heartbeat baseline."""
     return Heartbeats(rank, size, now)
 
 
 def swim(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """The second one."""
+    """Factory of the SWIM baseline."""
     return PlainSwim(rank, size, "lab", life, seed, now, intake=100.0)
 
 
