--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -1,4 +1,4 @@
-"""Measures membership on the virtual clock, variants in pairs by seed: results are files of JSON."""
+"""Measurements of membership on the virtual clock, with the same seeds for all variants, kept as JSON files."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from .member_baselines import VARIANTS
 from .membership import SECOND, World
 
-SETTLE = 40.0  # seconds until all know each other
-WATCH = 120.0  # seconds in which false words are counted
-PAUSE = (0.2, 8.0)  # seconds of a standstill, drawn
-PAUSED_PART = 0.1  # of the members, at any time
+CONVERGENCE_TIMEOUT = 40.0  # seconds
+OBSERVATION_TIME = 120.0  # seconds in which false death declarations are counted
+PAUSE_DURATION = (0.2, 8.0)  # seconds, minimum and maximum
+PAUSED_FRACTION = 0.1  # of the members, at any time
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One measurement."""
+    """One measurement of one variant with one seed."""
 
     what: str
     variant: str
@@ -33,20 +33,20 @@
 
     @property
     def name(self) -> str:
-        """Of its file."""
+        """Name of the result file, without its extension."""
         return f"{self.what}.{self.variant}.{self.size}.{self.loss:g}.{self.seed}"
 
 
 def _world(job: Job) -> World:
     world = World(job.size, job.seed, VARIANTS[job.variant], job.loss)
-    world.run_until(world.converged, SETTLE)
+    world.run_until(world.converged, CONVERGENCE_TIMEOUT)
     world.run(5)
     world.events.clear()
     return world
 
 
-def kill(job: Job) -> dict[str, Any]:
-    """Seconds until each member holds a killed one gone, for each of three that are killed in turn."""
+def measure_kill_detection(job: Job) -> dict[str, Any]:
+    """Seconds until each member declares a killed one dead, for three members killed one after another."""
     world = _world(job)
     times = []
     for victim in range(3):
@@ -57,47 +57,58 @@
             world.run_until(lambda victim=victim: world.all_agree(victim, False), 30)  # type: ignore[misc]
         except TimeoutError:
             times.append(30.0)
-        said = {c.observer: c.time for c in world.death_events() if c.fields["member"] == victim}
-        times += [(at - began) / SECOND for at in said.values()]
+        declared = {
+            event.observer: event.time for event in world.death_events() if event.fields["member"] == victim
+        }
+        times += [(time - began) / SECOND for time in declared.values()]
         world.run(2)
     return {"seconds": times}
 
 
-def false(job: Job) -> dict[str, Any]:
-    """How often a member that ran is held gone by one, and the member hours of watching."""
+def measure_false_deaths(job: Job) -> dict[str, Any]:
+    """Number of death declarations about running members, and the member hours observed."""
     world = _world(job)
-    world.run(WATCH)
-    return {"false": len(world.death_events()), "hours": WATCH * job.size / 3600}
+    world.run(OBSERVATION_TIME)
+    return {"false": len(world.death_events()), "hours": OBSERVATION_TIME * job.size / 3600}
 
 
-def pauses(job: Job) -> dict[str, Any]:
-    """The same where one in ten stands still at any time; words about those, and by them on waking, apart."""
+def measure_false_deaths_with_pauses(job: Job) -> dict[str, Any]:
+    """Death declarations while one in ten members is paused at any time.
+
+    ``words`` counts all of them, ``false`` those about members that were not paused.
+    """
     world = _world(job)
     draw = np.random.default_rng([job.seed, 1])
-    ends = world.kernel.now + int(WATCH * SECOND)
-    still: dict[int, int] = {}  # until when
-    hurt: list[tuple[int, int, int]] = []  # rank, from, until
-    while world.kernel.now < ends:
+    end = world.kernel.now + int(OBSERVATION_TIME * SECOND)
+    paused: dict[int, int] = {}  # rank: end of the pause
+    pauses_made: list[tuple[int, int, int]] = []  # rank, start, end
+    while world.kernel.now < end:
         now = world.kernel.now
-        still = {rank: until for rank, until in still.items() if until > now}
-        while len(still) < max(1, round(PAUSED_PART * job.size)):
+        paused = {rank: until for rank, until in paused.items() if until > now}
+        while len(paused) < max(1, round(PAUSED_FRACTION * job.size)):
             rank = int(draw.integers(job.size))
-            if rank not in still:
-                span = float(draw.uniform(*PAUSE))
-                still[rank] = now + int(span * SECOND)
-                hurt.append((rank, now, still[rank]))
-                world.pause(rank, span)
+            if rank not in paused:
+                duration = float(draw.uniform(*PAUSE_DURATION))
+                paused[rank] = now + int(duration * SECOND)
+                pauses_made.append((rank, now, paused[rank]))
+                world.pause(rank, duration)
         world.run(0.1)
-    grace = 5 * SECOND  # what was concluded of a standstill may come so much later
-    wrong = 0
-    for word in world.death_events():
-        about = word.fields["member"]
-        wrong += not any(rank == about and began <= word.time <= until + grace for rank, began, until in hurt)
-    return {"false": wrong, "words": len(world.death_events()), "hours": WATCH * job.size / 3600}
-
-
-def name(job: Job) -> dict[str, Any]:
-    """Seconds until a dead direction is named by anybody, six of them."""
+    grace = 5 * SECOND  # a death declaration because of a pause may follow the pause by this much
+    false_count = 0
+    for event in world.death_events():
+        member = event.fields["member"]
+        false_count += not any(
+            rank == member and began <= event.time <= until + grace for rank, began, until in pauses_made
+        )
+    return {
+        "false": false_count,
+        "words": len(world.death_events()),
+        "hours": OBSERVATION_TIME * job.size / 3600,
+    }
+
+
+def measure_link_failure_detection(job: Job) -> dict[str, Any]:
+    """Seconds until any member reports a link that failed in one direction, for six links."""
     world = _world(job)
     draw = np.random.default_rng([job.seed, 2])
     times = []
@@ -106,14 +117,16 @@
         world.events.clear()
         world.blocked_links = {(a, b)}
         began = world.kernel.now
-        named = {"from": a, "to": b, "down": True}
+        report = {"from": a, "to": b, "down": True}
 
-        def is_named(named: dict[str, Any] = named) -> bool:
-            return any(change.fields == named for change in world.events)
+        def is_reported(report: dict[str, Any] = report) -> bool:
+            return any(event.fields == report for event in world.events)
 
         try:
-            world.run_until(is_named, 60)
-            times.append((next(c.time for c in world.events if c.fields == named) - began) / SECOND)
+            world.run_until(is_reported, 60)
+            times.append(
+                (next(event.time for event in world.events if event.fields == report) - began) / SECOND
+            )
         except TimeoutError:
             times.append(60.0)
         world.blocked_links = set()
@@ -121,8 +134,8 @@
     return {"seconds": times}
 
 
-def heal(job: Job) -> dict[str, Any]:
-    """Seconds until all hold the same after a split in halves of 10 s, and messages a member a second."""
+def measure_heal(job: Job) -> dict[str, Any]:
+    """Seconds to converge after a partition into halves for 10 s, and messages per member and second."""
     world = _world(job)
     world.partition(range(job.size // 2))
     world.run(10)
@@ -136,62 +149,64 @@
     return {"seconds": [took], "messages": sent / job.size / max(took, 0.05)}
 
 
-def rest(job: Job) -> dict[str, Any]:
-    """Messages and bytes a member a second."""
+def measure_idle_traffic(job: Job) -> dict[str, Any]:
+    """Messages and bytes per member and second without faults."""
     world = _world(job)
-    world.run(35)  # what was new at the start is told on for a while
+    world.run(35)  # gossip about the start dies down
     before = dict(world.traffic)
     world.run(10)
-    of = {key: (world.traffic[key] - before[key]) / 10 / job.size for key in ("messages", "bytes")}
-    return {"messages": of["messages"], "bytes": of["bytes"]}
+    rates = {key: (world.traffic[key] - before[key]) / 10 / job.size for key in ("messages", "bytes")}
+    return {"messages": rates["messages"], "bytes": rates["bytes"]}
 
 
 MEASUREMENTS: dict[str, Callable[[Job], dict[str, Any]]] = {
-    "kill": kill,
-    "false": false,
-    "pauses": pauses,
-    "name": name,
-    "heal": heal,
-    "rest": rest,
+    "kill": measure_kill_detection,
+    "false": measure_false_deaths,
+    "pauses": measure_false_deaths_with_pauses,
+    "name": measure_link_failure_detection,
+    "heal": measure_heal,
+    "rest": measure_idle_traffic,
 }
 
 
 def measure(job: Job) -> dict[str, Any]:
-    """One job's figures."""
+    """Run a job; returns its fields and its results."""
     return asdict(job) | MEASUREMENTS[job.what](job)
 
 
 def run(jobs: list[Job], out: Path, workers: int) -> list[dict[str, Any]]:
-    """All of them over some processes; what is in ``out`` already is taken from there."""
+    """Run the jobs in worker processes. Results that ``out`` already has are not measured again."""
     out.mkdir(parents=True, exist_ok=True)
-    kept = {job: out / f"{job.name}.json" for job in jobs}
-    missing = [job for job in jobs if not kept[job].exists()]
+    files = {job: out / f"{job.name}.json" for job in jobs}
+    missing = [job for job in jobs if not files[job].exists()]
     with ProcessPoolExecutor(workers) as pool:
-        for job, found in zip(missing, pool.map(measure, missing), strict=True):
-            kept[job].write_text(json.dumps(found) + "\n")
+        for job, result in zip(missing, pool.map(measure, missing), strict=True):
+            files[job].write_text(json.dumps(result) + "\n")
             print(f"{job.name} done", file=sys.stderr, flush=True)
-    return [json.loads(kept[job].read_text()) for job in jobs]
+    return [json.loads(files[job].read_text()) for job in jobs]
 
 
-def summary(found: list[dict[str, Any]]) -> list[str]:
-    """A line a measurement, variant, size and loss, over its seeds."""
+def summary(results: list[dict[str, Any]]) -> list[str]:
+    """One line for each measurement, size, loss and variant, over all seeds."""
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
-    for one in found:
-        groups.setdefault((one["what"], one["size"], one["loss"], one["variant"]), []).append(one)
+    for result in results:
+        groups.setdefault((result["what"], result["size"], result["loss"], result["variant"]), []).append(
+            result
+        )
     lines = []
-    for (what, size, loss, variant), some in sorted(groups.items()):
-        head = f"{what:7} {variant:10} {size:5} members, {loss:4.0%} lost, {len(some)} seeds: "
-        if "seconds" in some[0]:
-            times = np.concatenate([one["seconds"] for one in some])
+    for (what, size, loss, variant), group in sorted(groups.items()):
+        line = f"{what:7} {variant:10} {size:5} members, {loss:4.0%} lost, {len(group)} seeds: "
+        if "seconds" in group[0]:
+            times = np.concatenate([result["seconds"] for result in group])
             p50, p99 = np.percentile(times, [50, 99])
-            head += f"p50 {p50:.2f} p99 {p99:.2f} max {times.max():.2f} s, {len(times)} of them"
-        if "false" in some[0]:
-            hours = sum(one["hours"] for one in some)
-            count = sum(one["false"] for one in some)
-            head += f"{count} false in {hours:.1f} member hours, {100 * count / hours:.1f} a hundred"
-        if "bytes" in some[0]:
-            head += f"{np.mean([one['bytes'] for one in some]):.0f} bytes, "
-        if "messages" in some[0]:
-            head += f" {np.mean([one['messages'] for one in some]):.1f} messages a member a second"
-        lines.append(head)
+            line += f"p50 {p50:.2f} p99 {p99:.2f} max {times.max():.2f} s, {len(times)} times"
+        if "false" in group[0]:
+            hours = sum(result["hours"] for result in group)
+            count = sum(result["false"] for result in group)
+            line += f"{count} false in {hours:.1f} member hours, {100 * count / hours:.1f} per 100"
+        if "bytes" in group[0]:
+            line += f"{np.mean([result['bytes'] for result in group]):.0f} bytes, "
+        if "messages" in group[0]:
+            line += f" {np.mean([result['messages'] for result in group]):.1f} messages per member and second"
+        lines.append(line)
     return lines
