--- a/lab/member_plots.py
+++ b/lab/member_plots.py
@@ -1,4 +1,7 @@
-"""Plots of what membership was measured to do: a panel a question, a line a variant. Needs matplotlib."""
+"""Plots of the membership measurements: a panel for each measurement, a line for each variant.
+
+Requires matplotlib.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,23 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-Found = dict[str, Any]  # what ``member_study.measure`` gives
+Result = dict[str, Any]  # as returned by ``member_study.measure``
 
-COLOURS = {"birchdrum": "#1b6ca8", "swim": "#d1603d", "heartbeats": "#7a7a7a"}
-HUNDRED = 100.0  # member hours
+COLORS = {"birchdrum": "#1b6ca8", "swim": "#d1603d", "heartbeats": "#7a7a7a"}
+RATE_BASE = 100.0  # member hours that rates refer to
 
 
-def _by(found: Iterable[Found], *keys: str) -> dict[tuple[Any, ...], list[Found]]:
-    groups: dict[tuple[Any, ...], list[Found]] = {}
-    for one in found:
-        groups.setdefault(tuple(one[key] for key in keys), []).append(one)
+def _group_by(results: Iterable[Result], *keys: str) -> dict[tuple[Any, ...], list[Result]]:
+    groups: dict[tuple[Any, ...], list[Result]] = {}
+    for result in results:
+        groups.setdefault(tuple(result[key] for key in keys), []).append(result)
     return dict(sorted(groups.items()))
 
 
-def _times(axes: Axes, found: list[Found], title: str) -> None:
-    """How large a part was over after how many seconds."""
-    for (variant, size, loss), some in _by(found, "variant", "size", "loss").items():
-        times = np.sort(np.concatenate([one["seconds"] for one in some]))
+def _plot_times(axes: Axes, results: list[Result], title: str) -> None:
+    """Plot the cumulative distribution of measured times."""
+    for (variant, size, loss), group in _group_by(results, "variant", "size", "loss").items():
+        times = np.sort(np.concatenate([result["seconds"] for result in group]))
         style = {0.0: "-", 0.1: "--", 0.2: ":"}.get(loss, "-.")
         label = f"{variant}, {size}" + (f", {loss:.0%} lost" if loss else "")
         width = 1.0 if size == 30 else 2.0
@@ -36,74 +39,81 @@
             np.arange(1, len(times) + 1) / len(times),
             where="post",
             label=label,
-            color=COLOURS.get(variant),
+            color=COLORS.get(variant),
             linestyle=style,
             linewidth=width,
         )
-    axes.set(title=title, xlabel="seconds", ylabel="part", ylim=(0, 1.02), xlim=(0, None))
+    axes.set(title=title, xlabel="seconds", ylabel="fraction", ylim=(0, 1.02), xlim=(0, None))
 
 
-def _false(axes: Axes, found: list[Found]) -> None:
-    """A running member held gone, by the part of the messages that is lost."""
-    for (variant, size), some in _by(found, "variant", "size").items():
-        losses = _by(some, "loss")
+def _plot_false_deaths(axes: Axes, results: list[Result]) -> None:
+    """Plot the rate of false death declarations against the message loss."""
+    for (variant, size), group in _group_by(results, "variant", "size").items():
+        losses = _group_by(group, "loss")
         rates = [
-            HUNDRED * sum(one["false"] for one in of) / sum(one["hours"] for one in of)
-            for of in losses.values()
+            RATE_BASE
+            * sum(result["false"] for result in same_loss)
+            / sum(result["hours"] for result in same_loss)
+            for same_loss in losses.values()
         ]
         axes.plot(
             [100 * loss for (loss,) in losses],
             [max(rate, 1.0) for rate in rates],
             marker="o",
-            color=COLOURS.get(variant),
+            color=COLORS.get(variant),
             label=f"{variant}, {size}",
         )
-    axes.set(title="held gone though it ran", xlabel="% of messages lost", ylabel="in 100 member hours")
+    axes.set(title="declared dead while running", xlabel="% of messages lost", ylabel="in 100 member hours")
     axes.set_yscale("log")
-    axes.text(0.02, 0.02, "the lowest line stands for none", transform=axes.transAxes, fontsize=8)
+    axes.text(0.02, 0.02, "rates below 1 are drawn at 1", transform=axes.transAxes, fontsize=8)
 
 
-def _pauses(axes: Axes, found: list[Found]) -> None:
-    """The same while one in ten stands still."""
-    groups = _by(found, "variant")
-    rates = [HUNDRED * sum(o["false"] for o in of) / sum(o["hours"] for o in of) for of in groups.values()]
+def _plot_false_deaths_with_pauses(axes: Axes, results: list[Result]) -> None:
+    """Plot the rate of false death declarations while one in ten members is paused."""
+    groups = _group_by(results, "variant")
+    rates = [
+        RATE_BASE * sum(result["false"] for result in group) / sum(result["hours"] for result in group)
+        for group in groups.values()
+    ]
     bars = axes.bar(
-        [variant for (variant,) in groups], rates, color=[COLOURS.get(variant) for (variant,) in groups]
+        [variant for (variant,) in groups], rates, color=[COLORS.get(variant) for (variant,) in groups]
     )
     axes.bar_label(bars, fmt="%.0f")
-    axes.set(title="the same, one in ten standing still", ylabel="in 100 member hours")
+    axes.set(title="declared dead while running, one in ten paused", ylabel="in 100 member hours")
 
 
-def _rest(axes: Axes, found: list[Found]) -> None:
-    """Datagrams a member a second, by the size of the fleet."""
-    for (variant,), some in _by(found, "variant").items():
-        sizes = _by(some, "size")
-        rates = [float(np.mean([one["messages"] for one in of])) for of in sizes.values()]
-        axes.plot([size for (size,) in sizes], rates, marker="o", color=COLOURS.get(variant), label=variant)
-    axes.set(title="datagrams at rest", xlabel="members", ylabel="a member a second", ylim=(0, None))
+def _plot_idle_traffic(axes: Axes, results: list[Result]) -> None:
+    """Plot the datagrams per member and second without faults against the fleet size."""
+    for (variant,), group in _group_by(results, "variant").items():
+        sizes = _group_by(group, "size")
+        rates = [float(np.mean([result["messages"] for result in same_size])) for same_size in sizes.values()]
+        axes.plot([size for (size,) in sizes], rates, marker="o", color=COLORS.get(variant), label=variant)
+    axes.set(
+        title="datagrams without faults", xlabel="members", ylabel="per member and second", ylim=(0, None)
+    )
     axes.set_xscale("log")
 
 
-PANELS: dict[str, Callable[[Axes, list[Found]], None]] = {
-    "kill": lambda axes, found: _times(axes, found, "a kill is known to each of the others"),
-    "name": lambda axes, found: _times(axes, found, "a dead direction is named"),
-    "heal": lambda axes, found: _times(axes, found, "all hold the same after a split of 10 s"),
-    "false": _false,
-    "pauses": _pauses,
-    "rest": _rest,
+PANELS: dict[str, Callable[[Axes, list[Result]], None]] = {
+    "kill": lambda axes, results: _plot_times(axes, results, "time until a kill is detected by each member"),
+    "name": lambda axes, results: _plot_times(axes, results, "time until a one-way link failure is reported"),
+    "heal": lambda axes, results: _plot_times(axes, results, "time to converge after a partition of 10 s"),
+    "false": _plot_false_deaths,
+    "pauses": _plot_false_deaths_with_pauses,
+    "rest": _plot_idle_traffic,
 }
 
 
-def draw(found: list[Found], file: Path) -> None:
-    """All panels that there are results for, as a picture in the form that the file's ending names."""
+def draw(results: list[Result], file: Path) -> None:
+    """Draw a panel for each measurement with results. The suffix of the file sets the image format."""
     mpl.use("agg")
-    whats = [what for what in PANELS if any(one["what"] == what for one in found)]
-    columns = min(3, len(whats))
-    rows = -(-len(whats) // columns)
+    measurements = [what for what in PANELS if any(result["what"] == what for result in results)]
+    columns = min(3, len(measurements))
+    rows = -(-len(measurements) // columns)
     figure = Figure(figsize=(5.2 * columns, 3.9 * rows), layout="constrained")
-    for place, what in enumerate(whats):
-        axes = figure.add_subplot(rows, columns, place + 1)
-        PANELS[what](axes, [one for one in found if one["what"] == what])
+    for position, what in enumerate(measurements):
+        axes = figure.add_subplot(rows, columns, position + 1)
+        PANELS[what](axes, [result for result in results if result["what"] == what])
         axes.grid(alpha=0.3)
         if axes.get_legend_handles_labels()[0]:
             axes.legend(fontsize=7)
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -1,4 +1,4 @@
-"""Measurements of membership on the virtual clock, with the same seeds for all variants, kept as JSON files."""
+"""Measurements of membership on the virtual clock, as JSON files; all variants run with the same seeds."""
 
 from __future__ import annotations
 
