--- a/lab/placing.py
+++ b/lab/placing.py
@@ -1,4 +1,4 @@
-"""Gateways that learn each other's addresses, on the virtual clock: many cores of ``saffrongw/places.py``."""
+"""Simulation of gateways that learn each other's addresses: ``saffrongw/places.py`` on a virtual clock."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 from .kernel import T0, Kernel, Uniform, draws
 
-SECOND = 1_000_000
-DELAY = (200, 1_200)  # microseconds on the way
+SECOND = 1_000_000  # microseconds
+NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
 
+# rank, number of ranks, cluster, life, own address, addresses to join by, seed
 Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.Places]
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One gateway at its address; ``bound`` is where its sends to each rank go."""
+    """One gateway process; ``peer_addresses`` is where it sends the messages for each rank."""
 
     core: places.Places
     peer_addresses: dict[int, Address] = field(default_factory=dict)
-    replaced_by: int = 0  # the greater life of another process under its rank
+    replaced_by: int = 0  # life of a newer process of the same rank, 0 if there is none
     dead: bool = False
 
 
 class Network:
-    """A network of addresses, from one seed."""
+    """A simulated network of gateways, deterministic for a given seed."""
 
     def __init__(self, size: int, seed: int, factory: Factory = places.Places, loss: float = 0.0) -> None:
-        """``size``: ranks that the settings have room for."""
+        """``size``: the number of ranks in the settings."""
         self.kernel = Kernel()
         self.size = size
         self.factory = factory
@@ -40,70 +41,78 @@
         self.draw = Uniform(draws(seed, "network"))
         self.seeds = draws(seed, "places")
         self.nodes: dict[Address, Node] = {}
-        self.transmitted: list[tuple[Address, Address, bytes]] = []  # from, to, what was sent
+        self.transmitted: list[tuple[Address, Address, bytes]] = []  # source, destination, body
         self.greetings_sent: Counter[Address] = Counter()
 
     def start(self, rank: int, port: int, join: Iterable[int] = (), life: int = 0) -> Node:
-        """A process starts at this port; ``join``: those that it asks first."""
-        at = self._at(port)
+        """Start a process on this port; ``join``: ports of the members that it contacts first."""
+        address = self._address(port)
         life = life or self.kernel.now // 1_000 << 10
-        seeds = [self._at(other) for other in join]
-        seat = Node(self.factory(rank, self.size, "lab", life, at, seeds, int(self.seeds.integers(2**31))))
-        self.nodes[at] = seat
-        self.kernel.after(int(self.draw() * places.GREETING_INTERVAL), self._tick, at, seat)
-        return seat
+        join_addresses = [self._address(other) for other in join]
+        node = Node(
+            self.factory(
+                rank, self.size, "lab", life, address, join_addresses, int(self.seeds.integers(2**31))
+            )
+        )
+        self.nodes[address] = node
+        self.kernel.after(int(self.draw() * places.GREETING_INTERVAL), self._tick, address, node)
+        return node
 
     @staticmethod
-    def _at(port: int) -> Address:
+    def _address(port: int) -> Address:
         return ("10.0.0.1", port)
 
-    def run(self, span: float) -> None:
-        """So many seconds."""
-        self.kernel.run(self.kernel.now + int(span * SECOND))
+    def run(self, duration: float) -> None:
+        """Run the simulation for this many seconds."""
+        self.kernel.run(self.kernel.now + int(duration * SECOND))
+
+    def run_until(self, condition: Callable[[], bool], timeout: float) -> float:
+        """Run until the condition holds and return the seconds that took.
 
-    def run_until(self, holds: Callable[[], bool], most: float) -> float:
-        """Seconds until a condition holds; raises TimeoutError after ``most`` of them."""
+        Raises TimeoutError after ``timeout`` seconds.
+        """
         began = self.kernel.now
-        while not holds():
-            if self.kernel.now - began > most * SECOND:
-                raise TimeoutError(f"not within {most:g} s")
+        while not condition():
+            if self.kernel.now - began > timeout * SECOND:
+                raise TimeoutError(f"condition did not hold within {timeout:g} s")
             self.run(0.05)
         return (self.kernel.now - began) / SECOND
 
     def converged(self) -> bool:
-        """Whether everybody who lives sends to where each other is."""
-        live = {seat.core.rank: at for at, seat in self.nodes.items() if not seat.dead}
-        wanted = ({r: at for r, at in live.items() if r != s.core.rank} for s in self._living())
+        """Whether each running process sends to the current address of every other one, and to no others."""
+        current = {node.core.rank: address for address, node in self.nodes.items() if not node.dead}
+        expected = ({r: a for r, a in current.items() if r != n.core.rank} for n in self._running())
         return all(
-            seat.peer_addresses == places_of for seat, places_of in zip(self._living(), wanted, strict=True)
+            node.peer_addresses == addresses
+            for node, addresses in zip(self._running(), expected, strict=True)
         )
 
-    def _living(self) -> list[Node]:
-        return [seat for seat in self.nodes.values() if not seat.dead]
+    def _running(self) -> list[Node]:
+        return [node for node in self.nodes.values() if not node.dead]
 
-    def _tick(self, at: Address, seat: Node) -> None:
-        if not seat.dead and self.nodes[at] is seat:
-            self._carry_out(at, seat, seat.core.tick(self.kernel.now))
-            self.kernel.after(places.GREETING_INTERVAL, self._tick, at, seat)
+    def _tick(self, address: Address, node: Node) -> None:
+        if not node.dead and self.nodes[address] is node:
+            self._execute(address, node, node.core.tick(self.kernel.now))
+            self.kernel.after(places.GREETING_INTERVAL, self._tick, address, node)
 
     def send(self, source: Address, to: Address, body: bytes) -> None:
-        """A datagram, also a forged one."""
+        """Send a datagram; tests also use it to forge or replay one."""
         if self.draw() >= self.loss:
-            way = DELAY[0] + int(self.draw() * (DELAY[1] - DELAY[0]))
-            self.kernel.after(way, self._arrive, source, to, body)
+            delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
+            self.kernel.after(delay, self._deliver, source, to, body)
 
-    def _arrive(self, source: Address, to: Address, body: bytes) -> None:
-        seat = self.nodes.get(to)
-        if seat and not seat.dead:
-            self._carry_out(to, seat, seat.core.heard(self.kernel.now, source, body))
+    def _deliver(self, source: Address, to: Address, body: bytes) -> None:
+        node = self.nodes.get(to)
+        if node and not node.dead:
+            self._execute(to, node, node.core.heard(self.kernel.now, source, body))
 
-    def _carry_out(self, at: Address, seat: Node, actions: Iterable[places.Action]) -> None:
+    def _execute(self, address: Address, node: Node, actions: Iterable[places.Action]) -> None:
         for action in actions:
             if isinstance(action, places.Greet):
-                self.greetings_sent[at] += 1
-                self.transmitted.append((at, action.address, action.body))
-                self.send(at, action.address, action.body)
+                self.greetings_sent[address] += 1
+                self.transmitted.append((address, action.address, action.body))
+                self.send(address, action.address, action.body)
             elif isinstance(action, places.Moved):
-                seat.peer_addresses[action.rank] = action.address
+                node.peer_addresses[action.rank] = action.address
             else:
-                seat.replaced_by = action.life
+                node.replaced_by = action.life
