--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -1,7 +1,8 @@
-"""Settings that gateways agree on, on the virtual clock: one source, many holders, faults, and a checker.
+"""Simulation of the settings agreement: one source and many holders on a virtual clock, with faults.
 
-Clocks run too fast or too slow by the stated drift, each its own. What each holder decided by, and when, is
-all that the checker sees.
+Each process has a clock of its own, which is fast or slow by up to ``DRIFT``. The simulation records which
+value each holder used in its decisions and when; how long old and new values overlapped is computed from this
+record alone.
 """
 
 from __future__ import annotations
@@ -16,42 +17,44 @@
 
 from .kernel import T0, Kernel, Uniform, draws
 
-SECOND, MS = 1_000_000, 1_000
-DELAY = (200, 2_000)  # microseconds on the way
-LATE = 4 * SECOND  # a message that is held up somewhere comes so late at most
-DECIDE = 20 * MS  # between two decisions
-TICK = 50 * MS
-WARM = 5 * SECOND  # until the first change: a source that starts waits for a lease
+SECOND, MS = 1_000_000, 1_000  # microseconds
+NETWORK_DELAY = (200, 2_000)  # microseconds, minimum and maximum
+LATE_DELAY_MAX = 4 * SECOND  # of a late message
+DECISION_INTERVAL = 20 * MS  # on average
+TICK_INTERVAL = 50 * MS
+FIRST_CHANGE_DELAY = 5 * SECOND  # a source that starts waits for a lease
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """How often what goes wrong: parts of messages, or times a second over all holders."""
+    """Fault rates: ``loss``, ``duplication`` and ``late`` as fractions of the messages, the others in events
+    per second over all holders."""
 
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
     late: float = 0.0
-    cuts: float = 0.0
+    disconnects: float = 0.0
     pauses: float = 0.0
     restarts: float = 0.0
     source_restarts: float = 0.0
-    spans: tuple[float, float] = (0.2, 8.0)  # seconds of a cut or pause
+    durations: tuple[float, float] = (0.2, 8.0)  # seconds of a disconnect or pause, minimum and maximum
 
 
+# Fault profiles by name
 KINDS = {
     "calm": Faults(),
-    "loss": Faults(loss=0.3, double=0.2, late=0.05),
-    "cuts": Faults(cuts=2.0),
+    "loss": Faults(loss=0.3, duplication=0.2, late=0.05),
+    "cuts": Faults(disconnects=2.0),
     "pauses": Faults(pauses=2.0, late=0.02),
     "restarts": Faults(restarts=1.0, loss=0.05, late=0.02),
-    "source": Faults(source_restarts=0.2, cuts=0.5),
+    "source": Faults(source_restarts=0.2, disconnects=0.5),
     "all": Faults(0.1, 0.1, 0.03, 0.7, 0.7, 0.3, 0.05),
 }
 
 
 @dataclass(slots=True)
-class Decided:
-    """By which value of a key somebody decided, first and last; microseconds of true time."""
+class Use:
+    """When a holder first and last decided by a value, in microseconds of true time."""
 
     first: int
     last: int
@@ -59,22 +62,22 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A holder's process with a clock of its own."""
+    """A holder's process; its clock runs at ``clock_rate``."""
 
     name: str
     core: Holder
-    rate: float
-    paused: int = 0  # until when
-    mute: int = 0  # nothing of it arrives until then
-    deaf: int = 0
-    waiting: list[dict[str, Any]] = field(default_factory=list)
+    clock_rate: float
+    paused_until: int = 0
+    send_blocked_until: int = 0
+    receive_blocked_until: int = 0
+    socket_buffer: list[dict[str, Any]] = field(default_factory=list)  # answers that arrive during a pause
 
 
-Make = Callable[[str, int], Holder]
+HolderFactory = Callable[[str, int], Holder]
 
 
 class World:
-    """A source, holders, and somebody who changes the settings all the time."""
+    """A source, its holders, and a writer that keeps changing the settings."""
 
     def __init__(
         self,
@@ -82,7 +85,7 @@
         seed: int,
         faults: Faults,
         lease_ms: int = 3_000,
-        holder: Make = Holder,
+        holder: HolderFactory = Holder,
         source: Callable[..., Source] = Source,
         change_interval: float = 0.5,
     ) -> None:
@@ -91,96 +94,98 @@
         self.lease_ms = lease_ms
         self.kernel.now = T0
         self.draw = Uniform(draws(seed, "agreement"))
-        self.holder = holder
-        self.make_source = source
+        self.holder_factory = holder
+        self.source_factory = source
         self.change_interval = change_interval
-        self.source_rate = self._rate()
+        self.source_clock_rate = self._draw_clock_rate()
         self.disk = PersistedState(1, 1, last=1)
         self.source = source(self._source_now(), self.disk, lease_ms)
-        self.source_down = 0
+        self.source_down_until = 0
         self.lives = 0
-        self.nodes = [Node(f"gw-{i}", self._core(f"gw-{i}"), self._rate()) for i in range(size)]
+        self.nodes = [
+            Node(f"gw-{i}", self._start_core(f"gw-{i}"), self._draw_clock_rate()) for i in range(size)
+        ]
         self.by_name = {node.name: node for node in self.nodes}
-        # By version: the values of two keys, one that may never contradict and one that may for a time.
+        # By version: the values of two keys, one under the rule ``never`` and one under ``within``.
         self.values: dict[int, tuple[int, int]] = {1: (0, 0)}
         self.rules: dict[int, str] = {}
-        self.decided: dict[tuple[str, int, str], Decided] = {}  # key, value, who
+        self.uses: dict[tuple[str, int, str], Use] = {}  # by key, value and holder
         self.counts: Counter[str] = Counter()
-        self.first_held: dict[tuple[int, int], int] = {}  # by life of the holder and version
-        self.put_at: dict[int, int] = {}  # version: when it was put
-        self.held_at: dict[int, int] = {}  # and when the last holder took it
+        self.first_applied: dict[tuple[int, int], int] = {}  # time, by life of the holder and version
+        self.proposed_at: dict[int, int] = {}  # by version
+        self.last_applied: dict[int, int] = {}  # by version: when the last holder applied it
         for node in self.nodes:
-            self.kernel.after(int(self.draw() * TICK), self._tick, node)
-            self.kernel.after(int(self.draw() * DECIDE), self._decide, node)
-        self.kernel.after(WARM, self._write)
-        self.kernel.after(TICK, self._trouble)
-        self.kernel.after(TICK, self._look)
+            self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node)
+            self.kernel.after(int(self.draw() * DECISION_INTERVAL), self._decide, node)
+        self.kernel.after(FIRST_CHANGE_DELAY, self._propose_change)
+        self.kernel.after(TICK_INTERVAL, self._inject_faults)
+        self.kernel.after(TICK_INTERVAL, self._poll_source)
 
-    def _rate(self) -> float:
+    def _draw_clock_rate(self) -> float:
         return 1 + DRIFT * (2 * self.draw() - 1)
 
-    def _core(self, name: str) -> Holder:
+    def _start_core(self, name: str) -> Holder:
         self.lives += 1
-        return self.holder(name, self.lives)
+        return self.holder_factory(name, self.lives)
 
     def _now(self, node: Node) -> int:
-        return int(self.kernel.now * node.rate)
+        return int(self.kernel.now * node.clock_rate)
 
     def _source_now(self) -> int:
-        return int(self.kernel.now * self.source_rate)
+        return int(self.kernel.now * self.source_clock_rate)
 
-    def run(self, span: float) -> None:
-        """So many seconds."""
-        self.kernel.run(self.kernel.now + int(span * SECOND))
+    def run(self, duration: float) -> None:
+        """Run the simulation for this many seconds."""
+        self.kernel.run(self.kernel.now + int(duration * SECOND))
 
-    # -- what processes do ----------------------------------------------------------------------------------
+    # -- processes ------------------------------------------------------------------------------------------
 
     def _tick(self, node: Node) -> None:
-        if node.paused <= self.kernel.now and node.core.due(self._now(node)):
+        if node.paused_until <= self.kernel.now and node.core.due(self._now(node)):
             self._send(node, node.core.make_request(self._now(node)), to_source=True)
-        self.kernel.after(TICK, self._tick, node)
+        self.kernel.after(TICK_INTERVAL, self._tick, node)
 
     def _send(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
         faults = self.faults
-        cut = node.mute if to_source else node.deaf
-        if cut > self.kernel.now or self.draw() < faults.loss:
+        blocked_until = node.send_blocked_until if to_source else node.receive_blocked_until
+        if blocked_until > self.kernel.now or self.draw() < faults.loss:
             return
-        for _ in range(1 + (self.draw() < faults.double)):
-            way = DELAY[0] + int(self.draw() * (DELAY[1] - DELAY[0]))
+        for _ in range(1 + (self.draw() < faults.duplication)):
+            delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
             if self.draw() < faults.late:
-                way = int(self.draw() * LATE)
-            self.kernel.after(way, self._arrive, node, body, to_source)
+                delay = int(self.draw() * LATE_DELAY_MAX)
+            self.kernel.after(delay, self._deliver, node, body, to_source)
 
-    def _arrive(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
+    def _deliver(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
         if to_source:
-            if self.kernel.now >= self.source_down:
+            if self.kernel.now >= self.source_down_until:
                 answer = self.source.handle_query(self._source_now(), body)
-                self._keep()
+                self._persist()
                 if answer:
                     self._send(node, answer, to_source=False)
-        elif node.paused > self.kernel.now:
-            node.waiting.append(body)
+        elif node.paused_until > self.kernel.now:
+            node.socket_buffer.append(body)
         else:
-            self._told(node, body)
+            self._apply_answer(node, body)
 
-    def _told(self, node: Node, body: dict[str, Any]) -> None:
+    def _apply_answer(self, node: Node, body: dict[str, Any]) -> None:
         if node.core.apply_answer(self._now(node), body) and node.core.version:
-            self.held_at[node.core.version] = max(
-                self.held_at.get(node.core.version, 0), self._first_held(node, node.core.version)
+            self.last_applied[node.core.version] = max(
+                self.last_applied.get(node.core.version, 0), self._first_applied(node, node.core.version)
             )
-        # What it is ready for is said at once.
+        # If the holder is now prepared for a version, it reports so at once.
         if node.core.due(self._now(node)):
             self._send(node, node.core.make_request(self._now(node)), to_source=True)
 
-    def _first_held(self, node: Node, version: int) -> int:
-        """When this process took the version first."""
-        return self.first_held.setdefault((node.core.life, version), self.kernel.now)
+    def _first_applied(self, node: Node, version: int) -> int:
+        """When this process applied the version for the first time."""
+        return self.first_applied.setdefault((node.core.life, version), self.kernel.now)
 
     def _decide(self, node: Node) -> None:
-        """A request comes to it: by which value of each key is it decided?"""
+        """Simulate a decision of this holder, and record the value of each key that it used."""
         now = self.kernel.now
-        self.kernel.after(DECIDE // 2 + int(self.draw() * DECIDE), self._decide, node)
-        if node.paused > now:
+        self.kernel.after(DECISION_INTERVAL // 2 + int(self.draw() * DECISION_INTERVAL), self._decide, node)
+        if node.paused_until > now:
             return
         effective = node.core.effective(self._now(node))
         self.counts["decisions"] += 1
@@ -190,117 +195,130 @@
             return
         never, within = self.values[effective.version]
         if not effective.restricted:
-            self._note(NEVER, never, node.name, now)
+            self._record_use(NEVER, never, node.name, now)
         if not effective.lapsed:
-            self._note(WITHIN, within, node.name, now)
+            self._record_use(WITHIN, within, node.name, now)
 
-    def _note(self, key: str, value: int, name: str, now: int) -> None:
-        seen = self.decided.setdefault((key, value, name), Decided(now, now))
-        seen.last = now
+    def _record_use(self, key: str, value: int, name: str, now: int) -> None:
+        use = self.uses.setdefault((key, value, name), Use(now, now))
+        use.last = now
 
-    def _look(self) -> None:
-        """The source answers who waits."""
-        self.kernel.after(TICK // 5, self._look)
-        if self.kernel.now >= self.source_down:
+    def _poll_source(self) -> None:
+        """Send the answers to parked queries that are due."""
+        self.kernel.after(TICK_INTERVAL // 5, self._poll_source)
+        if self.kernel.now >= self.source_down_until:
             answers = self.source.due_answers(self._source_now())
-            self._keep()
+            self._persist()
             for answer in answers:
                 self._send(self.by_name[answer["holder"]], answer, to_source=False)
 
-    def _keep(self) -> None:
+    def _persist(self) -> None:
         if self.source.state != self.disk:
             self.disk = self.source.state
 
-    # -- what goes on ---------------------------------------------------------------------------------------
+    # -- changes and faults ---------------------------------------------------------------------------------
 
-    def _write(self) -> None:
-        """The next change, once the one before it is in force."""
-        self.kernel.after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._write)
-        if self.kernel.now < self.source_down:
+    def _propose_change(self) -> None:
+        """Propose the next version, unless an earlier one is still pending."""
+        self.kernel.after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._propose_change)
+        if self.kernel.now < self.source_down_until:
             return
         version = max(self.values) + 1
         rule = NEVER if self.draw() < 0.5 else WITHIN
         now = self._source_now()
         if self.source.advance(now):
-            self._keep()
+            self._persist()
         try:
             self.source.propose(now, version, rule)
         except Conflict:
             self.counts["waited"] += 1
             return
         never, within = self.values[version - 1]
-        self.put_at[version] = self.kernel.now
+        self.proposed_at[version] = self.kernel.now
         self.values[version] = (never + (rule == NEVER), within + (rule == WITHIN))
         self.counts["changes"] += 1
-        self._keep()
+        self._persist()
 
-    def _trouble(self) -> None:
-        self.kernel.after(TICK, self._trouble)
+    def _inject_faults(self) -> None:
+        self.kernel.after(TICK_INTERVAL, self._inject_faults)
         faults, now = self.faults, self.kernel.now
 
         def is_due(rate: float) -> bool:
-            return self.draw() < rate * TICK / SECOND
+            return self.draw() < rate * TICK_INTERVAL / SECOND
 
-        def span() -> int:
-            least, most = faults.spans
-            return int((least + self.draw() * (most - least)) * SECOND)
+        def draw_duration() -> int:
+            shortest, longest = faults.durations
+            return int((shortest + self.draw() * (longest - shortest)) * SECOND)
 
         node = self.nodes[int(self.draw() * len(self.nodes))]
-        if is_due(faults.cuts):
-            ends = now + span()
-            which = self.draw()
-            node.mute = ends if which < 0.67 else 0
-            node.deaf = ends if which > 0.33 else 0
-        if is_due(faults.pauses) and node.paused <= now:
-            ends = span()
-            node.paused = now + ends
-            self.kernel.after(ends, self._go_on, node)
+        if is_due(faults.disconnects):
+            end = now + draw_duration()
+            direction = self.draw()  # below 0.33: only sending, above 0.67: only receiving, else both
+            node.send_blocked_until = end if direction < 0.67 else 0
+            node.receive_blocked_until = end if direction > 0.33 else 0
+        if is_due(faults.pauses) and node.paused_until <= now:
+            duration = draw_duration()
+            node.paused_until = now + duration
+            self.kernel.after(duration, self._resume, node)
         if is_due(faults.restarts):
-            node.core = self._core(node.name)
-            node.waiting = []
-            node.paused = 0
-        if is_due(faults.source_restarts) and now >= self.source_down:
-            ends = span() // 4
-            self.source_down = now + ends
-            self.kernel.after(ends, self._restart_source)
-
-    def _go_on(self, node: Node) -> None:
-        """What waited in its socket comes first, then what it has to decide."""
-        waiting, node.waiting = node.waiting, []
-        for body in waiting:
-            self._told(node, body)
+            node.core = self._start_core(node.name)
+            node.socket_buffer = []
+            node.paused_until = 0
+        if is_due(faults.source_restarts) and now >= self.source_down_until:
+            duration = draw_duration() // 4
+            self.source_down_until = now + duration
+            self.kernel.after(duration, self._restart_source)
+
+    def _resume(self, node: Node) -> None:
+        """Process the buffered answers after a pause, before the next decision."""
+        buffered, node.socket_buffer = node.socket_buffer, []
+        for body in buffered:
+            self._apply_answer(node, body)
 
     def _restart_source(self) -> None:
-        self.source = self.make_source(self._source_now(), self.disk, self.lease_ms)
+        self.source = self.source_factory(self._source_now(), self.disk, self.lease_ms)
 
-    # -- what is seen ---------------------------------------------------------------------------------------
+    # -- observations ---------------------------------------------------------------------------------------
 
     def overlaps(self, key: str) -> list[tuple[int, int, str]]:
-        """For each value and holder: microseconds that it decided by that value after another had decided by
-        a newer one; with the value and its name."""
-        first: dict[int, dict[str, int]] = {}
-        for (of, value, name), seen in self.decided.items():
-            if of == key:
-                first.setdefault(value, {})[name] = seen.first
-        values = sorted(first, reverse=True)
+        """Overlaps of old and new values of a key as (microseconds, old value, holder), longest first.
+
+        An overlap is the time for which a holder still used a value after another holder had used a newer
+        one.
+        """
+        first_uses: dict[int, dict[str, int]] = {}
+        for (of_key, value, name), use in self.uses.items():
+            if of_key == key:
+                first_uses.setdefault(value, {})[name] = use.first
+        values = sorted(first_uses, reverse=True)
+        # By value: the first uses of any newer value by two holders, since one may be the holder looked at.
         earliest: dict[int, list[tuple[int, str]]] = {}
-        newer: dict[str, int] = {}
+        newer: dict[str, int] = {}  # by holder: its first use of any newer value
         for value in values:
-            earliest[value] = sorted((at, name) for name, at in newer.items())[:2]
-            for name, at in first[value].items():
-                newer[name] = min(at, newer.get(name, at))
-        found = []
-        for (of, value, name), seen in self.decided.items():
-            others = [at for at, other in earliest.get(value, []) if other != name] if of == key else []
-            if others and seen.last > others[0]:
-                found.append((seen.last - others[0], value, name))
-        return sorted(found, reverse=True)
+            earliest[value] = sorted((time, name) for name, time in newer.items())[:2]
+            for name, time in first_uses[value].items():
+                newer[name] = min(time, newer.get(name, time))
+        overlaps = []
+        for (of_key, value, name), use in self.uses.items():
+            others = (
+                [time for time, other in earliest.get(value, []) if other != name] if of_key == key else []
+            )
+            if others and use.last > others[0]:
+                overlaps.append((use.last - others[0], value, name))
+        return sorted(overlaps, reverse=True)
 
     def propagation_times(self) -> list[float]:
-        """Seconds from each put to the last holder that took it; without faults that is all of them."""
-        return sorted((at - self.put_at[v]) / SECOND for v, at in self.held_at.items() if v in self.put_at)
+        """Seconds from each proposal until the last holder applied it, sorted.
+
+        With faults, some holders may never apply a version; these are not counted.
+        """
+        return sorted(
+            (time - self.proposed_at[version]) / SECOND
+            for version, time in self.last_applied.items()
+            if version in self.proposed_at
+        )
 
     def max_overlap_ratio(self, key: str) -> float:
-        """The longest contradiction, as a part of the bound; 0: none."""
-        found = self.overlaps(key)
-        return found[0][0] / max_overlap_us(self.lease_ms) if found else 0.0
+        """The longest overlap as a fraction of the bound, 0 if there is none."""
+        overlaps = self.overlaps(key)
+        return overlaps[0][0] / max_overlap_us(self.lease_ms) if overlaps else 0.0
