--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model check of membership: invariants hold on all paths, planted defects break them."""
+"""The model check of membership: the invariants hold on all paths, and each planted defect violates one."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
         (3, 9, 2, ("late", "restart")),
     ],
 )
-def test_every_placing_of_a_few_faults_keeps_the_invariants(size, window, faults, kinds):
+def test_the_invariants_hold_for_every_placement_of_a_few_faults(size, window, faults, kinds):
     result = model.check(size=size, window=window, max_faults=faults, kinds=kinds)
     assert result.violations == []
     assert result.paths > 30 and result.states > result.paths
 
 
 @pytest.mark.parametrize(
-    ("defect", "faults", "kinds", "what"),
+    ("defect", "faults", "kinds", "description"),
     [
         ("no-incarnation", 1, model.KINDS, "still considers"),
         ("no-refutation", 1, model.KINDS, "still considers"),
@@ -32,14 +32,14 @@
         ("old-lives-count", 2, ("late", "restart"), "went back"),
     ],
 )
-def test_a_planted_defect_breaks_an_invariant(defect, faults, kinds, what):
+def test_a_planted_defect_violates_an_invariant(defect, faults, kinds, description):
     result = model.check(
         defects.CORE_DEFECTS[defect], size=3, window=12, max_faults=faults, kinds=kinds, max_violations=1
     )
-    assert what in str(result.violations[0])
+    assert description in str(result.violations[0])
 
 
-def test_the_same_choices_lead_to_the_same_state():
+def test_equal_paths_lead_to_equal_fingerprints():
     one, other = (model.World(Membership, 3).warm_up() for _ in range(2))
     assert one.fingerprint() == other.fingerprint()
     fault = next(iter(one.possible_faults(("restart",))))
