--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -108,7 +108,6 @@
         self.by_name = {node.name: node for node in self.nodes}
         # By version: the values of two keys, one under the rule ``never`` and one under ``within``.
         self.values: dict[int, tuple[int, int]] = {1: (0, 0)}
-        self.rules: dict[int, str] = {}
         self.uses: dict[tuple[str, int, str], Use] = {}  # by key, value and holder
         self.counts: Counter[str] = Counter()
         self.first_applied: dict[tuple[int, int], int] = {}  # time, by life of the holder and version
