--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -74,12 +74,12 @@
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _handle_acknowledged(self, now: int, member: state.Member, heard: int) -> None:
+    def _handle_acknowledged(self, now: int, member: state.Member, acknowledged: int) -> None:
         return
 
-    def _apply_doubt(self, now: int, member: state.Member, row: Row, at: int) -> bool:
+    def _apply_doubt(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
         member.last_seen = 0
-        super()._apply_doubt(now, member, row, at)
+        super()._apply_doubt(now, member, row, evidence_at)
         if (
             row.kind is RowKind.DEAD
             and member.state in state.ACTIVE_STATES
