--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -136,7 +136,7 @@
     folder: Path, gateways: int, hosts: int, count: int, seed: int, trouble: Trouble | None
 ) -> Fleet:
     """Bring all of it up, the list service first; raises Broken."""
-    addresses = iter(ports.free(2 + 4 * gateways))
+    addresses = iter(ports.allocate(2 + 4 * gateways))
 
     def address() -> str:
         return f"127.0.0.1:{next(addresses)}"
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -102,7 +102,7 @@
         self.children = Children(out, signal.SIGKILL)
         self.links = Links(seed)
         found = [
-            ("127.0.0.1", port) for port in ports.free(3 * schedule.gateways + 2 * (1 + schedule.agents))
+            ("127.0.0.1", port) for port in ports.allocate(3 * schedule.gateways + 2 * (1 + schedule.agents))
         ]
         count = schedule.gateways
         self.gateways = [Gateway(rank, found[3 * rank : 3 * rank + 3]) for rank in range(count)]
@@ -369,7 +369,7 @@
                     child.process.terminate()
                 case "twin":
                     name = f"{gateway.name}-twin"
-                    own: list[Address] = [("127.0.0.1", port) for port in ports.free(2)]
+                    own: list[Address] = [("127.0.0.1", port) for port in ports.allocate(2)]
                     self._write(name, gateway, self.service, own)
                     gateway.twin = await self.run(gateway, "-twin")
                 case "upgrade":
@@ -397,7 +397,7 @@
                     await child.process.wait()
                     gateway.stopped = 0
                     if fault.what == "move" and self.datagrams:
-                        gateway.peer = "127.0.0.1", ports.free(1)[0]
+                        gateway.peer = "127.0.0.1", ports.allocate(1)[0]
                         self.datagrams.move(gateway.name, gateway.peer)
                         self._write(gateway.name, gateway, self.lists[gateway.name])
                     await self.run(gateway)
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -45,7 +45,7 @@
     return draw.randrange(size)
 
 
-def free(count: int) -> list[int]:
+def allocate(count: int) -> list[int]:
     """So many different ports that nobody listens at now, for TCP nor UDP."""
     found: list[int] = []
     size = below() - LEAST
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -361,7 +361,7 @@
 
 def free_address() -> str:
     """One that nobody listens at."""
-    return f"127.0.0.1:{ports.free(1)[0]}"
+    return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
 PATIENT = """
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -365,7 +365,7 @@
 
 
 def test_programs_that_choose_ports_at_once_never_choose_the_same():
-    code = "from lab import ports; print(*[p for _ in range(60) for p in ports.free(3)])"
+    code = "from lab import ports; print(*[p for _ in range(60) for p in ports.allocate(3)])"
     words = [sys.executable, "-c", code]
     choosers = [subprocess.Popen(words, cwd=experiment.ROOT, stdout=subprocess.PIPE) for _ in range(6)]
     chosen = [int(word) for chooser in choosers for word in chooser.communicate(timeout=60)[0].split()]
