--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -235,10 +235,10 @@
 async def broken(fleet: Fleet) -> None:
     """Raise Broken where a process has ended by itself."""
     expected = fleet.trouble.expected if fleet.trouble else ()
-    for child in fleet.children.ended():
+    for child in fleet.children.exited():
         if child in expected:
             continue
-        raise Broken(await child.why())
+        raise Broken(await child.exit_reason())
 
 
 def _answers(address: str) -> bool:
@@ -288,11 +288,11 @@
     if fleet.clients:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(fleet.clients.stop(), max(0.1, left()))
-    await fleet.children.end(left, [gateway.name for gateway in fleet.gateways] or ["-"])
+    await fleet.children.stop(left, [gateway.name for gateway in fleet.gateways] or ["-"])
     await asyncio.gather(*(registration.leave() for registration in fleet.registrations))
     for host in fleet.hosts:
         await host.close()
-    await fleet.children.end(left)
+    await fleet.children.stop(left)
 
 
 # -- what is shown ----------------------------------------------------------------------------------------
--- a/lab/children.py
+++ b/lab/children.py
@@ -38,7 +38,7 @@
                 file.flush()
                 self.lines.append(line.decode("utf-8", "replace").strip())
 
-    async def why(self) -> str:
+    async def exit_reason(self) -> str:
         """Its exit code and last word, once it has ended."""
         code = await self.process.wait()
         with contextlib.suppress(TimeoutError):
@@ -75,11 +75,11 @@
         self.all.append(child)
         return child
 
-    def ended(self) -> list[Child]:
+    def exited(self) -> list[Child]:
         """Those that are gone."""
         return [child for child in self.all if child.process.returncode is not None]
 
-    async def end(self, within: Callable[[], float], names: Sequence[str] = ()) -> None:
+    async def stop(self, within: Callable[[], float], names: Sequence[str] = ()) -> None:
         """SIGTERM, and SIGKILL for who is there after ``within`` seconds; all, or those of these names."""
         chosen = [child for child in reversed(self.all) if not names or child.name in names]
         for child in chosen:
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -270,8 +270,8 @@
     async def _wait(self, within: float, holds: Callable[[], Awaitable[bool]], what: str) -> None:
         ends = time.monotonic() + within
         while not await holds():
-            for child in self.children.ended():
-                raise Broken(await child.why())
+            for child in self.children.exited():
+                raise Broken(await child.exit_reason())
             if time.monotonic() > ends:
                 raise Broken(f"{what} did not come about within {within:g} s")
             await asyncio.sleep(LOOK_EVERY)
@@ -292,11 +292,11 @@
             if gateway.stopped and gateway.child and gateway.child.process.returncode is None:
                 gateway.child.process.send_signal(signal.SIGCONT)
         names = [child.name for child in self.children.all if child.name.startswith("gw-")]
-        await self.children.end(left, names or ["-"])
+        await self.children.stop(left, names or ["-"])
         for entry in self.registrations:
             if entry.task:
                 entry.task.cancel()
-        await self.children.end(left)
+        await self.children.stop(left)
         for host in self.hosts:
             await host.close()
         for stream in self.streams:
@@ -469,7 +469,7 @@
             await asyncio.sleep(LOOK_EVERY)
         run["names"] = gateways(schedule.gateways)
         run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
-        run["ended"] = [child.name for child in fleet.children.ended()]
+        run["ended"] = [child.name for child in fleet.children.exited()]
         fleet.record.whole("tables", await fleet.tables())
         fleet.record.whole("links", fleet.links.seen())
         fleet.record.whole("run", run)
