--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -217,7 +217,7 @@
         click.echo(json.dumps(verdict.fields()) if as_json else "\n".join(campaign.lines(name, verdict)))
         if verdict.breaches and shrink:
 
-            async def breaks(faults: list[schedule.Planned]) -> bool:
+            async def breaks(faults: list[schedule.PlannedFault]) -> bool:
                 smaller = out / f"{at.name}-shrunk"
                 again = await campaign.run(found[name], seed, smaller, module, faults, before)
                 return bool(again.breaches)
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from lab.children import Child
-from lab.cluster.relay import Datagrams, Links
-from lab.cluster.schedule import Planned
+from lab.cluster.relay import DatagramRelay, Links
+from lab.cluster.schedule import PlannedFault
 
 KINDS = ("pause", "kill", "cut")
 VICTIM = 1  # the gateway of this rank
@@ -45,7 +45,7 @@
     ended: float = 0.0
     losses: list[Loss] = field(default_factory=list)
     links: Links | None = None
-    datagrams: Datagrams | None = None
+    datagrams: DatagramRelay | None = None
     expected: set[Child] = field(default_factory=set)  # that are gone because of it
     task: asyncio.Task[None] | None = None
 
@@ -59,10 +59,10 @@
         part = LASTS if self.span is None else self.span / SHARE
         return min(AFTER, part), min(LASTS, part)
 
-    def relay(self, peers: dict[str, tuple[str, int]], seed: int) -> Datagrams:
+    def relay(self, peers: dict[str, tuple[str, int]], seed: int) -> DatagramRelay:
         """Between the gateways, for a cut; to be asked for addresses before they start."""
         self.links = Links(seed)
-        self.datagrams = Datagrams(self.links, peers)
+        self.datagrams = DatagramRelay(self.links, peers)
         return self.datagrams
 
     async def play(
@@ -74,7 +74,7 @@
         await asyncio.sleep(after)
         self.began = time.monotonic()
         links = tuple((a, b) for other in others for a, b in ((name, other), (other, name)))
-        fault = Planned(self.kind, after, lasts, (name,), links, 0.0, 0.0)
+        fault = PlannedFault(self.kind, after, lasts, (name,), links, 0.0, 0.0)
         match self.kind:
             case "pause":
                 child.process.send_signal(signal.SIGSTOP)
@@ -82,14 +82,14 @@
                 self.expected.add(child)
                 child.process.kill()
             case "cut" if self.links:
-                self.links.begin(fault)
+                self.links.start_fault(fault)
         try:
             await asyncio.sleep(lasts)
         finally:
             if self.kind == "pause" and child.process.returncode is None:
                 child.process.send_signal(signal.SIGCONT)
             elif self.kind == "cut" and self.links:
-                self.links.end(fault)
+                self.links.end_fault(fault)
         if self.kind == "kill":
             await child.process.wait()
             await restart()
--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from . import checker, fleet, record
-from .schedule import Planned, Schedule, plan
+from .schedule import PlannedFault, Schedule, plan
 
-Test = Callable[[list[Planned]], Awaitable[bool]]  # whether these faults still break a rule
+Test = Callable[[list[PlannedFault]], Awaitable[bool]]  # whether these faults still break a rule
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
     seed: int
     out: Path
-    faults: list[Planned]
+    faults: list[PlannedFault]
     breaches: list[checker.Breach]
     figures: dict[str, Any]
 
@@ -55,7 +55,7 @@
     seed: int,
     out: Path,
     module: str = "birchdrum",
-    faults: list[Planned] | None = None,
+    faults: list[PlannedFault] | None = None,
     before: str | None = None,
 ) -> Verdict:
     """Play once into ``out``, which is emptied first. Raises ``fleet.Broken``."""
@@ -77,7 +77,7 @@
     return [*done, f"  {'; '.join(words)}"]
 
 
-async def shrink(faults: list[Planned], breaks: Test) -> list[Planned]:
+async def shrink(faults: list[PlannedFault], breaks: Test) -> list[PlannedFault]:
     """The fewest of the faults that still break a rule: halves first, then one after another (ddmin)."""
     parts = 2
     while len(faults) > 1:
--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .record import Event, Evidence
-from .schedule import Link, Planned
+from .schedule import Link, PlannedFault
 
 FOREVER = 1 << 62  # ms
 LOOK_BACK = 8_000  # ms before a word in which its cause may lie
@@ -41,7 +41,7 @@
 
     began: int
     ended: int
-    fault: Planned
+    fault: PlannedFault
 
     def meets(self, first: int, last: int) -> bool:
         """Whether it was on at any moment between."""
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -28,8 +28,8 @@
 
 from .guard import Guard
 from .record import Record, now_ms
-from .relay import Address, Datagrams, Links, Stream
-from .schedule import LIST, Planned, Schedule, gateways
+from .relay import Address, DatagramRelay, Links, Stream
+from .schedule import LIST, PlannedFault, Schedule, gateways
 
 READY_WITHIN = 60.0  # seconds for a fleet of thirty on a loaded machine
 AGREE_WITHIN = 30.0
@@ -108,7 +108,7 @@
         self.gateways = [Gateway(rank, found[3 * rank : 3 * rank + 3]) for rank in range(count)]
         self.service, self.operators = found[3 * count], found[3 * count + 1]
         self.agents = [found[3 * count + 2 + 2 * i : 3 * count + 4 + 2 * i] for i in range(schedule.agents)]
-        self.datagrams: Datagrams | None = None
+        self.datagrams: DatagramRelay | None = None
         self.streams: list[Stream] = []
         self.lists: dict[str, Address] = {}  # discovery as each gateway is to reach it
         self.meets: dict[str, Address] = {}  # the list service as each gateway is to reach it
@@ -126,7 +126,7 @@
         """The list service, hosts, agents and gateways; then clients. Raises Broken."""
         count = self.schedule.gateways
         shared = self.schedule.found != "fixed"
-        self.datagrams = Datagrams(self.links, {g.name: g.peer for g in self.gateways}, shared)
+        self.datagrams = DatagramRelay(self.links, {g.name: g.peer for g in self.gateways}, shared)
         words = ["registry", "serve", "--listen", _text(self.service), "--operators", _text(self.operators)]
         store = self.folder / "list.db"
         more: list[str | Path] = ["--store", store, "--new", "--settle", "0"]
@@ -326,7 +326,7 @@
 
     # -- faults ---------------------------------------------------------------------------------------------
 
-    async def play(self, faults: list[Planned], lasts: float) -> None:
+    async def play(self, faults: list[PlannedFault], lasts: float) -> None:
         """Do all of them in their time, and wait until the schedule is over."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -343,15 +343,15 @@
                 self._note("ended", number, late, fault)
         await asyncio.sleep(max(0.0, began + lasts - loop.time()))
 
-    def _note(self, step: str, number: int, late: int, fault: Planned) -> None:
+    def _note(self, step: str, number: int, late: int, fault: PlannedFault) -> None:
         self.record.line("faults", step=step, number=number, late_ms=late, fault=fault.fields())
 
-    def _chosen(self, fault: Planned) -> list[Gateway]:
+    def _chosen(self, fault: PlannedFault) -> list[Gateway]:
         return [gateway for gateway in self.gateways if gateway.name in fault.nodes]
 
-    async def _do(self, fault: Planned) -> None:
+    async def _do(self, fault: PlannedFault) -> None:
         if fault.links:
-            self.links.begin(fault)
+            self.links.start_fault(fault)
         for gateway in self._chosen(fault):
             child = gateway.child
             if child is None or (gateway.down and fault.what != "twin"):
@@ -383,9 +383,9 @@
         if elder.process.returncode is None:
             elder.process.terminate()
 
-    async def _undo(self, fault: Planned) -> None:
+    async def _undo(self, fault: PlannedFault) -> None:
         if fault.links:
-            self.links.end(fault)
+            self.links.end_fault(fault)
         for gateway in self._chosen(fault):
             child = gateway.child
             match fault.what:
@@ -437,7 +437,7 @@
 
 async def play(
     schedule: Schedule,
-    faults: list[Planned],
+    faults: list[PlannedFault],
     seed: int,
     out: Path,
     module: str = "birchdrum",
--- a/lab/cluster/record.py
+++ b/lab/cluster/record.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from .schedule import Planned, planned
+from .schedule import PlannedFault, planned
 
 
 def now_ms() -> int:
@@ -61,7 +61,7 @@
     """What the files tell. ``run`` has began, over and agreed (ms; None: never), gateways and seed."""
 
     run: dict[str, Any]
-    faults: list[tuple[int, int | None, Planned]]  # began, ended (ms; None: it never did), what
+    faults: list[tuple[int, int | None, PlannedFault]]  # began, ended (ms; None: it never did), what
     events: list[Event]
     clients: list[dict[str, Any]]
     hosts: list[dict[str, Any]]
@@ -88,7 +88,7 @@
 def read(folder: Path) -> Evidence:
     """The files of a run."""
     run = json.loads((folder / "run.json").read_text())
-    began: dict[int, tuple[int, Planned]] = {}
+    began: dict[int, tuple[int, PlannedFault]] = {}
     ended: dict[int, int] = {}
     for line in _lines(folder / "faults.jsonl"):
         if line["step"] == "begun":
--- a/lab/cluster/relay.py
+++ b/lab/cluster/relay.py
@@ -18,7 +18,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from .schedule import Link, Planned
+from .schedule import Link, PlannedFault
 
 Address = tuple[str, int]
 SIZE_MOST = 2_048  # bytes of a datagram that is read whole
@@ -31,7 +31,7 @@
     """One direction of a link and the faults that it is under."""
 
     draw: random.Random
-    faults: list[Planned] = field(default_factory=list)
+    faults: list[PlannedFault] = field(default_factory=list)
     seen: Counter[str] = field(default_factory=Counter)
     due: float = 0.0  # when a throttled link is free again
 
@@ -82,12 +82,12 @@
             self.all[link] = Direction(random.Random(number))
         return self.all[link]
 
-    def begin(self, fault: Planned) -> None:
+    def start_fault(self, fault: PlannedFault) -> None:
         """From now on."""
         for link in fault.links:
             self.at(link).faults.append(fault)
 
-    def end(self, fault: Planned) -> None:
+    def end_fault(self, fault: PlannedFault) -> None:
         """It is over."""
         for link in fault.links:
             with suppress(ValueError):
@@ -98,7 +98,7 @@
         return {f"{a}>{b}": dict(direction.seen) for (a, b), direction in self.all.items()}
 
 
-class Datagrams:
+class DatagramRelay:
     """The sockets between gateways."""
 
     def __init__(self, links: Links, peers: dict[str, Address], shared: bool = False) -> None:
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedFault:
     """A fault as it will be done: seconds from the schedule's start, nodes and directed links by name."""
 
     what: str
@@ -107,10 +107,10 @@
         return f"at {self.at:g} s{span}: {self.what}{amount} {where}{more}"
 
 
-def planned(fields: dict[str, Any]) -> Planned:
+def planned(fields: dict[str, Any]) -> PlannedFault:
     """The opposite of ``Planned.fields``."""
     links = tuple((str(a), str(b)) for a, b in fields["links"])
-    return Planned(**(fields | {"links": links, "nodes": tuple(fields["nodes"])}))
+    return PlannedFault(**(fields | {"links": links, "nodes": tuple(fields["nodes"])}))
 
 
 class Impossible(Exception):
@@ -233,11 +233,11 @@
     return tuple(found)
 
 
-def plan(schedule: Schedule, seed: int) -> list[Planned]:
+def plan(schedule: Schedule, seed: int) -> list[PlannedFault]:
     """All faults as they will be done, in the order of their beginning."""
     names = gateways(schedule.gateways)
     done = [
-        Planned(
+        PlannedFault(
             fault.what,
             fault.at.base / 1e6,
             fault.lasts.base / 1e6,
@@ -261,5 +261,5 @@
             nodes = _nodes(draw.nodes, names) if draw.nodes else (() if on_link else (a,))
             links = _links(draw.links, names) if draw.links else (((a, b),) if on_link else ())
             times = between(draw.at), between(draw.lasts)
-            done.append(Planned(draw.what, *times, nodes, links, between(draw.amount), between(draw.by)))
+            done.append(PlannedFault(draw.what, *times, nodes, links, between(draw.amount), between(draw.by)))
     return sorted(done, key=lambda fault: fault.at)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -57,7 +57,7 @@
             evidence.run["ended"].append("gw-0")
         case "unheard unknowing":
             links = tuple(("gw-1", other) for other in ("gw-0", "gw-2", "gw-3", "gw-4"))
-            fault = schedule.Planned("cut", 0.0, 0.0, (), links, 0.0, 0.0)
+            fault = schedule.PlannedFault("cut", 0.0, 0.0, (), links, 0.0, 0.0)
             evidence.faults = [(began, None, fault)]
         case "life went back":
             first = next(e for e in evidence.events if e.name == "member_changed" and e.node == "gw-0")
@@ -68,7 +68,7 @@
                 record.Event(over, "gw-0", "member_changed", late),
             ]
         case "twins":
-            fault = schedule.Planned("twin", 0.0, 0.0, ("gw-1",), (), 0.0, 0.0)
+            fault = schedule.PlannedFault("twin", 0.0, 0.0, ("gw-1",), (), 0.0, 0.0)
             evidence.faults.append((began, None, fault))
 
 
@@ -212,12 +212,12 @@
 
 
 def test_a_schedule_shrinks_to_the_faults_that_still_break_a_rule():
-    def fault(number: int) -> schedule.Planned:
-        return schedule.Planned("kill", float(number), 1.0, (f"gw-{number}",), (), 0.0, 0.0)
+    def fault(number: int) -> schedule.PlannedFault:
+        return schedule.PlannedFault("kill", float(number), 1.0, (f"gw-{number}",), (), 0.0, 0.0)
 
     tried = []
 
-    async def breaks(faults: list[schedule.Planned]) -> bool:
+    async def breaks(faults: list[schedule.PlannedFault]) -> bool:
         tried.append(len(faults))
         return {2.0, 7.0} <= {fault.at for fault in faults}
 
