--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -207,14 +207,16 @@
         try:
             found[name] = schedule.load(schedule.shipped().get(name, Path(name)))
             if gateways:
-                found[name] = schedule.sized(found[name], gateways)
-        except schedule.Impossible as wrong:
+                found[name] = schedule.with_gateway_count(found[name], gateways)
+        except schedule.ScheduleError as wrong:
             raise Ended(WRONG, *wrong.lines) from None
 
     async def one(name: str, seed: int) -> bool:
         at = out / f"{Path(name).stem}-{seed}"
         verdict = await campaign.run(found[name], seed, at, module, None, before)
-        click.echo(json.dumps(verdict.fields()) if as_json else "\n".join(campaign.lines(name, verdict)))
+        click.echo(
+            json.dumps(verdict.fields()) if as_json else "\n".join(campaign.summary_lines(name, verdict))
+        )
         if verdict.breaches and shrink:
 
             async def breaks(faults: list[schedule.PlannedFault]) -> bool:
@@ -231,8 +233,8 @@
         return DONE if all(kept) else FAILED
 
     try:
-        sys.exit(asyncio.run(campaign.until_told(all_of_them())))
-    except (fleet.Broken, OSError) as wrong:
+        sys.exit(asyncio.run(campaign.run_until_signalled(all_of_them())))
+    except (fleet.FleetError, OSError) as wrong:
         raise Ended(NOT_DONE, str(wrong)) from None
 
 
@@ -374,7 +376,7 @@
 
     wanted = schedule.Schedule(gateways=gateways, hosts=4, customers=0)
     try:
-        for line in asyncio.run(measured.pairs(wanted, count, rate, span)):
+        for line in asyncio.run(measured.measure_pairs(wanted, count, rate, span)):
             click.echo(line)
-    except (fleet.Broken, OSError) as wrong:
+    except (fleet.FleetError, OSError) as wrong:
         raise Ended(NOT_DONE, str(wrong)) from None
--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -58,7 +58,7 @@
     faults: list[PlannedFault] | None = None,
     before: str | None = None,
 ) -> Verdict:
-    """Play once into ``out``, which is emptied first. Raises ``fleet.Broken``."""
+    """Play once into ``out``, which is emptied first. Raises ``fleet.FleetError``."""
     shutil.rmtree(out, ignore_errors=True)
     planned = plan(schedule, seed) if faults is None else faults
     await fleet.play(schedule, planned, seed, out, module, before)
@@ -68,7 +68,7 @@
     return verdict
 
 
-def lines(name: str, verdict: Verdict) -> list[str]:
+def summary_lines(name: str, verdict: Verdict) -> list[str]:
     """For people."""
     done = [f"{name}, seed {verdict.seed}: {len(verdict.breaches)} rules broken, files in {verdict.out}"]
     done += [f"  {fault}" for fault in verdict.faults] if verdict.breaches else []
@@ -94,7 +94,7 @@
     return faults
 
 
-async def until_told(work: Awaitable[int]) -> int:
+async def run_until_signalled(work: Awaitable[int]) -> int:
     """Have it end in order where we are told to end: 130."""
     loop = asyncio.get_running_loop()
     task = asyncio.ensure_future(work)
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -67,7 +67,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def pairs(schedule: Schedule, count: int, rate: float, seconds: float) -> list[str]:
+async def measure_pairs(schedule: Schedule, count: int, rate: float, seconds: float) -> list[str]:
     """Lines of a table. Both fleets are up all the time and are loaded in turn, so that what the machine does
     meanwhile falls on both alike."""
     without = msgspec.structs.replace(schedule, membership=False)
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -46,7 +46,7 @@
 DEMANDS = (0.5, 0.9, 1.6)  # of its quota, customer by customer
 
 
-class Broken(Exception):
+class FleetError(Exception):
     """The fleet can't go on; the text says why."""
 
 
@@ -271,9 +271,9 @@
         ends = time.monotonic() + within
         while not await holds():
             for child in self.children.exited():
-                raise Broken(await child.exit_reason())
+                raise FleetError(await child.exit_reason())
             if time.monotonic() > ends:
-                raise Broken(f"{what} did not come about within {within:g} s")
+                raise FleetError(f"{what} did not come about within {within:g} s")
             await asyncio.sleep(LOOK_EVERY)
 
     async def end(self) -> None:
@@ -425,7 +425,7 @@
     words = ["git", "archive", "--format=tar", revision]
     done = subprocess.run(words, cwd=root, capture_output=True, check=False)
     if done.returncode:
-        raise Broken(f"revision {revision}: {done.stderr.decode('utf-8', 'replace').strip()}")
+        raise FleetError(f"revision {revision}: {done.stderr.decode('utf-8', 'replace').strip()}")
     with tarfile.open(fileobj=io.BytesIO(done.stdout)) as tree:
         tree.extractall(folder, filter="data")
     return folder
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -113,7 +113,7 @@
     return PlannedFault(**(fields | {"links": links, "nodes": tuple(fields["nodes"])}))
 
 
-class Impossible(Exception):
+class ScheduleError(Exception):
     """A schedule that can't be played; ``lines`` are all its mistakes."""
 
     def __init__(self, lines: Iterable[str]) -> None:
@@ -127,26 +127,26 @@
 
 
 def load(file: Path) -> Schedule:
-    """A file's schedule; raises Impossible with all that is wrong."""
+    """A file's schedule; raises ScheduleError with all that is wrong."""
     try:
         raw = tomllib.loads(file.read_text())
     except OSError as wrong:
-        raise Impossible([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
+        raise ScheduleError([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise Impossible([f"{file}: is no whole TOML: {wrong}"]) from None
+        raise ScheduleError([f"{file}: is no whole TOML: {wrong}"]) from None
     schedule, mistakes = typed(raw, Schedule)
     if schedule is not None:
         mistakes = list(_relations(schedule))
     if mistakes or schedule is None:
-        raise Impossible(f"{file}: {mistake}" for mistake in mistakes)
+        raise ScheduleError(f"{file}: {mistake}" for mistake in mistakes)
     return schedule
 
 
-def sized(schedule: Schedule, count: int) -> Schedule:
-    """With another number of gateways; raises Impossible where its faults name others."""
+def with_gateway_count(schedule: Schedule, count: int) -> Schedule:
+    """With another number of gateways; raises ScheduleError where its faults name others."""
     done = msgspec.structs.replace(schedule, gateways=count)
     if mistakes := list(_relations(done)):
-        raise Impossible(str(mistake) for mistake in mistakes)
+        raise ScheduleError(str(mistake) for mistake in mistakes)
     return done
 
 
