--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -77,7 +77,8 @@
     """One gateway's addresses, and how its process stands."""
 
     def __init__(self, rank: int, addresses: list[Address]) -> None:
-        self.rank, self.name = rank, f"gw-{rank}"
+        self.rank = rank
+        self.name = f"gw-{rank}"
         self.listen, self.control, self.peer = addresses
         self.child: Child | None = None
         self.twin: Child | None = None
@@ -96,7 +97,10 @@
     def __init__(
         self, schedule: Schedule, seed: int, out: Path, folder: Path, module: str, before: str | None
     ) -> None:
-        self.schedule, self.seed, self.folder, self.module = schedule, seed, folder, module
+        self.schedule = schedule
+        self.seed = seed
+        self.folder = folder
+        self.module = module
         self.before = _checkout(before, folder / "before") if before else None
         self.record = Record(out)
         self.children = Children(out, signal.SIGKILL)
@@ -106,7 +110,8 @@
         ]
         count = schedule.gateways
         self.gateways = [Gateway(rank, found[3 * rank : 3 * rank + 3]) for rank in range(count)]
-        self.service, self.operators = found[3 * count], found[3 * count + 1]
+        self.service = found[3 * count]
+        self.operators = found[3 * count + 1]
         self.agents = [found[3 * count + 2 + 2 * i : 3 * count + 4 + 2 * i] for i in range(schedule.agents)]
         self.datagrams: DatagramRelay | None = None
         self.streams: list[Stream] = []
@@ -124,16 +129,24 @@
 
     async def start(self) -> None:
         """The list service, hosts, agents and gateways; then clients. Raises Broken."""
-        count = self.schedule.gateways
         shared = self.schedule.found != "fixed"
         self.datagrams = DatagramRelay(self.links, {g.name: g.peer for g in self.gateways}, shared)
+        await self._start_list_service()
+        parts = np.random.SeedSequence(self.seed).spawn(self.schedule.hosts + 1)
+        await self._start_hosts(parts[: self.schedule.hosts])
+        lists = await self._start_agents()
+        await self._start_gateways(lists)
+        self._start_clients(parts[-1])
+
+    async def _start_list_service(self) -> None:
         words = ["registry", "serve", "--listen", _text(self.service), "--operators", _text(self.operators)]
         store = self.folder / "list.db"
         more: list[str | Path] = ["--store", store, "--new", "--settle", "0"]
         await self.children.start(LIST, *words, *more, environment=self.environment)
-        parts = np.random.SeedSequence(self.seed).spawn(self.schedule.hosts + 1)
+
+    async def _start_hosts(self, parts: list[np.random.SeedSequence]) -> None:
         machine = Machine(slots=8, work={b"reading": 0.01, b"order": 0.02}, cold_from=0.5, warm_within=3.0)
-        for i, part in enumerate(parts[: self.schedule.hosts]):
+        for i, part in enumerate(parts):
             host = await Host(f"host-{i}", machine, np.random.default_rng(part)).listen()
             host.observer = self._observe_host(host.name)
             self.hosts.append(host)
@@ -142,13 +155,18 @@
         await self._wait(READY_WITHIN, self._registered, "the list service")
         for entry in self.registrations:
             entry.start()
+
+    async def _start_agents(self) -> list[Address]:
         lists = []
         for i, (listen, operators) in enumerate(self.agents):
             relayed = await self._stream(f"agent-{i}", self.service)
             words = ["registry", "agent", "--listen", _text(listen), "--operators", _text(operators)]
-            more = ["--follow", _text(relayed), "--keep", self.folder / f"agent-{i}.list"]
+            more: list[str | Path] = ["--follow", _text(relayed), "--keep", self.folder / f"agent-{i}.list"]
             await self.children.start(f"agent-{i}", *words, *more, environment=self.environment)
             lists.append(listen)
+        return lists
+
+    async def _start_gateways(self, lists: list[Address]) -> None:
         turn = asyncio.Semaphore(STARTS_AT_ONCE)
         for gateway in self.gateways:
             near = lists[gateway.rank] if gateway.rank < len(lists) else self.service
@@ -165,14 +183,17 @@
                 await self._wait(READY_WITHIN, lambda: self._ready(gateway), gateway.name)
 
         await asyncio.gather(*map(begin, self.gateways))
-        if self.schedule.membership and not self.before and count > 1:
+        if self.schedule.membership and not self.before and len(self.gateways) > 1:
             await self._wait(AGREE_WITHIN, self.agreed, "an equal view of all gateways")
+
+    def _start_clients(self, part: np.random.SeedSequence) -> None:
+        count = len(self.gateways)
         front = Front([gateway.listen for gateway in self.gateways])
         customers = [
             Customer(100 + i, PLAN, RATE * DEMANDS[i % len(DEMANDS)], RATE, BURST, i % count, min(3, count))
             for i in range(self.schedule.customers)
         ]
-        self.clients = Clients(front, customers, KINDS, parts[-1])
+        self.clients = Clients(front, customers, KINDS, part)
         self.clients.observer = self._observe_client
         self.clients.start()
 
@@ -189,6 +210,24 @@
         twin: list[Address] | None = None,
         cluster: str | None = CLUSTER,
     ) -> None:
+        listen, control = twin or (gateway.listen, gateway.control)
+        values = {
+            "name": gateway.name,
+            "listen": _text(listen),
+            "discovery": _text(discovery),
+            "control": _text(control),
+            "log": {"form": "json"},
+            "fleet": self._fleet_values(gateway, cluster),
+            "hosts": {"cold_from": 0.5, "warm_within": "3s"},
+            "classes": [
+                {"name": "reading", "effect": "repeatable", "aim": "500ms", "deadline": "2s"},
+                {"name": "order", "effect": "by_key", "aim": "1s", "deadline": "3s", "repeat_window": "5s"},
+            ],
+            "plans": [{"name": PLAN, "rate": RATE, "burst": BURST}],
+        }
+        (self.folder / f"{name}.toml").write_text(tomlkit.dumps(values))
+
+    def _fleet_values(self, gateway: Gateway, cluster: str | None) -> dict[str, Any]:
         assert self.datagrams is not None
         fleet: dict[str, Any] = {"rank": gateway.rank, "gateways": len(self.gateways), "intake": 100.0}
         if self.schedule.found == "fixed":
@@ -206,22 +245,7 @@
             fleet["meet"] = _text(self.meets[gateway.name])
         if cluster and self.schedule.membership:
             fleet["cluster"] = cluster
-        listen, control = twin or (gateway.listen, gateway.control)
-        values = {
-            "name": gateway.name,
-            "listen": _text(listen),
-            "discovery": _text(discovery),
-            "control": _text(control),
-            "log": {"form": "json"},
-            "fleet": fleet,
-            "hosts": {"cold_from": 0.5, "warm_within": "3s"},
-            "classes": [
-                {"name": "reading", "effect": "repeatable", "aim": "500ms", "deadline": "2s"},
-                {"name": "order", "effect": "by_key", "aim": "1s", "deadline": "3s", "repeat_window": "5s"},
-            ],
-            "plans": [{"name": PLAN, "rate": RATE, "burst": BURST}],
-        }
-        (self.folder / f"{name}.toml").write_text(tomlkit.dumps(values))
+        return fleet
 
     def _stands_for(self, name: str) -> Address:
         """The relay's address for whoever sends to a gateway."""
@@ -356,25 +380,28 @@
             child = gateway.child
             if child is None or (gateway.down and fault.what != "twin"):
                 continue
-            match fault.what:
-                case "pause":
-                    gateway.stopped += 1
-                    child.process.send_signal(signal.SIGSTOP)
-                case "kill" | "move":
-                    gateway.down = True
-                    child.process.kill()
-                    await child.process.wait()
-                case "leave":
-                    gateway.down = True
-                    child.process.terminate()
-                case "twin":
-                    name = f"{gateway.name}-twin"
-                    own: list[Address] = [("127.0.0.1", port) for port in ports.allocate(2)]
-                    self._write(name, gateway, self.service, own)
-                    gateway.twin = await self.run(gateway, "-twin")
-                case "upgrade":
-                    await self.run(gateway)
-                    self.tasks.append(asyncio.get_running_loop().create_task(self._end_elder(gateway, child)))
+            await self._do_to(gateway, child, fault.what)
+
+    async def _do_to(self, gateway: Gateway, child: Child, what: str) -> None:
+        match what:
+            case "pause":
+                gateway.stopped += 1
+                child.process.send_signal(signal.SIGSTOP)
+            case "kill" | "move":
+                gateway.down = True
+                child.process.kill()
+                await child.process.wait()
+            case "leave":
+                gateway.down = True
+                child.process.terminate()
+            case "twin":
+                name = f"{gateway.name}-twin"
+                own: list[Address] = [("127.0.0.1", port) for port in ports.allocate(2)]
+                self._write(name, gateway, self.service, own)
+                gateway.twin = await self.run(gateway, "-twin")
+            case "upgrade":
+                await self.run(gateway)
+                self.tasks.append(asyncio.get_running_loop().create_task(self._end_elder(gateway, child)))
 
     async def _end_elder(self, gateway: Gateway, elder: Child) -> None:
         """The platform's part of an upgrade: SIGTERM once the next process says yes."""
@@ -387,22 +414,25 @@
         if fault.links:
             self.links.end_fault(fault)
         for gateway in self._chosen(fault):
-            child = gateway.child
-            match fault.what:
-                case "pause" if gateway.stopped:
-                    gateway.stopped -= 1
-                    if not gateway.stopped and child and not gateway.down:
-                        child.process.send_signal(signal.SIGCONT)
-                case "kill" | "leave" | "move" if gateway.down and child:
-                    await child.process.wait()
-                    gateway.stopped = 0
-                    if fault.what == "move" and self.datagrams:
-                        gateway.peer = "127.0.0.1", ports.allocate(1)[0]
-                        self.datagrams.move(gateway.name, gateway.peer)
-                        self._write(gateway.name, gateway, self.lists[gateway.name])
-                    await self.run(gateway)
-                case "twin" if gateway.twin:
-                    gateway.twin.process.terminate()
+            await self._undo_to(gateway, fault.what)
+
+    async def _undo_to(self, gateway: Gateway, what: str) -> None:
+        child = gateway.child
+        match what:
+            case "pause" if gateway.stopped:
+                gateway.stopped -= 1
+                if not gateway.stopped and child and not gateway.down:
+                    child.process.send_signal(signal.SIGCONT)
+            case "kill" | "leave" | "move" if gateway.down and child:
+                await child.process.wait()
+                gateway.stopped = 0
+                if what == "move" and self.datagrams:
+                    gateway.peer = "127.0.0.1", ports.allocate(1)[0]
+                    self.datagrams.move(gateway.name, gateway.peer)
+                    self._write(gateway.name, gateway, self.lists[gateway.name])
+                await self.run(gateway)
+            case "twin" if gateway.twin:
+                gateway.twin.process.terminate()
 
     async def tables(self) -> dict[str, Any]:
         """What each that runs holds now."""
@@ -435,6 +465,22 @@
     return "{}:{}".format(*address)
 
 
+def _allow_descriptors(wanted: int) -> None:
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft < wanted:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, hard), hard))
+
+
+async def _agreed_ms(fleet: Fleet, within: float) -> int | None:
+    ends = time.monotonic() + within
+    agreed: int | None = None
+    while time.monotonic() < ends and agreed is None:
+        if await fleet.agreed():
+            agreed = now_ms()
+        await asyncio.sleep(LOOK_EVERY)
+    return agreed
+
+
 async def play(
     schedule: Schedule,
     faults: list[PlannedFault],
@@ -445,10 +491,7 @@
 ) -> None:
     """One run of a fleet under these faults; its files are in ``out``. With ``before`` gateways begin as that
     revision, and what is started later is of today. Raises Broken."""
-    wanted = SPARE + schedule.gateways * schedule.gateways
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, hard), hard))
+    _allow_descriptors(SPARE + schedule.gateways * schedule.gateways)
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cluster-"))
     guard = Guard(folder)
     run: dict[str, Any] = {"seed": seed, "gateways": schedule.gateways, "agreed": None}
@@ -462,11 +505,8 @@
         run["began"] = now_ms()
         await fleet.play(faults, schedule.lasts.base / 1e6)
         run["over"] = now_ms()
-        ends = time.monotonic() + schedule.settle.base / 1e6
-        while schedule.membership and time.monotonic() < ends and run["agreed"] is None:
-            if await fleet.agreed():
-                run["agreed"] = now_ms()
-            await asyncio.sleep(LOOK_EVERY)
+        if schedule.membership:
+            run["agreed"] = await _agreed_ms(fleet, schedule.settle.base / 1e6)
         run["names"] = gateways(schedule.gateways)
         run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
         run["ended"] = [child.name for child in fleet.children.exited()]
