--- a/lab/children.py
+++ b/lab/children.py
@@ -1,4 +1,4 @@
-"""Processes that end with the one that started them, whatever ends that."""
+"""Child processes that are terminated when their parent exits, even if it is killed."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from pathlib import Path
 
 PR_SET_PDEATHSIG = 1  # prctl(2)
-LINES_KEPT = 5  # of what a child said last, to tell why it ended
+LAST_LINES_MAX = 5  # of a child's standard error, for reporting why it exited
 
 libc = ctypes.CDLL(None, use_errno=True)
 
 
-def _end_with_parent(word: int) -> None:
-    libc.prctl(PR_SET_PDEATHSIG, word)
+def _set_parent_death_signal(signal_number: int) -> None:
+    libc.prctl(PR_SET_PDEATHSIG, signal_number)
 
 
 class Child:
-    """One process of ours; its standard error goes to a file, and its last lines are kept."""
+    """One child process; its standard error goes to a log file, and its last lines are kept in memory."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
         self.name, self.process = name, process
-        self.lines: deque[str] = deque(maxlen=LINES_KEPT)
+        self.lines: deque[str] = deque(maxlen=LAST_LINES_MAX)
         self.reading = asyncio.get_running_loop().create_task(self._read(log))
 
     async def _read(self, log: Path) -> None:
@@ -39,55 +39,57 @@
                 self.lines.append(line.decode("utf-8", "replace").strip())
 
     async def exit_reason(self) -> str:
-        """Its exit code and last word, once it has ended."""
+        """Waits for the process to exit; returns its exit code and the last line of its standard error."""
         code = await self.process.wait()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(asyncio.shield(self.reading), 1.0)
-        return f"{self.name} ended with {code}: {self.lines[-1] if self.lines else 'without a word'}"
+        return f"{self.name} ended with {code}: {self.lines[-1] if self.lines else 'no output'}"
 
 
 class Children:
-    """All of them, ended in the reverse order of their start."""
+    """The child processes of this one, stopped in the reverse order of their start."""
 
-    def __init__(self, folder: Path, last_word: signal.Signals = signal.SIGTERM) -> None:
-        """Logs go to ``folder``; ``last_word`` is what the kernel says to each where we end without a word.
-        A process that is stopped takes none but SIGKILL."""
-        self.folder, self.last_word = folder, last_word
+    def __init__(self, folder: Path, parent_death_signal: signal.Signals = signal.SIGTERM) -> None:
+        """Logs go to ``folder``. The kernel sends ``parent_death_signal`` to each child if this process dies
+        without stopping them. A child paused by SIGSTOP reacts to SIGKILL only."""
+        self.folder, self.parent_death_signal = folder, parent_death_signal
         self.all: list[Child] = []
 
     async def start(
-        self, name: str, *words: str | Path, environment: dict[str, str], module: str = "birchdrum"
+        self, name: str, *arguments: str | Path, environment: dict[str, str], module: str = "birchdrum"
     ) -> Child:
-        """Run ``birchdrum`` once more with these words. It gets no Ctrl-C of the terminal: we end it."""
+        """Starts ``python -m module`` with these arguments, in a session of its own: Ctrl-C in the terminal
+        does not reach it, so this process controls when it stops."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             module,
-            *map(str, words),
+            *map(str, arguments),
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             env=environment,
             start_new_session=True,
-            preexec_fn=functools.partial(_end_with_parent, self.last_word),
+            preexec_fn=functools.partial(_set_parent_death_signal, self.parent_death_signal),
         )
         child = Child(name, process, self.folder / f"{name}.log")
         self.all.append(child)
         return child
 
     def exited(self) -> list[Child]:
-        """Those that are gone."""
+        """Children that have exited."""
         return [child for child in self.all if child.process.returncode is not None]
 
-    async def stop(self, within: Callable[[], float], names: Sequence[str] = ()) -> None:
-        """SIGTERM, and SIGKILL for who is there after ``within`` seconds; all, or those of these names."""
-        chosen = [child for child in reversed(self.all) if not names or child.name in names]
-        for child in chosen:
+    async def stop(self, remaining: Callable[[], float], names: Sequence[str] = ()) -> None:
+        """Sends SIGTERM, then SIGKILL to those still running after ``remaining()`` seconds. Applies to the
+        children of these names, or to all."""
+        selected = [child for child in reversed(self.all) if not names or child.name in names]
+        for child in selected:
             if child.process.returncode is None:
                 child.process.terminate()
-        for child in chosen:
+        for child in selected:
             try:
-                await asyncio.wait_for(child.process.wait(), max(0.0, within()))
+                await asyncio.wait_for(child.process.wait(), max(0.0, remaining()))
             except TimeoutError:
                 child.process.kill()
                 await child.process.wait()
