--- a/lab/ports.py
+++ b/lab/ports.py
@@ -1,7 +1,7 @@
-"""Ports on loopback for what is started next, chosen where the system gives none away by itself.
+"""Allocates loopback ports for processes about to be started, outside the system's ephemeral port range.
 
-Between the choice and its use nobody else may choose the same: processes of one user take turns by a counter
-in a small file, so that a port comes round again only after all others of the range.
+No other process may be given the same port between its allocation and its use. Processes of one user
+therefore share a counter in a small file, and a port is reused only after all others of the range.
 """
 
 from __future__ import annotations
@@ -13,55 +13,57 @@
 import socket
 from pathlib import Path
 
-RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-LEAST = 10_000
-# Not in $TMPDIR: programs with different ones share the machine's ports all the same.
-COUNTER = Path("/tmp") / f"birchdrum-ports-{os.getuid()}"
-draw = random.SystemRandom()
+EPHEMERAL_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+PORT_MIN = 10_000
+# Not in $TMPDIR: processes with different TMPDIRs still share the machine's ports.
+COUNTER_FILE = Path("/tmp") / f"birchdrum-ports-{os.getuid()}"
+random_source = random.SystemRandom()
 
 
-def below() -> int:
-    """The first port that the system may give to outgoing connections: one from there on could be taken
-    between the choice and its use by any connection on this machine."""
+def port_limit() -> int:
+    """Exclusive upper bound of the ports to allocate: the first ephemeral port of the system, as any outgoing
+    connection on this machine could take a higher port between its allocation and its use. Where that leaves
+    1000 ports or fewer, all ports up to 65535 are used."""
     try:
-        first = int(RANGE.read_text().split()[0])
+        first = int(EPHEMERAL_PORT_RANGE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
         first = 32_768
-    return first if first > LEAST + 1_000 else 65_536
+    return first if first > PORT_MIN + 1_000 else 65_536
 
 
-def _turns(count: int, size: int) -> int:
-    """The first of so many numbers below ``size`` that nobody else gets; where no file can be kept, any."""
+def _reserve(count: int, size: int) -> int:
+    """Reserves ``count`` consecutive numbers modulo ``size`` and returns the first, or a random number if
+    the counter file can't be used."""
     with contextlib.suppress(OSError):
-        handle = os.open(COUNTER, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW, 0o600)
+        descriptor = os.open(COUNTER_FILE, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW, 0o600)
         try:
-            fcntl.flock(handle, fcntl.LOCK_EX)
-            text = os.pread(handle, 32, 0).strip()
-            first = int(text) if text.isdigit() else draw.randrange(size)
-            os.pwrite(handle, b"%-20d\n" % ((first + count) % size), 0)
+            fcntl.flock(descriptor, fcntl.LOCK_EX)
+            text = os.pread(descriptor, 32, 0).strip()
+            first = int(text) if text.isdigit() else random_source.randrange(size)
+            os.pwrite(descriptor, b"%-20d\n" % ((first + count) % size), 0)
             return first % size
         finally:
-            os.close(handle)
-    return draw.randrange(size)
+            os.close(descriptor)
+    return random_source.randrange(size)
 
 
 def allocate(count: int) -> list[int]:
-    """So many different ports that nobody listens at now, for TCP nor UDP."""
-    found: list[int] = []
-    size = below() - LEAST
-    while len(found) < count:
-        wanted = count - len(found)
-        first = _turns(wanted, size)
-        ports = [LEAST + (first + i) % size for i in range(wanted)]
-        found += [port for port in ports if port not in found and _is_free(port)]
-    return found
+    """Returns ``count`` different ports on which nothing listens now, neither by TCP nor by UDP."""
+    allocated: list[int] = []
+    size = port_limit() - PORT_MIN
+    while len(allocated) < count:
+        missing = count - len(allocated)
+        first = _reserve(missing, size)
+        candidates = [PORT_MIN + (first + i) % size for i in range(missing)]
+        allocated += [port for port in candidates if port not in allocated and _is_free(port)]
+    return allocated
 
 
 def _is_free(port: int) -> bool:
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(socket.AF_INET, kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(socket.AF_INET, socket_type) as sock:
             try:
-                probe.bind(("127.0.0.1", port))
+                sock.bind(("127.0.0.1", port))
             except OSError:
                 return False
     return True
