--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -52,7 +52,8 @@
     """One run's evidence, asked in different ways."""
 
     def __init__(self, evidence: Evidence) -> None:
-        self.e, self.zero = evidence, evidence.run["began"]
+        self.e = evidence
+        self.zero = evidence.run["began"]
         self.spans = [
             Span(began, FOREVER if ended is None else ended, fault) for began, ended, fault in evidence.faults
         ]
@@ -100,6 +101,7 @@
             self.nobody_who_is_there_is_gone,
             self.the_dead_are_found,
             self.dead_directions_are_named,
+            self.whole_directions_are_not_named,
             self.views_are_equal_at_the_end,
             self.standing_still_is_noticed_first,
             self.who_is_not_heard_says_so,
@@ -139,16 +141,18 @@
                     hurt = any(name in link for link in self._dead(span.began, last))
                     if name == about or hurt or self._away(name, span.began, last):
                         continue
-                    said = self._said("member_changed", span.began - LOOK_BACK, last)
-                    if not any(
-                        event.node == name
-                        and f"gw-{event.fields['member']}" == about
-                        and event.fields["state"] in ("gone", "left")
-                        for event in said
-                    ):
+                    if not self._found_dead(name, about, span.began - LOOK_BACK, last):
                         text = f"{name} did not find within {DETECT / 1000:g} s that {about} is dead"
                         yield self._breach("death not found", last, text)
 
+    def _found_dead(self, name: str, about: str, first: int, last: int) -> bool:
+        return any(
+            event.node == name
+            and f"gw-{event.fields['member']}" == about
+            and event.fields["state"] in ("gone", "left")
+            for event in self._said("member_changed", first, last)
+        )
+
     def dead_directions_are_named(self) -> Iterator[Breach]:
         """A direction that is cut while its opposite lives is named, and no more once it is whole."""
         for span in self._on(("cut",), 0, FOREVER):
@@ -166,6 +170,8 @@
                 if not any((e.fields["from"], e.fields["to"]) == ends and e.fields["down"] for e in said):
                     text = f"nobody named {a}>{b} dead within {NAME / 1000:g} s"
                     yield self._breach("dead direction not named", last, text)
+
+    def whole_directions_are_not_named(self) -> Iterator[Breach]:
         whole = not self._dead(self.over, self.over + 1)
         for name, view in self.e.tables.items():
             if view and view["links_down"] and whole and not view["yielded"]:
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -30,8 +30,10 @@
 
 async def _load(fleet: Fleet, rate: float, seconds: float) -> int:
     """So many requests a second to the first gateway, of customers within quotas; how many were sent."""
-    loop, gateway = asyncio.get_running_loop(), fleet.gateways[0]
-    ends, sent = loop.time() + seconds, 0
+    loop = asyncio.get_running_loop()
+    gateway = fleet.gateways[0]
+    ends = loop.time() + seconds
+    sent = 0
 
     async def one(number: int) -> None:
         nonlocal sent
@@ -88,6 +90,16 @@
             await asyncio.sleep(seconds)
             for which, (_, pid) in fleets.items():
                 rests[which].append((processor_ns(pid) - marks[which]) / 1_000 / seconds)
+    return _table(count, rate, seconds, loaded, rests)
+
+
+def _table(
+    count: int,
+    rate: float,
+    seconds: float,
+    loaded: dict[bool, list[float]],
+    rests: dict[bool, list[float]],
+) -> list[str]:
     ratios = [a / b for a, b in zip(loaded[True], loaded[False], strict=True)]
     more = [a - b for a, b in zip(rests[True], rests[False], strict=True)]
     first, middle, last = statistics.quantiles(ratios, n=4) if count > 1 else ratios * 3
--- a/lab/cluster/record.py
+++ b/lab/cluster/record.py
@@ -88,6 +88,18 @@
 def read(folder: Path) -> Evidence:
     """The files of a run."""
     run = json.loads((folder / "run.json").read_text())
+    tables = folder / "tables.json"
+    return Evidence(
+        run,
+        _faults(folder),
+        _events(folder),
+        list(_lines(folder / "clients.jsonl")),
+        list(_lines(folder / "hosts.jsonl")),
+        json.loads(tables.read_text()) if tables.exists() else {},
+    )
+
+
+def _faults(folder: Path) -> list[tuple[int, int | None, PlannedFault]]:
     began: dict[int, tuple[int, PlannedFault]] = {}
     ended: dict[int, int] = {}
     for line in _lines(folder / "faults.jsonl"):
@@ -95,18 +107,14 @@
             began[line["number"]] = line["ms"], planned(line["fault"])
         else:
             ended[line["number"]] = line["ms"]
+    return [(ms, ended.get(number), fault) for number, (ms, fault) in sorted(began.items())]
+
+
+def _events(folder: Path) -> list[Event]:
     events = [
         Event(line["boot_ms"], file.stem, line["event"], line)
         for file in sorted(folder.glob("gw-*.log"))
         for line in _lines(file)
         if "boot_ms" in line and "event" in line
     ]
-    tables = folder / "tables.json"
-    return Evidence(
-        run,
-        [(ms, ended.get(number), fault) for number, (ms, fault) in sorted(began.items())],
-        sorted(events, key=lambda event: event.ms),
-        list(_lines(folder / "clients.jsonl")),
-        list(_lines(folder / "hosts.jsonl")),
-        json.loads(tables.read_text()) if tables.exists() else {},
-    )
+    return sorted(events, key=lambda event: event.ms)
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -21,6 +21,7 @@
 
 FOLDER = Path(__file__).parent / "schedules"
 LIST = "list"  # the list service
+SHOWN_LINKS_MAX = 6
 
 Link = tuple[str, str]  # from, to
 OnLinks = Literal["cut", "loss", "delay", "reorder", "double", "garble", "throttle"]
@@ -100,8 +101,10 @@
         return asdict(self)
 
     def __str__(self) -> str:
-        where = ", ".join(self.nodes) or ", ".join(f"{a}>{b}" for a, b in self.links[:6])
-        more = f" and {len(self.links) - 6} more" if len(self.links) > 6 else ""
+        links = ", ".join(f"{a}>{b}" for a, b in self.links[:SHOWN_LINKS_MAX])
+        where = ", ".join(self.nodes) or links
+        hidden = len(self.links) - SHOWN_LINKS_MAX
+        more = f" and {hidden} more" if hidden > 0 else ""
         span = f" for {self.lasts:g} s" if self.lasts else ""
         amount = f" {self.amount:g}" if self.amount else ""
         return f"at {self.at:g} s{span}: {self.what}{amount} {where}{more}"
@@ -153,38 +156,42 @@
 def _relations(schedule: Schedule) -> Iterator[Mistake]:
     names = gateways(schedule.gateways)
     for i, fault in enumerate(schedule.faults):
-        at = f"faults[{i}]"
-        wanted, other = ("links", "nodes") if fault.what in ON_LINKS else ("nodes", "links")
-        if not getattr(fault, wanted) or getattr(fault, other):
-            yield Mistake(
-                f"{at}.{wanted}", "", f"{fault.what} happens to {wanted}: name some, and no {other}"
-            )
-            continue
-        if fault.what == "move" and schedule.found == "fixed":
-            yield Mistake(f"{at}.what", '"move"', 'expected where found is "members" or "list" only')
-        try:
-            _nodes(fault.nodes, names)
-            _links(fault.links, names)
-        except ValueError as wrong:
-            yield Mistake(f"{at}.{wanted}", str(getattr(fault, wanted)), str(wrong))
-        if fault.what in ("loss", "double", "garble") and not 0 < fault.amount <= 1:
-            yield Mistake(f"{at}.amount", f"{fault.amount:g}", "expected a part above 0, of 1 at most")
-        if fault.at.base > schedule.lasts.base:
-            yield Mistake(f"{at}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
+        yield from _fault_mistakes(schedule, fault, f"faults[{i}]", names)
     for i, draw in enumerate(schedule.draws):
-        wrong_key = "nodes" if draw.what in ON_LINKS else "links"
-        if getattr(draw, wrong_key):
-            yield Mistake(f"draws[{i}].{wrong_key}", "", f"{draw.what} does not happen to {wrong_key}")
-        try:
-            _nodes(draw.nodes, names)
-            _links(draw.links, names)
-        except ValueError as wrong:
-            yield Mistake(f"draws[{i}]", str([*draw.nodes, *draw.links]), str(wrong))
-        for key in ("at", "lasts", "amount", "by"):
-            if len(getattr(draw, key)) != 2:
-                yield Mistake(
-                    f"draws[{i}].{key}", str(getattr(draw, key)), "expected two values, least and most"
-                )
+        yield from _draw_mistakes(draw, f"draws[{i}]", names)
+
+
+def _fault_mistakes(schedule: Schedule, fault: Fault, at: str, names: list[str]) -> Iterator[Mistake]:
+    wanted, other = ("links", "nodes") if fault.what in ON_LINKS else ("nodes", "links")
+    if not getattr(fault, wanted) or getattr(fault, other):
+        expected = f"{fault.what} happens to {wanted}: name some, and no {other}"
+        yield Mistake(f"{at}.{wanted}", "", expected)
+        return
+    if fault.what == "move" and schedule.found == "fixed":
+        yield Mistake(f"{at}.what", '"move"', 'expected where found is "members" or "list" only')
+    try:
+        _nodes(fault.nodes, names)
+        _links(fault.links, names)
+    except ValueError as wrong:
+        yield Mistake(f"{at}.{wanted}", str(getattr(fault, wanted)), str(wrong))
+    if fault.what in ("loss", "double", "garble") and not 0 < fault.amount <= 1:
+        yield Mistake(f"{at}.amount", f"{fault.amount:g}", "expected a part above 0, of 1 at most")
+    if fault.at.base > schedule.lasts.base:
+        yield Mistake(f"{at}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
+
+
+def _draw_mistakes(draw: Draw, at: str, names: list[str]) -> Iterator[Mistake]:
+    wrong_key = "nodes" if draw.what in ON_LINKS else "links"
+    if getattr(draw, wrong_key):
+        yield Mistake(f"{at}.{wrong_key}", "", f"{draw.what} does not happen to {wrong_key}")
+    try:
+        _nodes(draw.nodes, names)
+        _links(draw.links, names)
+    except ValueError as wrong:
+        yield Mistake(at, str([*draw.nodes, *draw.links]), str(wrong))
+    for key in ("at", "lasts", "amount", "by"):
+        if len(getattr(draw, key)) != 2:
+            yield Mistake(f"{at}.{key}", str(getattr(draw, key)), "expected two values, least and most")
 
 
 def gateways(count: int) -> list[str]:
@@ -223,9 +230,12 @@
         left, sign, right = word.partition("<>" if both else ">")
         if not sign:
             raise ValueError(f"{word!r}: expected two sides with > or <> between them")
-        a, b = _side(left, names), _side(right, names)
-        a = [name for name in names if b is None or name not in b] if a is None else a
-        b = [name for name in names if name not in a or word.count("*") == 2] if b is None else b
+        a = _side(left, names)
+        b = _side(right, names)
+        if a is None:
+            a = [name for name in names if b is None or name not in b]
+        if b is None:
+            b = [name for name in names if name not in a or word.count("*") == 2]
         pairs = [(x, y) for x in a for y in b if x != y]
         found |= dict.fromkeys(pairs)
         if both:
@@ -233,6 +243,21 @@
     return tuple(found)
 
 
+def _drawn(draw: Draw, names: list[str], generator: np.random.Generator) -> Iterator[PlannedFault]:
+    def between(values: list[Any]) -> float:
+        least, most = (v.base / 1e6 if isinstance(v, Duration) else v for v in values)
+        return round(float(generator.uniform(least, most)), 3)
+
+    for _ in range(draw.count):
+        a, b = (str(name) for name in generator.choice(names, 2, replace=False))
+        on_link = draw.what in ON_LINKS
+        nodes = _nodes(draw.nodes, names) if draw.nodes else (() if on_link else (a,))
+        links = _links(draw.links, names) if draw.links else (((a, b),) if on_link else ())
+        at = between(draw.at)
+        lasts = between(draw.lasts)
+        yield PlannedFault(draw.what, at, lasts, nodes, links, between(draw.amount), between(draw.by))
+
+
 def plan(schedule: Schedule, seed: int) -> list[PlannedFault]:
     """All faults as they will be done, in the order of their beginning."""
     names = gateways(schedule.gateways)
@@ -249,17 +274,5 @@
         for fault in schedule.faults
     ]
     for number, draw in enumerate(schedule.draws):
-        generator = np.random.default_rng([seed, number])
-
-        def between(values: list[Any], generator: np.random.Generator = generator) -> float:
-            least, most = (v.base / 1e6 if isinstance(v, Duration) else v for v in values)
-            return round(float(generator.uniform(least, most)), 3)
-
-        for _ in range(draw.count):
-            a, b = (str(name) for name in generator.choice(names, 2, replace=False))
-            on_link = draw.what in ON_LINKS
-            nodes = _nodes(draw.nodes, names) if draw.nodes else (() if on_link else (a,))
-            links = _links(draw.links, names) if draw.links else (((a, b),) if on_link else ())
-            times = between(draw.at), between(draw.lasts)
-            done.append(PlannedFault(draw.what, *times, nodes, links, between(draw.amount), between(draw.by)))
+        done += _drawn(draw, names, np.random.default_rng([seed, number]))
     return sorted(done, key=lambda fault: fault.at)
