--- a/lab/cluster/__init__.py
+++ b/lab/cluster/__init__.py
@@ -1,5 +1,6 @@
-"""The proving ground: real processes of the program on loopback, faults between them, and a checker of files.
+"""Fault injection for real gateway processes on loopback, and a checker of the recorded files.
 
-``schedule`` says what goes wrong, ``relay`` does it to links, ``fleet`` to processes; ``record`` writes what
-was seen, ``checker`` reads that alone; ``campaign`` repeats and shrinks.
+``schedule`` defines which faults happen and when, ``relay`` applies them to links and ``fleet`` to processes;
+``record`` writes what was observed and reads it back, ``checker`` evaluates only that; ``campaign`` runs
+schedules and reduces a failing one to the fewest faults.
 """
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -29,7 +29,7 @@
 from .guard import Guard
 from .record import Record, now_ms
 from .relay import Address, DatagramRelay, Links, Stream
-from .schedule import LIST, PlannedFault, Schedule, gateways
+from .schedule import LIST_SERVICE, PlannedFault, Schedule, gateway_names
 
 READY_WITHIN = 60.0  # seconds for a fleet of thirty on a loaded machine
 AGREE_WITHIN = 30.0
@@ -142,7 +142,7 @@
         words = ["registry", "serve", "--listen", _text(self.service), "--operators", _text(self.operators)]
         store = self.folder / "list.db"
         more: list[str | Path] = ["--store", store, "--new", "--settle", "0"]
-        await self.children.start(LIST, *words, *more, environment=self.environment)
+        await self.children.start(LIST_SERVICE, *words, *more, environment=self.environment)
 
     async def _start_hosts(self, parts: list[np.random.SeedSequence]) -> None:
         machine = Machine(slots=8, work={b"reading": 0.01, b"order": 0.02}, cold_from=0.5, warm_within=3.0)
@@ -198,7 +198,7 @@
         self.clients.start()
 
     async def _stream(self, client: str, to: Address) -> Address:
-        stream = await Stream(self.links, client, LIST, to).listen()
+        stream = await Stream(self.links, client, LIST_SERVICE, to).listen()
         self.streams.append(stream)
         return stream.address
 
@@ -507,7 +507,7 @@
         run["over"] = now_ms()
         if schedule.membership:
             run["agreed"] = await _agreed_ms(fleet, schedule.settle.base / 1e6)
-        run["names"] = gateways(schedule.gateways)
+        run["names"] = gateway_names(schedule.gateways)
         run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
         run["ended"] = [child.name for child in fleet.children.exited()]
         fleet.record.whole("tables", await fleet.tables())
--- a/lab/cluster/record.py
+++ b/lab/cluster/record.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from .schedule import PlannedFault, planned
+from .schedule import PlannedFault, planned_fault_from_fields
 
 
 def now_ms() -> int:
@@ -104,7 +104,7 @@
     ended: dict[int, int] = {}
     for line in _lines(folder / "faults.jsonl"):
         if line["step"] == "begun":
-            began[line["number"]] = line["ms"], planned(line["fault"])
+            began[line["number"]] = line["ms"], planned_fault_from_fields(line["fault"])
         else:
             ended[line["number"]] = line["ms"]
     return [(ms, ended.get(number), fault) for number, (ms, fault) in sorted(began.items())]
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -1,7 +1,7 @@
-"""A schedule of faults: a TOML file, typed and checked, and what a seed makes of it.
+"""Fault schedules: TOML files, validated and typed, and the faults that a schedule and a seed yield.
 
-Nodes are ``gw-0``, ``gw-0..3``, ``list`` or ``*``; links are two sides with ``>`` or ``<>`` between them, as
-in ``gw-0 > gw-1..3``; ``*`` is everybody else among the gateways.
+Nodes are written ``gw-0``, ``gw-0..3``, ``list`` or ``*``; links are two sides with ``>`` or ``<>`` between
+them, as in ``gw-0 > gw-1..3``; ``*`` as one side stands for all gateways that the other side does not name.
 """
 
 from __future__ import annotations
@@ -19,28 +19,32 @@
 from ops.checking import Amount, Count, Many, Mistake, Strict, typed, usual
 from ops.units import Duration
 
-FOLDER = Path(__file__).parent / "schedules"
-LIST = "list"  # the list service
+SCHEDULES_FOLDER = Path(__file__).parent / "schedules"
+LIST_SERVICE = "list"  # its node name
 SHOWN_LINKS_MAX = 6
 
-Link = tuple[str, str]  # from, to
-OnLinks = Literal["cut", "loss", "delay", "reorder", "double", "garble", "throttle"]
-OnNodes = Literal["pause", "kill", "leave", "upgrade", "move", "twin"]
-ON_LINKS: tuple[str, ...] = get_args(OnLinks)
-What = Annotated[
-    OnLinks | OnNodes,
-    Meta(description=f"{', '.join((*ON_LINKS, *get_args(OnNodes)))}"),
+Link = tuple[str, str]  # sender, receiver
+LinkFaultKind = Literal["cut", "loss", "delay", "reorder", "double", "garble", "throttle"]
+NodeFaultKind = Literal["pause", "kill", "leave", "upgrade", "move", "twin"]
+LINK_FAULT_KINDS: tuple[str, ...] = get_args(LinkFaultKind)
+FaultKind = Annotated[
+    LinkFaultKind | NodeFaultKind,
+    Meta(description=f"{', '.join((*LINK_FAULT_KINDS, *get_args(NodeFaultKind)))}"),
 ]
 
 
 class Fault(Strict):
-    """One thing that goes wrong. ``amount`` is a part of the messages (loss, double, garble) or messages a
-    second (throttle), ``by`` a time (delay, reorder). ``upgrade`` starts the next process beside the one that
-    serves, which ends once it has handed over. ``move`` kills, and starts it at another address, which is
-    only possible where addresses are learnt. After ``lasts`` it is over: links are as before, who
-    was paused goes on, who was killed or left starts anew; 0s: never."""
+    """One fault.
 
-    what: What
+    ``amount`` is a fraction of the messages (loss, double, garble) or messages a second (throttle); ``by`` is
+    a duration (delay, reorder). ``upgrade`` starts the successor process beside the serving one, which exits
+    once it has handed over. ``move`` kills the process and restarts it at another address; it requires that
+    gateways learn each other's addresses. ``twin`` starts a second process under the same rank. After
+    ``lasts`` the fault is undone: links recover, paused processes continue, and those that were killed or
+    left are restarted; with 0s the fault is permanent.
+    """
+
+    what: FaultKind
     at: Duration
     lasts: Duration = usual(Duration("0s"))
     links: list[str] = field(default_factory=list)
@@ -49,11 +53,11 @@
     by: Duration = usual(Duration("0s"))
 
 
-class Draw(Strict):
-    """So many faults of a kind, drawn from the seed within ranges: a node or a directed link of gateways, or
-    all that are named."""
+class RandomFaults(Strict):
+    """``count`` faults of one kind, drawn from the seed within ranges. Without ``links`` and ``nodes`` each
+    fault affects a random gateway or directed link between gateways, otherwise all that are named."""
 
-    what: What
+    what: FaultKind
     count: Many
     at: list[Duration]
     lasts: list[Duration]
@@ -63,13 +67,18 @@
     by: list[Duration] = field(default_factory=lambda: [Duration("0s"), Duration("0s")])
 
 
-Found = Annotated[Literal["fixed", "members", "list"], Meta(description='"fixed", "members" or "list"')]
+PeerAddressing = Annotated[
+    Literal["fixed", "members", "list"], Meta(description='"fixed", "members" or "list"')
+]
 
 
 class Schedule(Strict):
-    """A fleet and what happens to it. ``settle`` is the time after the last fault until views must agree;
-    ``found`` says how gateways learn where the others are: each has a fixed list, the addresses of the first
-    two, or the list service's."""
+    """A fleet and its faults.
+
+    ``settle`` is the time after the last fault within which all member views must agree. ``found`` is how
+    gateways learn each other's addresses: from a fixed list, by joining through the first two gateways, or
+    from the list service.
+    """
 
     about: str = ""
     gateways: Many = 5
@@ -77,16 +86,16 @@
     agents: Count = 0
     customers: Count = 6
     membership: bool = True
-    found: Found = "fixed"
+    found: PeerAddressing = "fixed"
     lasts: Duration = usual(Duration("10s"))
     settle: Duration = usual(Duration("6s"))
     faults: list[Fault] = field(default_factory=list)
-    draws: list[Draw] = field(default_factory=list)
+    draws: list[RandomFaults] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault as it will be done: seconds from the schedule's start, nodes and directed links by name."""
+    """A fault with its parameters resolved: seconds from the schedule's start, names of nodes and links."""
 
     what: str
     at: float
@@ -97,27 +106,27 @@
     by: float
 
     def fields(self) -> dict[str, Any]:
-        """For files; ``planned`` reads it back."""
+        """The fault as JSON-compatible values; the inverse of ``planned_fault_from_fields``."""
         return asdict(self)
 
     def __str__(self) -> str:
-        links = ", ".join(f"{a}>{b}" for a, b in self.links[:SHOWN_LINKS_MAX])
-        where = ", ".join(self.nodes) or links
+        links = ", ".join(f"{sender}>{receiver}" for sender, receiver in self.links[:SHOWN_LINKS_MAX])
+        targets = ", ".join(self.nodes) or links
         hidden = len(self.links) - SHOWN_LINKS_MAX
         more = f" and {hidden} more" if hidden > 0 else ""
-        span = f" for {self.lasts:g} s" if self.lasts else ""
+        duration = f" for {self.lasts:g} s" if self.lasts else ""
         amount = f" {self.amount:g}" if self.amount else ""
-        return f"at {self.at:g} s{span}: {self.what}{amount} {where}{more}"
+        return f"at {self.at:g} s{duration}: {self.what}{amount} {targets}{more}"
 
 
-def planned(fields: dict[str, Any]) -> PlannedFault:
-    """The opposite of ``Planned.fields``."""
-    links = tuple((str(a), str(b)) for a, b in fields["links"])
+def planned_fault_from_fields(fields: dict[str, Any]) -> PlannedFault:
+    """The inverse of ``PlannedFault.fields``."""
+    links = tuple((str(sender), str(receiver)) for sender, receiver in fields["links"])
     return PlannedFault(**(fields | {"links": links, "nodes": tuple(fields["nodes"])}))
 
 
 class ScheduleError(Exception):
-    """A schedule that can't be played; ``lines`` are all its mistakes."""
+    """An invalid schedule; ``lines`` has one message for each error."""
 
     def __init__(self, lines: Iterable[str]) -> None:
         self.lines = list(lines)
@@ -125,154 +134,161 @@
 
 
 def shipped() -> dict[str, Path]:
-    """The schedules that ship, by name."""
-    return {file.stem: file for file in sorted(FOLDER.glob("*.toml"))}
+    """The schedules that are part of the package, by name."""
+    return {file.stem: file for file in sorted(SCHEDULES_FOLDER.glob("*.toml"))}
 
 
 def load(file: Path) -> Schedule:
-    """A file's schedule; raises ScheduleError with all that is wrong."""
+    """Reads and validates a schedule file. Raises ScheduleError with all errors."""
     try:
         raw = tomllib.loads(file.read_text())
-    except OSError as wrong:
-        raise ScheduleError([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise ScheduleError([f"{file}: is no whole TOML: {wrong}"]) from None
-    schedule, mistakes = typed(raw, Schedule)
+    except OSError as error:
+        raise ScheduleError([f"{file}: {(error.strerror or str(error)).lower()}"]) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ScheduleError([f"{file}: is not valid TOML: {error}"]) from None
+    schedule, errors = typed(raw, Schedule)
     if schedule is not None:
-        mistakes = list(_relations(schedule))
-    if mistakes or schedule is None:
-        raise ScheduleError(f"{file}: {mistake}" for mistake in mistakes)
+        errors = list(_consistency_errors(schedule))
+    if errors or schedule is None:
+        raise ScheduleError(f"{file}: {error}" for error in errors)
     return schedule
 
 
 def with_gateway_count(schedule: Schedule, count: int) -> Schedule:
-    """With another number of gateways; raises ScheduleError where its faults name others."""
-    done = msgspec.structs.replace(schedule, gateways=count)
-    if mistakes := list(_relations(done)):
-        raise ScheduleError(str(mistake) for mistake in mistakes)
-    return done
+    """The schedule with another number of gateways. Raises ScheduleError if faults name one that is
+    missing."""
+    resized = msgspec.structs.replace(schedule, gateways=count)
+    if errors := list(_consistency_errors(resized)):
+        raise ScheduleError(str(error) for error in errors)
+    return resized
 
 
-def _relations(schedule: Schedule) -> Iterator[Mistake]:
-    names = gateways(schedule.gateways)
+def _consistency_errors(schedule: Schedule) -> Iterator[Mistake]:
+    names = gateway_names(schedule.gateways)
     for i, fault in enumerate(schedule.faults):
-        yield from _fault_mistakes(schedule, fault, f"faults[{i}]", names)
+        yield from _fault_errors(schedule, fault, f"faults[{i}]", names)
     for i, draw in enumerate(schedule.draws):
-        yield from _draw_mistakes(draw, f"draws[{i}]", names)
+        yield from _draw_errors(draw, f"draws[{i}]", names)
 
 
-def _fault_mistakes(schedule: Schedule, fault: Fault, at: str, names: list[str]) -> Iterator[Mistake]:
-    wanted, other = ("links", "nodes") if fault.what in ON_LINKS else ("nodes", "links")
-    if not getattr(fault, wanted) or getattr(fault, other):
-        expected = f"{fault.what} happens to {wanted}: name some, and no {other}"
-        yield Mistake(f"{at}.{wanted}", "", expected)
+def _fault_errors(schedule: Schedule, fault: Fault, path: str, names: list[str]) -> Iterator[Mistake]:
+    required, forbidden = ("links", "nodes") if fault.what in LINK_FAULT_KINDS else ("nodes", "links")
+    if not getattr(fault, required) or getattr(fault, forbidden):
+        expected = f"{fault.what} applies to {required}: expected {required} and no {forbidden}"
+        yield Mistake(f"{path}.{required}", "", expected)
         return
     if fault.what == "move" and schedule.found == "fixed":
-        yield Mistake(f"{at}.what", '"move"', 'expected where found is "members" or "list" only')
+        yield Mistake(f"{path}.what", '"move"', 'allowed only if found is "members" or "list"')
     try:
-        _nodes(fault.nodes, names)
-        _links(fault.links, names)
-    except ValueError as wrong:
-        yield Mistake(f"{at}.{wanted}", str(getattr(fault, wanted)), str(wrong))
+        _expand_nodes(fault.nodes, names)
+        _expand_links(fault.links, names)
+    except ValueError as error:
+        yield Mistake(f"{path}.{required}", str(getattr(fault, required)), str(error))
     if fault.what in ("loss", "double", "garble") and not 0 < fault.amount <= 1:
-        yield Mistake(f"{at}.amount", f"{fault.amount:g}", "expected a part above 0, of 1 at most")
+        yield Mistake(f"{path}.amount", f"{fault.amount:g}", "expected a fraction above 0 and at most 1")
     if fault.at.base > schedule.lasts.base:
-        yield Mistake(f"{at}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
+        yield Mistake(f"{path}.at", f'"{fault.at}"', f"expected within lasts, {schedule.lasts}")
 
 
-def _draw_mistakes(draw: Draw, at: str, names: list[str]) -> Iterator[Mistake]:
-    wrong_key = "nodes" if draw.what in ON_LINKS else "links"
-    if getattr(draw, wrong_key):
-        yield Mistake(f"{at}.{wrong_key}", "", f"{draw.what} does not happen to {wrong_key}")
+def _draw_errors(draw: RandomFaults, path: str, names: list[str]) -> Iterator[Mistake]:
+    forbidden = "nodes" if draw.what in LINK_FAULT_KINDS else "links"
+    if getattr(draw, forbidden):
+        yield Mistake(f"{path}.{forbidden}", "", f"{draw.what} does not apply to {forbidden}")
     try:
-        _nodes(draw.nodes, names)
-        _links(draw.links, names)
-    except ValueError as wrong:
-        yield Mistake(at, str([*draw.nodes, *draw.links]), str(wrong))
+        _expand_nodes(draw.nodes, names)
+        _expand_links(draw.links, names)
+    except ValueError as error:
+        yield Mistake(path, str([*draw.nodes, *draw.links]), str(error))
     for key in ("at", "lasts", "amount", "by"):
         if len(getattr(draw, key)) != 2:
-            yield Mistake(f"{at}.{key}", str(getattr(draw, key)), "expected two values, least and most")
+            yield Mistake(
+                f"{path}.{key}", str(getattr(draw, key)), "expected two values, minimum and maximum"
+            )
 
 
-def gateways(count: int) -> list[str]:
-    """Their names."""
+def gateway_names(count: int) -> list[str]:
+    """The node names of ``count`` gateways."""
     return [f"gw-{rank}" for rank in range(count)]
 
 
-def _side(text: str, names: list[str]) -> list[str] | None:
-    """Nodes of one side; None: everybody else."""
-    found: list[str] = []
-    for word in (word.strip() for word in text.split(",")):
-        if word == "*":
+def _expand_side(text: str, names: list[str]) -> list[str] | None:
+    """The nodes that one side of a link names; None for ``*``."""
+    nodes: list[str] = []
+    for pattern in (pattern.strip() for pattern in text.split(",")):
+        if pattern == "*":
             return None
-        first, dots, last = word.partition("..")
+        first, dots, last = pattern.partition("..")
         ranks = (
             range(int(first[3:]), int(last) + 1) if dots and last.isdigit() and first[3:].isdigit() else ()
         )
-        some = [f"gw-{rank}" for rank in ranks] if dots else [first]
-        if not some or any(name not in names and name != LIST for name in some):
-            raise ValueError(f"{word!r} is no node of {names[0]} to {names[-1]}, {LIST} or *")
-        found += some
-    return found
-
-
-def _nodes(words: Iterable[str], names: list[str]) -> tuple[str, ...]:
-    found: dict[str, None] = {}
-    for word in words:
-        found |= dict.fromkeys(_side(word, names) or names)
-    return tuple(found)
-
-
-def _links(words: Iterable[str], names: list[str]) -> tuple[Link, ...]:
-    found: dict[Link, None] = {}
-    for word in words:
-        both = "<>" in word
-        left, sign, right = word.partition("<>" if both else ">")
-        if not sign:
-            raise ValueError(f"{word!r}: expected two sides with > or <> between them")
-        a = _side(left, names)
-        b = _side(right, names)
-        if a is None:
-            a = [name for name in names if b is None or name not in b]
-        if b is None:
-            b = [name for name in names if name not in a or word.count("*") == 2]
-        pairs = [(x, y) for x in a for y in b if x != y]
-        found |= dict.fromkeys(pairs)
-        if both:
-            found |= dict.fromkeys((y, x) for x, y in pairs)
-    return tuple(found)
-
-
-def _drawn(draw: Draw, names: list[str], generator: np.random.Generator) -> Iterator[PlannedFault]:
-    def between(values: list[Any]) -> float:
-        least, most = (v.base / 1e6 if isinstance(v, Duration) else v for v in values)
-        return round(float(generator.uniform(least, most)), 3)
+        expanded = [f"gw-{rank}" for rank in ranks] if dots else [first]
+        if not expanded or any(name not in names and name != LIST_SERVICE for name in expanded):
+            raise ValueError(
+                f"unknown node {pattern!r}: expected {names[0]} to {names[-1]}, {LIST_SERVICE} or *"
+            )
+        nodes += expanded
+    return nodes
+
+
+def _expand_nodes(patterns: Iterable[str], names: list[str]) -> tuple[str, ...]:
+    nodes: dict[str, None] = {}
+    for pattern in patterns:
+        nodes |= dict.fromkeys(_expand_side(pattern, names) or names)
+    return tuple(nodes)
+
+
+def _expand_links(patterns: Iterable[str], names: list[str]) -> tuple[Link, ...]:
+    links: dict[Link, None] = {}
+    for pattern in patterns:
+        bidirectional = "<>" in pattern
+        left, arrow, right = pattern.partition("<>" if bidirectional else ">")
+        if not arrow:
+            raise ValueError(f"{pattern!r}: expected two sides with > or <> between them")
+        senders = _expand_side(left, names)
+        receivers = _expand_side(right, names)
+        if senders is None:
+            senders = [name for name in names if receivers is None or name not in receivers]
+        if receivers is None:
+            receivers = [name for name in names if name not in senders or pattern.count("*") == 2]
+        pairs = [(sender, receiver) for sender in senders for receiver in receivers if sender != receiver]
+        links |= dict.fromkeys(pairs)
+        if bidirectional:
+            links |= dict.fromkeys((receiver, sender) for sender, receiver in pairs)
+    return tuple(links)
+
+
+def _draw_faults(
+    draw: RandomFaults, names: list[str], generator: np.random.Generator
+) -> Iterator[PlannedFault]:
+    def uniform(limits: list[Any]) -> float:
+        minimum, maximum = (limit.base / 1e6 if isinstance(limit, Duration) else limit for limit in limits)
+        return round(float(generator.uniform(minimum, maximum)), 3)
 
     for _ in range(draw.count):
-        a, b = (str(name) for name in generator.choice(names, 2, replace=False))
-        on_link = draw.what in ON_LINKS
-        nodes = _nodes(draw.nodes, names) if draw.nodes else (() if on_link else (a,))
-        links = _links(draw.links, names) if draw.links else (((a, b),) if on_link else ())
-        at = between(draw.at)
-        lasts = between(draw.lasts)
-        yield PlannedFault(draw.what, at, lasts, nodes, links, between(draw.amount), between(draw.by))
+        sender, receiver = (str(name) for name in generator.choice(names, 2, replace=False))
+        on_link = draw.what in LINK_FAULT_KINDS
+        nodes = _expand_nodes(draw.nodes, names) if draw.nodes else (() if on_link else (sender,))
+        links = _expand_links(draw.links, names) if draw.links else (((sender, receiver),) if on_link else ())
+        at = uniform(draw.at)
+        lasts = uniform(draw.lasts)
+        yield PlannedFault(draw.what, at, lasts, nodes, links, uniform(draw.amount), uniform(draw.by))
 
 
 def plan(schedule: Schedule, seed: int) -> list[PlannedFault]:
-    """All faults as they will be done, in the order of their beginning."""
-    names = gateways(schedule.gateways)
-    done = [
+    """All faults of a schedule under this seed, in the order of their start."""
+    names = gateway_names(schedule.gateways)
+    planned = [
         PlannedFault(
             fault.what,
             fault.at.base / 1e6,
             fault.lasts.base / 1e6,
-            _nodes(fault.nodes, names),
-            _links(fault.links, names),
+            _expand_nodes(fault.nodes, names),
+            _expand_links(fault.links, names),
             fault.amount,
             fault.by.base / 1e6,
         )
         for fault in schedule.faults
     ]
     for number, draw in enumerate(schedule.draws):
-        done += _drawn(draw, names, np.random.default_rng([seed, number]))
-    return sorted(done, key=lambda fault: fault.at)
+        planned += _draw_faults(draw, names, np.random.default_rng([seed, number]))
+    return sorted(planned, key=lambda fault: fault.at)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -230,22 +230,22 @@
     storm = schedule.load(schedule.shipped()["storm"])
     assert schedule.plan(storm, 3) == schedule.plan(storm, 3) != schedule.plan(storm, 4)
     for fault in schedule.plan(storm, 3):
-        assert schedule.planned(json.loads(json.dumps(fault.fields()))) == fault
+        assert schedule.planned_fault_from_fields(json.loads(json.dumps(fault.fields()))) == fault
 
 
 @pytest.mark.parametrize(
     ("text", "told"),
     [
         ('[[faults]]\nwhat = "melt"\nat = "1s"', "cut, loss"),
-        ('[[faults]]\nwhat = "cut"\nat = "1s"', "name some"),
+        ('[[faults]]\nwhat = "cut"\nat = "1s"', "expected links and no nodes"),
         ('[[faults]]\nwhat = "cut"\nat = "1s"\nlinks = ["gw-0 > gw-9"]', "gw-9"),
         ('[[faults]]\nwhat = "cut"\nat = "1s"\nlinks = ["gw-0"]', "> or <>"),
-        ('[[faults]]\nwhat = "loss"\nat = "1s"\nlinks = ["* > *"]', "a part above 0"),
+        ('[[faults]]\nwhat = "loss"\nat = "1s"\nlinks = ["* > *"]', "a fraction above 0"),
         ('[[faults]]\nwhat = "move"\nat = "1s"\nnodes = ["gw-0"]', "members"),
         ('[[faults]]\nwhat = "pause"\nat = "99s"\nnodes = ["gw-0"]', "within lasts"),
         ('[[draws]]\nwhat = "kill"\ncount = 1\nat = ["1s"]\nlasts = ["1s", "2s"]', "two values"),
         ("gateways = 0", "1 or more"),
-        ("gateways", "no whole TOML"),
+        ("gateways", "is not valid TOML"),
     ],
 )
 def test_a_schedule_that_cannot_be_is_told_in_a_line(text, told, tmp_path):
