--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -28,7 +28,7 @@
 
 from .guard import Guard
 from .record import Record, now_ms
-from .relay import Address, DatagramRelay, Links, Stream
+from .relay import Address, DatagramRelay, Links, StreamRelay
 from .schedule import LIST_SERVICE, PlannedFault, Schedule, gateway_names
 
 READY_WITHIN = 60.0  # seconds for a fleet of thirty on a loaded machine
@@ -114,7 +114,7 @@
         self.operators = found[3 * count + 1]
         self.agents = [found[3 * count + 2 + 2 * i : 3 * count + 4 + 2 * i] for i in range(schedule.agents)]
         self.datagrams: DatagramRelay | None = None
-        self.streams: list[Stream] = []
+        self.streams: list[StreamRelay] = []
         self.lists: dict[str, Address] = {}  # discovery as each gateway is to reach it
         self.meets: dict[str, Address] = {}  # the list service as each gateway is to reach it
         self.hosts: list[Host] = []
@@ -198,7 +198,7 @@
         self.clients.start()
 
     async def _stream(self, client: str, to: Address) -> Address:
-        stream = await Stream(self.links, client, LIST_SERVICE, to).listen()
+        stream = await StreamRelay(self.links, client, LIST_SERVICE, to).listen()
         self.streams.append(stream)
         return stream.address
 
@@ -289,7 +289,7 @@
 
     def _is_cut(self, ends: list[int]) -> bool:
         a, b = (self.gateways[rank].name for rank in ends)
-        return self.links.at((a, b)).is_cut()
+        return self.links.direction((a, b)).is_cut()
 
     async def _wait(self, within: float, holds: Callable[[], Awaitable[bool]], what: str) -> None:
         ends = time.monotonic() + within
@@ -511,7 +511,7 @@
         run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
         run["ended"] = [child.name for child in fleet.children.exited()]
         fleet.record.whole("tables", await fleet.tables())
-        fleet.record.whole("links", fleet.links.seen())
+        fleet.record.whole("links", fleet.links.counters())
         fleet.record.whole("run", run)
     finally:
         try:
