--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -39,7 +39,7 @@
         }
 
 
-def figures(evidence: record.Evidence) -> dict[str, Any]:
+def figures(evidence: record.RunData) -> dict[str, Any]:
     """Counts of what clients got and of what members said; times until views were equal."""
     agreed, over = evidence.run["agreed"], evidence.run["over"]
     said = Counter(event.name for event in evidence.events if event.ms >= evidence.run["began"])
@@ -62,7 +62,7 @@
     shutil.rmtree(out, ignore_errors=True)
     planned = plan(schedule, seed) if faults is None else faults
     await fleet.play(schedule, planned, seed, out, module, before)
-    evidence = record.read(out)
+    evidence = record.read_run(out)
     verdict = Verdict(seed, out, planned, checker.breaches(evidence), figures(evidence))
     (out / "verdict.json").write_text(json.dumps(verdict.fields(), indent=1) + "\n")
     return verdict
--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from .record import Event, Evidence
+from .record import Event, RunData
 from .schedule import Link, PlannedFault
 
 FOREVER = 1 << 62  # ms
@@ -51,7 +51,7 @@
 class Checker:
     """One run's evidence, asked in different ways."""
 
-    def __init__(self, evidence: Evidence) -> None:
+    def __init__(self, evidence: RunData) -> None:
         self.e = evidence
         self.zero = evidence.run["began"]
         self.spans = [
@@ -173,7 +173,7 @@
 
     def whole_directions_are_not_named(self) -> Iterator[Breach]:
         whole = not self._dead(self.over, self.over + 1)
-        for name, view in self.e.tables.items():
+        for name, view in self.e.member_views.items():
             if view and view["links_down"] and whole and not view["yielded"]:
                 text = f"{name} still holds dead at the end: {view['links_down']}"
                 yield self._breach("whole direction named dead", self.over, text)
@@ -185,7 +185,7 @@
         running = {int(name[3:]) for name in self.e.run["running"]}
         if self.e.run["agreed"] is None:
             yield self._breach("views differ", self.over, "they were not equal in the time to settle")
-        for name, view in self.e.tables.items():
+        for name, view in self.e.member_views.items():
             if view is None:
                 yield self._breach("views differ", self.over, f"{name} did not answer")
                 continue
@@ -275,6 +275,6 @@
             yield self._breach("process ended", self.over, f"{name} ended by itself")
 
 
-def breaches(evidence: Evidence) -> list[Breach]:
+def breaches(evidence: RunData) -> list[Breach]:
     """All that a run shows and must not."""
     return Checker(evidence).breaches()
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -27,7 +27,7 @@
 from lab.registration import Registration
 
 from .guard import Guard
-from .record import Record, now_ms
+from .record import RunWriter, now_ms
 from .relay import Address, DatagramRelay, Links, StreamRelay
 from .schedule import LIST_SERVICE, PlannedFault, Schedule, gateway_names
 
@@ -102,7 +102,7 @@
         self.folder = folder
         self.module = module
         self.before = _checkout(before, folder / "before") if before else None
-        self.record = Record(out)
+        self.recorder = RunWriter(out)
         self.children = Children(out, signal.SIGKILL)
         self.links = Links(seed)
         found = [
@@ -327,7 +327,7 @@
             stream.close()
         if self.datagrams:
             self.datagrams.close()
-        self.record.close()
+        self.recorder.close()
 
     # -- what is seen ---------------------------------------------------------------------------------------
 
@@ -338,13 +338,13 @@
                 "id": number.decode(),
                 "units": float(terms.get(b"units", 1)),
             }
-            self.record.line("hosts", host=name, **fields)
+            self.recorder.append_line("hosts", host=name, **fields)
 
         return begun
 
     def _observe_client(self, customer: Customer, number: str, came: str, took: float, rank: int) -> None:
         name = f"gw-{rank}"
-        self.record.line(
+        self.recorder.append_line(
             "clients", customer=customer.number, id=number, came=came, took_ms=int(1000 * took), gateway=name
         )
 
@@ -368,7 +368,7 @@
         await asyncio.sleep(max(0.0, began + lasts - loop.time()))
 
     def _note(self, step: str, number: int, late: int, fault: PlannedFault) -> None:
-        self.record.line("faults", step=step, number=number, late_ms=late, fault=fault.fields())
+        self.recorder.append_line("faults", step=step, number=number, late_ms=late, fault=fault.fields())
 
     def _chosen(self, fault: PlannedFault) -> list[Gateway]:
         return [gateway for gateway in self.gateways if gateway.name in fault.nodes]
@@ -510,9 +510,9 @@
         run["names"] = gateway_names(schedule.gateways)
         run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
         run["ended"] = [child.name for child in fleet.children.exited()]
-        fleet.record.whole("tables", await fleet.tables())
-        fleet.record.whole("links", fleet.links.counters())
-        fleet.record.whole("run", run)
+        fleet.recorder.write_json("tables", await fleet.tables())
+        fleet.recorder.write_json("links", fleet.links.counters())
+        fleet.recorder.write_json("run", run)
     finally:
         try:
             await fleet.end()
--- a/lab/cluster/record.py
+++ b/lab/cluster/record.py
@@ -1,7 +1,7 @@
-"""Files of a run: what was done, what processes logged, what clients and hosts saw, on one monotonic axis.
+"""The files of a run: injected faults, logs of the processes, observations of clients and hosts.
 
-Times are ``ms`` of CLOCK_BOOTTIME, which all processes of a machine share. ``Evidence`` is the files read
-back: the checker sees nothing else.
+All times are in milliseconds of CLOCK_BOOTTIME, a monotonic clock that all processes of a machine share.
+``RunData`` holds the files read back; it is the checker's only input.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 
 def now_ms() -> int:
-    """The axis."""
+    """Current time on the clock of the files, in milliseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
-class Record:
-    """Writes them."""
+class RunWriter:
+    """Writes the files of a run into a folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
         self.files: dict[str, IO[str]] = {}
 
-    def line(self, name: str, **fields: Any) -> None:
-        """One line of a file, with the time."""
+    def append_line(self, name: str, **fields: Any) -> None:
+        """Appends one JSON line with the current time to ``name``.jsonl."""
         if name not in self.files:
             self.files[name] = (self.folder / f"{name}.jsonl").open("a", buffering=1)
         self.files[name].write(json.dumps({"ms": now_ms(), **fields}) + "\n")
 
-    def whole(self, name: str, value: Any) -> None:
-        """A file of one value."""
+    def write_json(self, name: str, value: Any) -> None:
+        """Writes a value to ``name``.json."""
         (self.folder / f"{name}.json").write_text(json.dumps(value, indent=1) + "\n")
 
     def close(self) -> None:
-        """All of it is on its way to the disk."""
+        """Flushes and closes all files."""
         for file in self.files.values():
             file.close()
         self.files.clear()
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A line of a process's log."""
+    """One event of a gateway's log."""
 
     ms: int
     node: str
@@ -57,52 +57,54 @@
 
 
 @dataclass(slots=True)
-class Evidence:
-    """What the files tell. ``run`` has began, over and agreed (ms; None: never), gateways and seed."""
+class RunData:
+    """The files of a run, read back. ``run`` has the times of the start (``began``), of the end of the
+    schedule (``over``) and of the agreement of all views (``agreed``; None: never), the seed and the number
+    of gateways."""
 
     run: dict[str, Any]
-    faults: list[tuple[int, int | None, PlannedFault]]  # began, ended (ms; None: it never did), what
+    faults: list[tuple[int, int | None, PlannedFault]]  # start and end (ms; None: not undone)
     events: list[Event]
     clients: list[dict[str, Any]]
     hosts: list[dict[str, Any]]
-    tables: dict[str, dict[str, Any]]  # what each gateway held at the end
+    member_views: dict[str, dict[str, Any]]  # each gateway's member view at the end; None: no answer
 
     @property
     def gateways(self) -> list[str]:
-        """Names of all."""
+        """Names of all gateways."""
         return [f"gw-{rank}" for rank in range(self.run["gateways"])]
 
 
-def _lines(file: Path) -> Iterator[dict[str, Any]]:
+def _read_lines(file: Path) -> Iterator[dict[str, Any]]:
     if not file.exists():
         return
-    for text in file.read_text(errors="replace").splitlines():
+    for line in file.read_text(errors="replace").splitlines():
         try:
-            value = json.loads(text)
+            value = json.loads(line)
         except json.JSONDecodeError:
-            continue  # a line that a kill cut off
+            continue  # a line truncated by a kill of its process
         if isinstance(value, dict):
             yield value
 
 
-def read(folder: Path) -> Evidence:
-    """The files of a run."""
+def read_run(folder: Path) -> RunData:
+    """Reads the files of a run."""
     run = json.loads((folder / "run.json").read_text())
     tables = folder / "tables.json"
-    return Evidence(
+    return RunData(
         run,
-        _faults(folder),
-        _events(folder),
-        list(_lines(folder / "clients.jsonl")),
-        list(_lines(folder / "hosts.jsonl")),
+        _read_faults(folder),
+        _read_events(folder),
+        list(_read_lines(folder / "clients.jsonl")),
+        list(_read_lines(folder / "hosts.jsonl")),
         json.loads(tables.read_text()) if tables.exists() else {},
     )
 
 
-def _faults(folder: Path) -> list[tuple[int, int | None, PlannedFault]]:
+def _read_faults(folder: Path) -> list[tuple[int, int | None, PlannedFault]]:
     began: dict[int, tuple[int, PlannedFault]] = {}
     ended: dict[int, int] = {}
-    for line in _lines(folder / "faults.jsonl"):
+    for line in _read_lines(folder / "faults.jsonl"):
         if line["step"] == "begun":
             began[line["number"]] = line["ms"], planned_fault_from_fields(line["fault"])
         else:
@@ -110,11 +112,11 @@
     return [(ms, ended.get(number), fault) for number, (ms, fault) in sorted(began.items())]
 
 
-def _events(folder: Path) -> list[Event]:
+def _read_events(folder: Path) -> list[Event]:
     events = [
         Event(line["boot_ms"], file.stem, line["event"], line)
         for file in sorted(folder.glob("gw-*.log"))
-        for line in _lines(file)
+        for line in _read_lines(file)
         if "boot_ms" in line and "event" in line
     ]
     return sorted(events, key=lambda event: event.ms)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -32,7 +32,7 @@
     return [event for event in events if event.name != name or (node and event.node != node)]
 
 
-def forge(evidence: record.Evidence, rule: str) -> None:
+def forge(evidence: record.RunData, rule: str) -> None:
     """Make the files say what breaks a rule."""
     began, over = evidence.run["began"], evidence.run["over"]
     match rule:
@@ -45,9 +45,9 @@
         case "dead direction not named":
             evidence.events = without(evidence.events, "member_link_changed")
         case "whole direction named dead":
-            evidence.tables["gw-0"]["links_down"] = [[0, 1]]
+            evidence.member_views["gw-0"]["links_down"] = [[0, 1]]
         case "views differ":
-            evidence.tables["gw-0"]["members"]["2"][0] = "gone"
+            evidence.member_views["gw-0"]["members"]["2"][0] = "gone"
         case "standstill not noticed":
             evidence.events = without(evidence.events, "member_stood_still", "gw-3")
         case "request lost":
@@ -93,10 +93,10 @@
     assert [file.name for file in tmp_path.iterdir()] == ["out"]  # the scratch folder is gone
     assert alive(str(tmp_path)) == []
     assert verdict["requests"]["served"] > 30 and verdict["equal_after_ms"] is not None
-    evidence = record.read(Path(verdict["out"]))
+    evidence = record.read_run(Path(verdict["out"]))
     said = {(event.node, event.name) for event in evidence.events}
     assert ("gw-3", "member_stood_still") in said and ("gw-3", "member_sure_again") in said
-    views = list(evidence.tables.values())
+    views = list(evidence.member_views.values())
     assert len(views) == 4 and all(view["members"]["4"][0] == "gone" for view in views)
     assert {line["host"] for line in evidence.hosts} == {"host-0", "host-1", "host-2"}
     for rule in RULES:
@@ -143,7 +143,7 @@
     file.write_text(head + "\n".join(steps))
     code, [verdict] = play(tmp_path, file)
     assert code == 0, verdict["breaches"]
-    evidence = record.read(Path(verdict["out"]))
+    evidence = record.read_run(Path(verdict["out"]))
     placed = {
         (event.node, event.fields["member"]) for event in evidence.events if event.name == "member_placed"
     }
@@ -151,7 +151,7 @@
     moved = [e for e in evidence.events if e.name == "member_placed" and e.fields["member"] == 2]
     assert len({e.fields["address"] for e in moved}) == 2  # where it was, and where it is
     assert verdict["requests"]["served"] > 30
-    assert all(view["unplaced"] in ([], [0]) for view in evidence.tables.values())
+    assert all(view["unplaced"] in ([], [0]) for view in evidence.member_views.values())
 
 
 def test_a_fleet_of_the_revision_before_is_restarted_to_this_one_and_one_is_upgraded_in_service(tmp_path):
@@ -165,10 +165,12 @@
     file.write_text(f'gateways = 3\nhosts = 1\ncustomers = 3\nlasts = "13s"\nsettle = "6s"\n{faults}')
     code, [verdict] = play(tmp_path, file, "--before", BEFORE)
     assert code == 0, verdict["breaches"]
-    evidence = record.read(Path(verdict["out"]))
-    assert all(len(view["members"]) == 2 for view in evidence.tables.values())
+    evidence = record.read_run(Path(verdict["out"]))
+    assert all(len(view["members"]) == 2 for view in evidence.member_views.values())
     assert verdict["requests"]["served"] > 30
-    lives = {life for view in evidence.tables.values() for _, life, *_ in [view["members"].get("0", (0, 0))]}
+    lives = {
+        life for view in evidence.member_views.values() for _, life, *_ in [view["members"].get("0", (0, 0))]
+    }
     assert len(lives - {0}) == 1  # the upgraded one's new life, everywhere
 
 
