--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -1,4 +1,4 @@
-"""Runs of a schedule with their verdict, and the fewest faults that still break a rule."""
+"""Runs of a schedule with their verdicts, and the reduction of a failing run to the fewest faults."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from . import checker, fleet, record
 from .schedule import PlannedFault, Schedule, plan
 
-Test = Callable[[list[PlannedFault]], Awaitable[bool]]  # whether these faults still break a rule
+# Whether a run with these faults still breaks a rule.
+FaultsTest = Callable[[list[PlannedFault]], Awaitable[bool]]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """One run: its seed, its faults, what it broke, and figures from its files."""
+    """The result of one run: its seed, its faults, the rules that were broken and figures from its files."""
 
     seed: int
     out: Path
@@ -29,7 +30,7 @@
     figures: dict[str, Any]
 
     def fields(self) -> dict[str, Any]:
-        """For machines."""
+        """The verdict as JSON-compatible values."""
         return {
             "seed": self.seed,
             "out": str(self.out),
@@ -39,14 +40,14 @@
         }
 
 
-def figures(evidence: record.RunData) -> dict[str, Any]:
-    """Counts of what clients got and of what members said; times until views were equal."""
-    agreed, over = evidence.run["agreed"], evidence.run["over"]
-    said = Counter(event.name for event in evidence.events if event.ms >= evidence.run["began"])
+def figures(run_data: record.RunData) -> dict[str, Any]:
+    """Counts of clients' results and of log events; the time until all member views were equal."""
+    agreed_ms, end_ms = run_data.run["agreed"], run_data.run["over"]
+    event_counts = Counter(event.name for event in run_data.events if event.ms >= run_data.run["began"])
     return {
-        "requests": dict(Counter(line["came"] for line in evidence.clients)),
-        "said": dict(sorted(said.items())),
-        "equal_after_ms": None if agreed is None else agreed - over,
+        "requests": dict(Counter(line["came"] for line in run_data.clients)),
+        "said": dict(sorted(event_counts.items())),
+        "equal_after_ms": None if agreed_ms is None else agreed_ms - end_ms,
     }
 
 
@@ -56,50 +57,55 @@
     out: Path,
     module: str = "birchdrum",
     faults: list[PlannedFault] | None = None,
-    before: str | None = None,
+    previous_revision: str | None = None,
 ) -> Verdict:
-    """Play once into ``out``, which is emptied first. Raises ``fleet.FleetError``."""
+    """Runs the schedule once and writes its files into ``out``, which is emptied first.
+
+    ``faults`` replaces the faults of the schedule and the seed. Raises ``fleet.FleetError``.
+    """
     shutil.rmtree(out, ignore_errors=True)
     planned = plan(schedule, seed) if faults is None else faults
-    await fleet.play(schedule, planned, seed, out, module, before)
-    evidence = record.read_run(out)
-    verdict = Verdict(seed, out, planned, checker.breaches(evidence), figures(evidence))
+    await fleet.play(schedule, planned, seed, out, module, previous_revision)
+    run_data = record.read_run(out)
+    verdict = Verdict(seed, out, planned, checker.breaches(run_data), figures(run_data))
     (out / "verdict.json").write_text(json.dumps(verdict.fields(), indent=1) + "\n")
     return verdict
 
 
 def summary_lines(name: str, verdict: Verdict) -> list[str]:
-    """For people."""
-    done = [f"{name}, seed {verdict.seed}: {len(verdict.breaches)} rules broken, files in {verdict.out}"]
-    done += [f"  {fault}" for fault in verdict.faults] if verdict.breaches else []
-    done += [f"  BROKEN {breach}" for breach in verdict.breaches]
-    words = (f"{key} {value}" for key, value in verdict.figures.items())
-    return [*done, f"  {'; '.join(words)}"]
-
-
-async def shrink(faults: list[PlannedFault], breaks: Test) -> list[PlannedFault]:
-    """The fewest of the faults that still break a rule: halves first, then one after another (ddmin)."""
-    parts = 2
+    """The verdict in readable lines."""
+    summary = [f"{name}, seed {verdict.seed}: {len(verdict.breaches)} rules broken, files in {verdict.out}"]
+    summary += [f"  {fault}" for fault in verdict.faults] if verdict.breaches else []
+    summary += [f"  BROKEN {breach}" for breach in verdict.breaches]
+    figure_texts = (f"{key} {value}" for key, value in verdict.figures.items())
+    return [*summary, f"  {'; '.join(figure_texts)}"]
+
+
+async def shrink(faults: list[PlannedFault], breaks_rule: FaultsTest) -> list[PlannedFault]:
+    """Reduces the faults to a minimal set that still breaks a rule: delta debugging (ddmin), which leaves out
+    halves first, then smaller and smaller parts, down to single faults."""
+    part_count = 2
     while len(faults) > 1:
-        size = -(-len(faults) // parts)
-        for first in range(0, len(faults), size):
-            without = faults[:first] + faults[first + size :]
-            if without and await breaks(without):
-                faults, parts = without, max(2, parts - 1)
+        part_size = -(-len(faults) // part_count)
+        for start in range(0, len(faults), part_size):
+            remaining = faults[:start] + faults[start + part_size :]
+            if remaining and await breaks_rule(remaining):
+                faults, part_count = remaining, max(2, part_count - 1)
                 break
         else:
-            if size == 1:
+            if part_size == 1:
                 break
-            parts = min(len(faults), 2 * parts)
+            part_count = min(len(faults), 2 * part_count)
     return faults
 
 
 async def run_until_signalled(work: Awaitable[int]) -> int:
-    """Have it end in order where we are told to end: 130."""
+    """Runs ``work``, cancelled by SIGINT, SIGTERM and SIGHUP so that it cleans up; returns its exit code, or
+    130 if it was cancelled."""
     loop = asyncio.get_running_loop()
     task = asyncio.ensure_future(work)
-    for word in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        loop.add_signal_handler(word, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        loop.add_signal_handler(signal_number, task.cancel)
     try:
         return await task
     except asyncio.CancelledError:
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -15,7 +15,7 @@
 from lab.clients import Customer, Kind, Line, command
 
 from .fleet import PLAN, Fleet
-from .guard import Guard
+from .guard import FolderGuard
 from .schedule import Schedule
 
 LINES = 8  # connections that the load comes on
@@ -56,7 +56,7 @@
 async def _up(schedule: Schedule, seed: int) -> AsyncIterator[tuple[Fleet, int]]:
     """A fleet, and its first gateway's process; nothing is left of it."""
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cost-"))
-    guard = Guard(folder)
+    guard = FolderGuard(folder)
     fleet = Fleet(schedule, seed, folder / "out", folder, "birchdrum", None)
     try:
         await fleet.start()
@@ -65,7 +65,7 @@
         yield fleet, child.process.pid
     finally:
         await fleet.end()
-        guard.end()
+        guard.remove()
         shutil.rmtree(folder, ignore_errors=True)
 
 
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -26,7 +26,7 @@
 from lab.hosts import Host, Machine
 from lab.registration import Registration
 
-from .guard import Guard
+from .guard import FolderGuard
 from .record import RunWriter, now_ms
 from .relay import Address, DatagramRelay, Links, StreamRelay
 from .schedule import LIST_SERVICE, PlannedFault, Schedule, gateway_names
@@ -493,12 +493,12 @@
     revision, and what is started later is of today. Raises Broken."""
     _allow_descriptors(SPARE + schedule.gateways * schedule.gateways)
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cluster-"))
-    guard = Guard(folder)
+    guard = FolderGuard(folder)
     run: dict[str, Any] = {"seed": seed, "gateways": schedule.gateways, "agreed": None}
     try:
         fleet = Fleet(schedule, seed, out, folder, module, before)
     except BaseException:
-        guard.end()
+        guard.remove()
         raise
     try:
         await fleet.start()
@@ -517,4 +517,4 @@
         try:
             await fleet.end()
         finally:
-            guard.end()
+            guard.remove()
--- a/lab/cluster/guard.py
+++ b/lab/cluster/guard.py
@@ -1,4 +1,7 @@
-"""Removes a folder once whoever started us has ended, however: ``python -m lab.cluster.guard FOLDER``."""
+"""Removes a folder as soon as the parent process has exited, even if it was killed.
+
+Run as ``python -m lab.cluster.guard FOLDER``, with a pipe from the parent as standard input.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 from typing import IO
 
 
-class Guard:
-    """The folder of a run; it is gone when we are."""
+class FolderGuard:
+    """A child process that removes a folder when its parent exits or calls ``remove``."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        words = [sys.executable, "-m", "lab.cluster.guard", str(folder)]
-        self.process = subprocess.Popen(words, stdin=subprocess.PIPE, start_new_session=True)
+        command = [sys.executable, "-m", "lab.cluster.guard", str(folder)]
+        self.process = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
 
-    def end(self) -> None:
-        """Remove it now."""
+    def remove(self) -> None:
+        """Removes the folder now and waits until that is done."""
         stdin: IO[bytes] | None = self.process.stdin
         if stdin:
             stdin.close()
@@ -27,9 +30,12 @@
 
 
 def main() -> None:
-    """Wait until the pipe's other end is closed, by its owner or by the kernel."""
-    for word in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        signal.signal(word, signal.SIG_IGN)
+    """Waits until the parent, or the kernel on the parent's exit, closes the pipe; then removes the folder.
+
+    Signals that end the parent are ignored, as they may be sent to both.
+    """
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        signal.signal(signal_number, signal.SIG_IGN)
     while sys.stdin.buffer.read(1):
         pass
     shutil.rmtree(sys.argv[1], ignore_errors=True)
