--- a/lab/children.py
+++ b/lab/children.py
@@ -26,7 +26,8 @@
     """One child process; its standard error goes to a log file, and its last lines are kept in memory."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
-        self.name, self.process = name, process
+        self.name = name
+        self.process = process
         self.lines: deque[str] = deque(maxlen=LAST_LINES_MAX)
         self.reading = asyncio.get_running_loop().create_task(self._read(log))
 
@@ -52,7 +53,8 @@
     def __init__(self, folder: Path, parent_death_signal: signal.Signals = signal.SIGTERM) -> None:
         """Logs go to ``folder``. The kernel sends ``parent_death_signal`` to each child if this process dies
         without stopping them. A child paused by SIGSTOP reacts to SIGKILL only."""
-        self.folder, self.parent_death_signal = folder, parent_death_signal
+        self.folder = folder
+        self.parent_death_signal = parent_death_signal
         self.all: list[Child] = []
 
     async def start(
--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -42,7 +42,8 @@
 
 def figures(run_data: record.RunData) -> dict[str, Any]:
     """Counts of clients' results and of log events; the time until all member views were equal."""
-    agreed_ms, end_ms = run_data.run["agreed"], run_data.run["over"]
+    agreed_ms = run_data.run["agreed"]
+    end_ms = run_data.run["over"]
     event_counts = Counter(event.name for event in run_data.events if event.ms >= run_data.run["began"])
     return {
         "requests": dict(Counter(line["came"] for line in run_data.clients)),
--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -20,7 +20,8 @@
 YIELD = 10_000  # ms until one of twins has yielded
 START = 8_000  # ms for a restarted process to be a member
 PAUSE_LEAST = 600  # ms: a shorter pause may pass unnoticed
-LOSS_BORNE, DELAY_BORNE = 0.25, 0.06  # of the messages; seconds each way
+LOSS_BORNE = 0.25  # of the messages
+DELAY_BORNE = 0.06  # seconds each way
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,14 +207,18 @@
                 again = list(self._on(("kill", "leave", "move", "pause"), span.began, span.ended + NOTICE))
                 if any(other is not span and name in other.fault.nodes for other in again):
                     continue
-                first = span.began + PAUSE_LEAST // 2  # it says nothing while it stands
-                said = [e for e in self.members if e.node == name and e.ms >= first]
-                in_time = bool(said) and said[0].ms <= span.ended + NOTICE
-                if not in_time or said[0].name != "member_stood_still":
-                    what = said[0].name if said else "nothing"
+                first = self._first_said(
+                    name, span.began + PAUSE_LEAST // 2
+                )  # it says nothing while it stands
+                in_time = first is not None and first.ms <= span.ended + NOTICE
+                if first is None or not in_time or first.name != "member_stood_still":
+                    what = first.name if first else "nothing"
                     text = f"{name} went on after {(span.ended - span.began) / 1000:g} s, said first: {what}"
                     yield self._breach("standstill not noticed", span.ended, text)
 
+    def _first_said(self, name: str, first: int) -> Event | None:
+        return next((event for event in self.members if event.node == name and event.ms >= first), None)
+
     def who_is_not_heard_says_so(self) -> Iterator[Breach]:
         """A member none of whose words arrive anywhere learns it, if it hears others."""
         for span in self._on(("cut",), 0, FOREVER):
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -42,7 +42,9 @@
 UPGRADE_YES = 0.3  # seconds from its yes to the word to the process before it
 SPARE = 512  # descriptors for all but the relay's sockets
 KINDS = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
-PLAN, RATE, BURST = "domestic", 4.0, 12.0
+PLAN = "domestic"
+RATE = 4.0
+BURST = 12.0
 DEMANDS = (0.5, 0.9, 1.6)  # of its quota, customer by customer
 
 
--- a/lab/cluster/relay.py
+++ b/lab/cluster/relay.py
@@ -25,6 +25,7 @@
 DATAGRAM_SIZE_MAX = 2_048  # bytes; longer datagrams are truncated
 READ_SIZE = 65_536  # bytes of a TCP read
 READS_PER_WAKEUP_MAX = 64  # datagrams read from one socket before the others get a turn
+CUT_POLL_INTERVAL = 0.02  # seconds between checks whether a cut TCP link has recovered
 
 
 @dataclass(slots=True)
@@ -109,7 +110,9 @@
     def __init__(self, links: Links, peers: dict[str, Address], shared: bool = False) -> None:
         """``peers`` has each gateway's own peer address. With ``shared`` there is one socket for each
         gateway, otherwise one for each directed pair."""
-        self.links, self.peers, self.loop = links, peers, asyncio.get_running_loop()
+        self.links = links
+        self.peers = peers
+        self.loop = asyncio.get_running_loop()
         self.shared = shared
         self.names_by_address = {address: name for name, address in peers.items()}
         self.sockets: dict[Link, socket.socket] = {}
@@ -184,7 +187,10 @@
     dropped, as TCP would retransmit it when the network recovers."""
 
     def __init__(self, links: Links, client: str, service: str, target: Address) -> None:
-        self.links, self.client, self.service, self.target = links, client, service, target
+        self.links = links
+        self.client = client
+        self.service = service
+        self.target = target
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.address: Address = ("127.0.0.1", 0)
@@ -220,7 +226,7 @@
             while data := await reader.read(READ_SIZE):
                 direction.counters["came"] += 1
                 while direction.is_cut():
-                    await asyncio.sleep(0.02)
+                    await asyncio.sleep(CUT_POLL_INTERVAL)
                 delay = sum(fault.by for fault in direction.faults if fault.what in ("delay", "reorder"))
                 if delay:
                     await asyncio.sleep(delay)
