--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -129,7 +129,8 @@
             about, first = f"gw-{event.fields['member']}", event.ms - LOOK_BACK
             teller = event.node.removesuffix("-twin")
             if not self._away(about, first, event.ms) and self._reaches(about, teller, first, event.ms):
-                yield self._breach("gone though there", event.ms, f"{event.node} holds {about} gone")
+                text = f"{event.node} holds {about} gone"
+                yield self._breach("gone though there", event.ms, text)
 
     def the_dead_are_found(self) -> Iterator[Breach]:
         """All that run hold a killed one gone in time."""
@@ -213,7 +214,8 @@
                 in_time = first is not None and first.ms <= span.ended + NOTICE
                 if first is None or not in_time or first.name != "member_stood_still":
                     what = first.name if first else "nothing"
-                    text = f"{name} went on after {(span.ended - span.began) / 1000:g} s, said first: {what}"
+                    pause = (span.ended - span.began) / 1000
+                    text = f"{name} went on after {pause:g} s, said first: {what}"
                     yield self._breach("standstill not noticed", span.ended, text)
 
     def _first_said(self, name: str, first: int) -> Event | None:
@@ -231,13 +233,15 @@
                     continue
                 said = self._said("member_unheard", span.began, last)
                 if not any(event.node == name and event.fields["holds"] for event in said):
-                    yield self._breach("unheard unknowing", last, f"{name} does not say that nobody hears it")
+                    text = f"{name} does not say that nobody hears it"
+                    yield self._breach("unheard unknowing", last, text)
 
     def one_of_twins_yields(self) -> Iterator[Breach]:
         """And not both."""
         for span in self._on(("twin",), 0, FOREVER):
             for name in span.fault.nodes:
-                said = self._said("member_has_twin", span.began, min(span.ended, span.began + YIELD))
+                last = min(span.ended, span.began + YIELD)
+                said = self._said("member_has_twin", span.began, last)
                 yielded = [event.node for event in said if event.node in (name, f"{name}-twin")]
                 if len(yielded) != 1:
                     text = f"of two under {name} these yielded: {', '.join(yielded) or 'none'}"
@@ -259,15 +263,17 @@
                 at = event.fields["member"], sum(ms <= event.ms for ms in began)
                 what = event.fields["life"], event.fields["incarnation"]
                 if what < held.get(at, what):
-                    yield self._breach("life went back", event.ms, f"{node} of gw-{at[0]}")
+                    text = f"{node} of gw-{at[0]}"
+                    yield self._breach("life went back", event.ms, text)
                 held[at] = what
 
     def nothing_is_lost_without_a_fault(self) -> Iterator[Breach]:
         """A gateway that was there answers every request."""
         for line in self.e.clients:
             began = line["ms"] - line["took_ms"]
-            if line["came"] == "lost" and not self._away(line["gateway"], began - NOTICE, line["ms"]):
-                text = f"request {line['id']} by {line['gateway']}, sent {line['took_ms']} ms before"
+            first = began - NOTICE
+            if line["came"] == "lost" and not self._away(line["gateway"], first, line["ms"]):
+                text = f"{line['gateway']} did not answer request {line['id']} within {line['took_ms']} ms"
                 yield self._breach("request lost", line["ms"], text)
 
     def no_process_ends_by_itself(self) -> Iterator[Breach]:
