--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -1,7 +1,8 @@
-"""What a run must not show, found in its files alone: see ``record``. Each rule gives its breaches.
+"""Rules that a run must satisfy, evaluated from its files alone (see ``record``).
 
-A rule holds wherever no fault that was done excuses it: who was killed, paused or cut off from all may be
-held gone; beyond the loss and delay that the design promises to bear nothing is claimed.
+A rule applies only where no injected fault excuses its violation: a process that was killed, paused or cut
+off from all others may be declared gone, and nothing is required under more loss or delay than the design
+tolerates.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 from .record import Event, RunData
 from .schedule import Link, PlannedFault
 
-FOREVER = 1 << 62  # ms
-LOOK_BACK = 8_000  # ms before a word in which its cause may lie
-DETECT = 6_000  # ms until all that run hold a killed one gone
-NAME = 6_000  # ms until a dead direction is named
-NOTICE = 2_000  # ms until a process that goes on says that it stood still
-YIELD = 10_000  # ms until one of twins has yielded
-START = 8_000  # ms for a restarted process to be a member
-PAUSE_LEAST = 600  # ms: a shorter pause may pass unnoticed
-LOSS_BORNE = 0.25  # of the messages
-DELAY_BORNE = 0.06  # seconds each way
+NEVER_MS = 1 << 62  # end of a fault that was not undone
+CAUSE_WINDOW_MS = 8_000  # before a log event; its cause may lie within
+DETECTION_TIMEOUT_MS = 6_000  # until all running members have declared a killed one gone
+LINK_REPORT_TIMEOUT_MS = 6_000  # until a failed direction is reported
+STANDSTILL_REPORT_TIMEOUT_MS = 2_000  # until a resumed process reports that it stood still
+TWIN_YIELD_TIMEOUT_MS = 10_000  # until one of two processes of the same rank has yielded
+START_TIMEOUT_MS = 8_000  # for a restarted process to become a member
+DETECTABLE_PAUSE_MIN_MS = 600  # a shorter pause may go undetected
+TOLERATED_LOSS = 0.25  # fraction of the messages
+TOLERATED_DELAY = 0.06  # seconds each way
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,255 +38,283 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """A fault's time, as done."""
+class FaultSpan:
+    """The time during which a fault was active."""
 
     began: int
     ended: int
     fault: PlannedFault
 
-    def meets(self, first: int, last: int) -> bool:
-        """Whether it was on at any moment between."""
+    def overlaps(self, first: int, last: int) -> bool:
+        """Whether the fault was active at any moment between the two times."""
         return self.began <= last and self.ended >= first
 
 
 class Checker:
-    """One run's evidence, asked in different ways."""
+    """Evaluates the rules on the data of one run."""
 
-    def __init__(self, evidence: RunData) -> None:
-        self.e = evidence
-        self.zero = evidence.run["began"]
+    def __init__(self, run_data: RunData) -> None:
+        self.data = run_data
+        self.start_ms = run_data.run["began"]
         self.spans = [
-            Span(began, FOREVER if ended is None else ended, fault) for began, ended, fault in evidence.faults
+            FaultSpan(began, NEVER_MS if ended is None else ended, fault)
+            for began, ended, fault in run_data.faults
         ]
-        self.over = evidence.run["over"]
-        self.members = [event for event in evidence.events if event.name.startswith("member_")]
+        self.end_ms = run_data.run["over"]
+        self.member_events = [event for event in run_data.events if event.name.startswith("member_")]
 
-    def _on(self, kinds: Iterable[str], first: int, last: int) -> Iterator[Span]:
+    def _spans_of(self, kinds: Iterable[str], start: int, end: int) -> Iterator[FaultSpan]:
         wanted = set(kinds)
-        return (span for span in self.spans if span.fault.what in wanted and span.meets(first, last))
+        return (span for span in self.spans if span.fault.what in wanted and span.overlaps(start, end))
 
-    def _away(self, node: str, first: int, last: int) -> bool:
-        """Whether a process was not there, or only starting, at any moment between."""
-        gone = self._on(("kill", "leave", "upgrade", "move"), first - START, last)
-        if any(node in span.fault.nodes for span in gone):
+    def _was_unavailable(self, node: str, start: int, end: int) -> bool:
+        """Whether a process was down, starting, paused or had a twin at any moment between."""
+        restarts = self._spans_of(("kill", "leave", "upgrade", "move"), start - START_TIMEOUT_MS, end)
+        if any(node in span.fault.nodes for span in restarts):
             return True
-        return any(node in span.fault.nodes for span in self._on(("pause", "twin"), first, last))
+        return any(node in span.fault.nodes for span in self._spans_of(("pause", "twin"), start, end))
 
-    def _dead(self, first: int, last: int) -> set[Link]:
-        """Directions that did not work at some moment between, or worse than is borne."""
-        bad = {link for span in self._on(("cut",), first, last) for link in span.fault.links}
-        for span in self._on(("loss", "garble", "delay", "reorder", "throttle"), first, last):
+    def _failed_links(self, start: int, end: int) -> set[Link]:
+        """Directed links that were cut, or impaired beyond the tolerated loss and delay, at any moment
+        between."""
+        failed = {link for span in self._spans_of(("cut",), start, end) for link in span.fault.links}
+        for span in self._spans_of(("loss", "garble", "delay", "reorder", "throttle"), start, end):
             fault = span.fault
-            if fault.what == "throttle" or fault.amount > LOSS_BORNE or fault.by > DELAY_BORNE:
-                bad |= set(fault.links)
-        return bad
-
-    def _reaches(self, source: str, target: str, first: int, last: int) -> bool:
-        """Whether word of one could come to the other all the time, by whoever was there."""
-        dead = self._dead(first, last)
-        there = [name for name in self.e.gateways if not self._away(name, first, last)]
-        seen, edge = {source}, [source]
-        while edge:
-            at = edge.pop()
-            if at == target:
+            if fault.what == "throttle" or fault.amount > TOLERATED_LOSS or fault.by > TOLERATED_DELAY:
+                failed |= set(fault.links)
+        return failed
+
+    def _could_reach(self, source: str, target: str, start: int, end: int) -> bool:
+        """Whether updates could spread from source to target throughout, also by way of available
+        gateways."""
+        failed = self._failed_links(start, end)
+        available = [name for name in self.data.gateways if not self._was_unavailable(name, start, end)]
+        reached, frontier = {source}, [source]
+        while frontier:
+            node = frontier.pop()
+            if node == target:
                 return True
-            for name in there:
-                if name not in seen and (at, name) not in dead:
-                    seen.add(name)
-                    edge.append(name)
+            for name in available:
+                if name not in reached and (node, name) not in failed:
+                    reached.add(name)
+                    frontier.append(name)
         return False
 
     def breaches(self) -> list[Breach]:
-        """All of them, in time."""
+        """All broken rules, in order of time."""
         rules: list[Callable[[], Iterator[Breach]]] = [
-            self.nobody_who_is_there_is_gone,
-            self.the_dead_are_found,
-            self.dead_directions_are_named,
-            self.whole_directions_are_not_named,
-            self.views_are_equal_at_the_end,
-            self.standing_still_is_noticed_first,
-            self.who_is_not_heard_says_so,
-            self.one_of_twins_yields,
-            self.lives_never_go_back,
-            self.nothing_is_lost_without_a_fault,
-            self.no_process_ends_by_itself,
+            self.live_members_are_not_declared_gone,
+            self.dead_members_are_detected,
+            self.failed_directions_are_reported,
+            self.recovered_directions_are_not_reported,
+            self.final_views_agree,
+            self.standstill_is_reported_first,
+            self.unheard_members_report_it,
+            self.exactly_one_twin_yields,
+            self.incarnations_never_decrease,
+            self.no_request_is_lost_without_fault,
+            self.no_process_exits_unexpectedly,
         ]
         return sorted((breach for rule in rules for breach in rule()), key=lambda breach: breach.ms)
 
     def _breach(self, rule: str, ms: int, text: str) -> Breach:
-        return Breach(rule, ms - self.zero, text)
+        return Breach(rule, ms - self.start_ms, text)
 
-    def _said(self, name: str, first: int, last: int) -> Iterator[Event]:
-        return (event for event in self.members if event.name == name and first <= event.ms <= last)
+    def _events(self, name: str, start: int, end: int) -> Iterator[Event]:
+        return (event for event in self.member_events if event.name == name and start <= event.ms <= end)
 
     # -- rules ----------------------------------------------------------------------------------------------
 
-    def nobody_who_is_there_is_gone(self) -> Iterator[Breach]:
-        """Who runs, and whose word can come through, is not held gone."""
-        for event in self._said("member_changed", self.zero, FOREVER):
+    def live_members_are_not_declared_gone(self) -> Iterator[Breach]:
+        """A running member whose updates can reach the observer is not declared gone by it."""
+        for event in self._events("member_changed", self.start_ms, NEVER_MS):
             if event.fields["state"] != "gone":
                 continue
-            about, first = f"gw-{event.fields['member']}", event.ms - LOOK_BACK
-            teller = event.node.removesuffix("-twin")
-            if not self._away(about, first, event.ms) and self._reaches(about, teller, first, event.ms):
-                text = f"{event.node} holds {about} gone"
+            member, start = f"gw-{event.fields['member']}", event.ms - CAUSE_WINDOW_MS
+            observer = event.node.removesuffix("-twin")
+            if not self._was_unavailable(member, start, event.ms) and self._could_reach(
+                member, observer, start, event.ms
+            ):
+                text = f"{event.node} declared {member} gone"
                 yield self._breach("gone though there", event.ms, text)
 
-    def the_dead_are_found(self) -> Iterator[Breach]:
-        """All that run hold a killed one gone in time."""
-        for span in self._on(("kill", "leave"), 0, FOREVER):
-            last = span.began + DETECT
-            if span.ended < last:
+    def dead_members_are_detected(self) -> Iterator[Breach]:
+        """All running members declare a killed one gone within the detection timeout."""
+        for span in self._spans_of(("kill", "leave"), 0, NEVER_MS):
+            deadline = span.began + DETECTION_TIMEOUT_MS
+            if span.ended < deadline:
                 continue
-            for about in span.fault.nodes:
-                for name in self.e.gateways:
-                    hurt = any(name in link for link in self._dead(span.began, last))
-                    if name == about or hurt or self._away(name, span.began, last):
+            for member in span.fault.nodes:
+                for name in self.data.gateways:
+                    has_failed_link = any(name in link for link in self._failed_links(span.began, deadline))
+                    if name == member or has_failed_link or self._was_unavailable(name, span.began, deadline):
                         continue
-                    if not self._found_dead(name, about, span.began - LOOK_BACK, last):
-                        text = f"{name} did not find within {DETECT / 1000:g} s that {about} is dead"
-                        yield self._breach("death not found", last, text)
+                    if not self._declared_gone(name, member, span.began - CAUSE_WINDOW_MS, deadline):
+                        text = (
+                            f"{name} did not detect {member} as down within {DETECTION_TIMEOUT_MS / 1000:g} s"
+                        )
+                        yield self._breach("death not found", deadline, text)
 
-    def _found_dead(self, name: str, about: str, first: int, last: int) -> bool:
+    def _declared_gone(self, observer: str, member: str, start: int, end: int) -> bool:
         return any(
-            event.node == name
-            and f"gw-{event.fields['member']}" == about
+            event.node == observer
+            and f"gw-{event.fields['member']}" == member
             and event.fields["state"] in ("gone", "left")
-            for event in self._said("member_changed", first, last)
+            for event in self._events("member_changed", start, end)
         )
 
-    def dead_directions_are_named(self) -> Iterator[Breach]:
-        """A direction that is cut while its opposite lives is named, and no more once it is whole."""
-        for span in self._on(("cut",), 0, FOREVER):
-            last = span.began + NAME
-            if span.ended < last:
+    def failed_directions_are_reported(self) -> Iterator[Breach]:
+        """A direction that is cut while the opposite one works is reported as down."""
+        for span in self._spans_of(("cut",), 0, NEVER_MS):
+            deadline = span.began + LINK_REPORT_TIMEOUT_MS
+            if span.ended < deadline:
                 continue
-            dead = self._dead(span.began, last)
+            failed = self._failed_links(span.began, deadline)
             for a, b in span.fault.links:
-                if not {a, b} <= set(self.e.gateways) or (b, a) in dead:
+                if not {a, b} <= set(self.data.gateways) or (b, a) in failed:
                     continue
-                if self._away(a, span.began, last) or self._away(b, span.began, last):
+                if self._was_unavailable(a, span.began, deadline) or self._was_unavailable(
+                    b, span.began, deadline
+                ):
                     continue
-                ends = int(a[3:]), int(b[3:])
-                said = self._said("member_link_changed", span.began, last)
-                if not any((e.fields["from"], e.fields["to"]) == ends and e.fields["down"] for e in said):
-                    text = f"nobody named {a}>{b} dead within {NAME / 1000:g} s"
-                    yield self._breach("dead direction not named", last, text)
-
-    def whole_directions_are_not_named(self) -> Iterator[Breach]:
-        whole = not self._dead(self.over, self.over + 1)
-        for name, view in self.e.member_views.items():
-            if view and view["links_down"] and whole and not view["yielded"]:
-                text = f"{name} still holds dead at the end: {view['links_down']}"
-                yield self._breach("whole direction named dead", self.over, text)
-
-    def views_are_equal_at_the_end(self) -> Iterator[Breach]:
-        """Once no fault is on, all hold the same."""
-        if self._dead(self.over, self.over + 1):
+                ranks = int(a[3:]), int(b[3:])
+                reports = self._events("member_link_changed", span.began, deadline)
+                if not any((e.fields["from"], e.fields["to"]) == ranks and e.fields["down"] for e in reports):
+                    text = f"no gateway reported {a}>{b} as down within {LINK_REPORT_TIMEOUT_MS / 1000:g} s"
+                    yield self._breach("dead direction not named", deadline, text)
+
+    def recovered_directions_are_not_reported(self) -> Iterator[Breach]:
+        """At the end no view has a direction as down if all links work."""
+        recovered = not self._failed_links(self.end_ms, self.end_ms + 1)
+        for name, view in self.data.member_views.items():
+            if view and view["links_down"] and recovered and not view["yielded"]:
+                text = f"{name} still has working links as down at the end: {view['links_down']}"
+                yield self._breach("whole direction named dead", self.end_ms, text)
+
+    def final_views_agree(self) -> Iterator[Breach]:
+        """Once no fault is active, all views have exactly the running gateways as present."""
+        if self._failed_links(self.end_ms, self.end_ms + 1):
             return
-        running = {int(name[3:]) for name in self.e.run["running"]}
-        if self.e.run["agreed"] is None:
-            yield self._breach("views differ", self.over, "they were not equal in the time to settle")
-        for name, view in self.e.member_views.items():
+        running = {int(name[3:]) for name in self.data.run["running"]}
+        if self.data.run["agreed"] is None:
+            yield self._breach(
+                "views differ", self.end_ms, "the views did not agree within the settling time"
+            )
+        for name, view in self.data.member_views.items():
             if view is None:
-                yield self._breach("views differ", self.over, f"{name} did not answer")
+                yield self._breach("views differ", self.end_ms, f"{name} did not answer")
                 continue
             if view["yielded"]:
                 continue
             members = view["members"].items()
-            held = {view["rank"]} | {int(rank) for rank, row in members if row[0] in ("alive", "suspect")}
-            if held != running:
-                text = f"{name} holds {sorted(held)} to be there, {sorted(running)} run"
-                yield self._breach("views differ", self.over, text)
-
-    def standing_still_is_noticed_first(self) -> Iterator[Breach]:
-        """Who was paused says so before it says anything of others."""
-        for span in self._on(("pause",), 0, FOREVER):
-            if span.ended >= FOREVER or span.ended - span.began < PAUSE_LEAST:
+            present = {view["rank"]} | {int(rank) for rank, row in members if row[0] in ("alive", "suspect")}
+            if present != running:
+                text = f"{name} has {sorted(present)} as present, but {sorted(running)} are running"
+                yield self._breach("views differ", self.end_ms, text)
+
+    def standstill_is_reported_first(self) -> Iterator[Breach]:
+        """A process that was paused reports it before it reports anything about others."""
+        for span in self._spans_of(("pause",), 0, NEVER_MS):
+            if span.ended >= NEVER_MS or span.ended - span.began < DETECTABLE_PAUSE_MIN_MS:
                 continue
             for name in span.fault.nodes:
-                again = list(self._on(("kill", "leave", "move", "pause"), span.began, span.ended + NOTICE))
-                if any(other is not span and name in other.fault.nodes for other in again):
+                other_spans = list(
+                    self._spans_of(
+                        ("kill", "leave", "move", "pause"),
+                        span.began,
+                        span.ended + STANDSTILL_REPORT_TIMEOUT_MS,
+                    )
+                )
+                if any(other is not span and name in other.fault.nodes for other in other_spans):
                     continue
-                first = self._first_said(
-                    name, span.began + PAUSE_LEAST // 2
-                )  # it says nothing while it stands
-                in_time = first is not None and first.ms <= span.ended + NOTICE
-                if first is None or not in_time or first.name != "member_stood_still":
-                    what = first.name if first else "nothing"
+                # A paused process logs nothing.
+                event = self._first_member_event(name, span.began + DETECTABLE_PAUSE_MIN_MS // 2)
+                in_time = event is not None and event.ms <= span.ended + STANDSTILL_REPORT_TIMEOUT_MS
+                if event is None or not in_time or event.name != "member_stood_still":
+                    reported = event.name if event else "nothing"
                     pause = (span.ended - span.began) / 1000
-                    text = f"{name} went on after {pause:g} s, said first: {what}"
+                    text = f"{name} resumed after {pause:g} s and first reported: {reported}"
                     yield self._breach("standstill not noticed", span.ended, text)
 
-    def _first_said(self, name: str, first: int) -> Event | None:
-        return next((event for event in self.members if event.node == name and event.ms >= first), None)
-
-    def who_is_not_heard_says_so(self) -> Iterator[Breach]:
-        """A member none of whose words arrive anywhere learns it, if it hears others."""
-        for span in self._on(("cut",), 0, FOREVER):
-            last, links = span.began + NAME, set(span.fault.links)
-            for name in self.e.gateways:
-                others = [other for other in self.e.gateways if other != name]
-                mute = len(others) > 1 and all((name, other) in links for other in others)
-                deaf = self._dead(span.began, last) & {(other, name) for other in others}
-                if not mute or deaf or span.ended < last or self._away(name, span.began, last):
+    def _first_member_event(self, node: str, start: int) -> Event | None:
+        return next((event for event in self.member_events if event.node == node and event.ms >= start), None)
+
+    def unheard_members_report_it(self) -> Iterator[Breach]:
+        """A member whose messages reach no other member reports so, if it receives those of others."""
+        for span in self._spans_of(("cut",), 0, NEVER_MS):
+            deadline, links = span.began + LINK_REPORT_TIMEOUT_MS, set(span.fault.links)
+            for name in self.data.gateways:
+                others = [other for other in self.data.gateways if other != name]
+                outbound_cut = len(others) > 1 and all((name, other) in links for other in others)
+                failed_inbound = self._failed_links(span.began, deadline) & {
+                    (other, name) for other in others
+                }
+                if (
+                    not outbound_cut
+                    or failed_inbound
+                    or span.ended < deadline
+                    or self._was_unavailable(name, span.began, deadline)
+                ):
                     continue
-                said = self._said("member_unheard", span.began, last)
-                if not any(event.node == name and event.fields["holds"] for event in said):
-                    text = f"{name} does not say that nobody hears it"
-                    yield self._breach("unheard unknowing", last, text)
-
-    def one_of_twins_yields(self) -> Iterator[Breach]:
-        """And not both."""
-        for span in self._on(("twin",), 0, FOREVER):
+                reports = self._events("member_unheard", span.began, deadline)
+                if not any(event.node == name and event.fields["holds"] for event in reports):
+                    text = f"{name} did not report that no other member receives its messages"
+                    yield self._breach("unheard unknowing", deadline, text)
+
+    def exactly_one_twin_yields(self) -> Iterator[Breach]:
+        """Of two processes with the same rank one yields, and not both."""
+        for span in self._spans_of(("twin",), 0, NEVER_MS):
             for name in span.fault.nodes:
-                last = min(span.ended, span.began + YIELD)
-                said = self._said("member_has_twin", span.began, last)
-                yielded = [event.node for event in said if event.node in (name, f"{name}-twin")]
+                deadline = min(span.ended, span.began + TWIN_YIELD_TIMEOUT_MS)
+                reports = self._events("member_has_twin", span.began, deadline)
+                yielded = [event.node for event in reports if event.node in (name, f"{name}-twin")]
                 if len(yielded) != 1:
-                    text = f"of two under {name} these yielded: {', '.join(yielded) or 'none'}"
-                    yield self._breach("twins", span.began + YIELD, text)
-
-    def lives_never_go_back(self) -> Iterator[Breach]:
-        """Nobody takes a former self, or one before a refutation, for the member again; a process that starts
-        anew knows nothing of before."""
-        for node in {event.node for event in self.members}:
-            began = [
+                    text = f"of two processes as {name} these yielded: {', '.join(yielded) or 'none'}"
+                    yield self._breach("twins", span.began + TWIN_YIELD_TIMEOUT_MS, text)
+
+    def incarnations_never_decrease(self) -> Iterator[Breach]:
+        """No process accepts an earlier life or incarnation of a member after a later one, except that a
+        process that was restarted knows nothing of the time before."""
+        for node in {event.node for event in self.member_events}:
+            restarts = [
                 span.began
-                for span in self._on(("kill", "leave", "upgrade", "move", "twin"), 0, FOREVER)
+                for span in self._spans_of(("kill", "leave", "upgrade", "move", "twin"), 0, NEVER_MS)
                 if node in span.fault.nodes
             ]
-            held: dict[tuple[int, int], tuple[int, int]] = {}  # by member, and how often it had begun by then
-            for event in self._said("member_changed", 0, FOREVER):
+            latest: dict[
+                tuple[int, int], tuple[int, int]
+            ] = {}  # by member and the observer's restarts so far
+            for event in self._events("member_changed", 0, NEVER_MS):
                 if event.node != node or event.fields["was"] == "unknown":
                     continue
-                at = event.fields["member"], sum(ms <= event.ms for ms in began)
-                what = event.fields["life"], event.fields["incarnation"]
-                if what < held.get(at, what):
-                    text = f"{node} of gw-{at[0]}"
+                key = event.fields["member"], sum(ms <= event.ms for ms in restarts)
+                incarnation = event.fields["life"], event.fields["incarnation"]
+                if incarnation < latest.get(key, incarnation):
+                    text = f"{node} accepted an earlier incarnation of gw-{key[0]}"
                     yield self._breach("life went back", event.ms, text)
-                held[at] = what
-
-    def nothing_is_lost_without_a_fault(self) -> Iterator[Breach]:
-        """A gateway that was there answers every request."""
-        for line in self.e.clients:
-            began = line["ms"] - line["took_ms"]
-            first = began - NOTICE
-            if line["came"] == "lost" and not self._away(line["gateway"], first, line["ms"]):
-                text = f"{line['gateway']} did not answer request {line['id']} within {line['took_ms']} ms"
+                latest[key] = incarnation
+
+    def no_request_is_lost_without_fault(self) -> Iterator[Breach]:
+        """A gateway that was available answers every request."""
+        for line in self.data.clients:
+            sent = line["ms"] - line["took_ms"]
+            start = sent - STANDSTILL_REPORT_TIMEOUT_MS
+            if line["came"] == "lost" and not self._was_unavailable(line["gateway"], start, line["ms"]):
+                text = (
+                    f"{line['gateway']} did not answer request {line['id']}, sent {line['took_ms']} ms before"
+                )
                 yield self._breach("request lost", line["ms"], text)
 
-    def no_process_ends_by_itself(self) -> Iterator[Breach]:
-        """Only who was told to."""
-        ends = ("kill", "leave", "upgrade", "move", "twin")
-        told = {name for span in self._on(ends, 0, FOREVER) for name in span.fault.nodes}
-        for name in sorted(set(self.e.run["ended"])):
-            if name.removesuffix("-twin").removesuffix("-before") in told:
+    def no_process_exits_unexpectedly(self) -> Iterator[Breach]:
+        """Only processes that a fault stops may exit."""
+        kinds = ("kill", "leave", "upgrade", "move", "twin")
+        stopped = {name for span in self._spans_of(kinds, 0, NEVER_MS) for name in span.fault.nodes}
+        for name in sorted(set(self.data.run["ended"])):
+            if name.removesuffix("-twin").removesuffix("-before") in stopped:
                 continue
-            yield self._breach("process ended", self.over, f"{name} ended by itself")
+            yield self._breach("process ended", self.end_ms, f"{name} exited unexpectedly")
 
 
-def breaches(evidence: RunData) -> list[Breach]:
-    """All that a run shows and must not."""
-    return Checker(evidence).breaches()
+def breaches(run_data: RunData) -> list[Breach]:
+    """All rules that a run broke."""
+    return Checker(run_data).breaches()
