--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -66,7 +66,7 @@
     """
     shutil.rmtree(out, ignore_errors=True)
     planned = plan(schedule, seed) if faults is None else faults
-    await fleet.play(schedule, planned, seed, out, module, previous_revision)
+    await fleet.run_schedule(schedule, planned, seed, out, module, previous_revision)
     run_data = record.read_run(out)
     verdict = Verdict(seed, out, planned, checker.breaches(run_data), figures(run_data))
     (out / "verdict.json").write_text(json.dumps(verdict.fields(), indent=1) + "\n")
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -14,7 +14,7 @@
 
 from lab.clients import Customer, Kind, Line, command
 
-from .fleet import PLAN, Fleet
+from .fleet import PLAN_NAME, Fleet
 from .guard import FolderGuard
 from .schedule import Schedule
 
@@ -40,7 +40,7 @@
         _, line = await loop.create_connection(Line, *gateway.listen)
         due = loop.time()
         while loop.time() < ends:
-            customer = Customer(10_000 + sent % 1_000, PLAN, 1.0, 4.0, 12.0, 0, len(fleet.gateways))
+            customer = Customer(10_000 + sent % 1_000, PLAN_NAME, 1.0, 4.0, 12.0, 0, len(fleet.gateways))
             sent += 1
             await line.ask(command(customer, KIND, f"{number}-{sent}"), 3.0)
             due += LINES / rate
@@ -64,7 +64,7 @@
         assert child is not None
         yield fleet, child.process.pid
     finally:
-        await fleet.end()
+        await fleet.stop()
         guard.remove()
         shutil.rmtree(folder, ignore_errors=True)
 
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -1,4 +1,5 @@
-"""A fleet of real processes with the relay between them, and the faults done to it in their time."""
+"""A fleet of gateway processes on loopback with relays between them, and its faults at their scheduled
+times."""
 
 from __future__ import annotations
 
@@ -31,31 +32,32 @@
 from .relay import Address, DatagramRelay, Links, StreamRelay
 from .schedule import LIST_SERVICE, PlannedFault, Schedule, gateway_names
 
-READY_WITHIN = 60.0  # seconds for a fleet of thirty on a loaded machine
-AGREE_WITHIN = 30.0
-END_WITHIN = 8.0
-LOOK_EVERY = 0.1
-ASK_WITHIN = 2.0
-STARTS_AT_ONCE = 8  # processes that come up side by side: each takes a core meanwhile
-CLUSTER = "proving-ground"
-SEEDS = 2  # gateways that others know the addresses of, where they find each other by members
-UPGRADE_YES = 0.3  # seconds from its yes to the word to the process before it
-SPARE = 512  # descriptors for all but the relay's sockets
-KINDS = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
-PLAN = "domestic"
-RATE = 4.0
-BURST = 12.0
-DEMANDS = (0.5, 0.9, 1.6)  # of its quota, customer by customer
+READY_TIMEOUT = 60.0  # seconds; enough for thirty gateways on a loaded machine
+AGREEMENT_TIMEOUT = 30.0  # seconds
+STOP_TIMEOUT = 8.0  # seconds
+POLL_INTERVAL = 0.1  # seconds
+CONTROL_TIMEOUT = 2.0  # seconds
+CONCURRENT_STARTS_MAX = 8  # each starting process uses a whole core
+CLUSTER_NAME = "proving-ground"
+SEED_GATEWAYS = 2  # gateways whose addresses are configured if found is "members"
+TERMINATION_DELAY = 0.3  # seconds from the successor's readiness to its predecessor's SIGTERM
+SPARE_DESCRIPTORS = 512  # file descriptors for everything but the relay's sockets
+REQUEST_CLASSES = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
+PLAN_NAME = "domestic"
+PLAN_RATE = 4.0
+PLAN_BURST = 12.0
+DEMAND_FACTORS = (0.5, 0.9, 1.6)  # requests per unit of quota, assigned to the customers in turn
 
 
 class FleetError(Exception):
-    """The fleet can't go on; the text says why."""
+    """The fleet can't continue; the message has the reason."""
 
 
-async def ask(address: Address, line: str) -> str | None:
-    """One operator's call; None: not reached."""
+async def control_call(address: Address, line: str) -> str | None:
+    """Sends one line to a gateway's control port. Returns its answer, or None if the gateway can't be
+    reached."""
     try:
-        async with asyncio.timeout(ASK_WITHIN):
+        async with asyncio.timeout(CONTROL_TIMEOUT):
             reader, writer = await asyncio.open_connection(*address, limit=1 << 18)
             try:
                 writer.write(line.encode() + b"\n")
@@ -66,17 +68,17 @@
         return None
 
 
-async def table(address: Address) -> dict[str, Any] | None:
-    """A gateway's view by MEMBERS; None: not reached, or it has none."""
-    said = await ask(address, "MEMBERS")
-    if said is None or not said.startswith("done {"):
+async def query_member_view(address: Address) -> dict[str, Any] | None:
+    """A gateway's member view (MEMBERS). None if it can't be reached or has no view."""
+    answer = await control_call(address, "MEMBERS")
+    if answer is None or not answer.startswith("done {"):
         return None
-    found: dict[str, Any] = json.loads(said.removeprefix("done "))
-    return found
+    view: dict[str, Any] = json.loads(answer.removeprefix("done "))
+    return view
 
 
 class Gateway:
-    """One gateway's addresses, and how its process stands."""
+    """One gateway's addresses, and the state of its process."""
 
     def __init__(self, rank: int, addresses: list[Address]) -> None:
         self.rank = rank
@@ -84,257 +86,317 @@
         self.listen, self.control, self.peer = addresses
         self.child: Child | None = None
         self.twin: Child | None = None
-        self.stopped = 0  # pauses that it is in
-        self.down = True  # killed, or left, on purpose
+        self.pauses = 0  # number of active pause faults
+        self.is_down = True  # not started yet, or stopped by a fault
 
     @property
-    def runs(self) -> bool:
-        """Whether it is up and not paused."""
-        return not self.down and not self.stopped and self.child is not None
+    def is_running(self) -> bool:
+        """Whether the process is up and not paused."""
+        return not self.is_down and not self.pauses and self.child is not None
 
 
 class Fleet:
-    """All of it; ``module`` is what gateways are run by, to put a defect into them."""
+    """The processes, relays, hosts and clients of one run.
+
+    ``folder`` is for scratch files, ``out`` for the files of the run. Gateways run as ``python -m module``,
+    so that a module with a planted defect can be tested. With ``previous_revision`` they first run as that
+    git revision, and processes started by faults run as the current one.
+    """
 
     def __init__(
-        self, schedule: Schedule, seed: int, out: Path, folder: Path, module: str, before: str | None
+        self,
+        schedule: Schedule,
+        seed: int,
+        out: Path,
+        folder: Path,
+        module: str,
+        previous_revision: str | None,
     ) -> None:
         self.schedule = schedule
         self.seed = seed
         self.folder = folder
         self.module = module
-        self.before = _checkout(before, folder / "before") if before else None
+        self.previous_tree = _check_out(previous_revision, folder / "before") if previous_revision else None
         self.recorder = RunWriter(out)
         self.children = Children(out, signal.SIGKILL)
         self.links = Links(seed)
-        found = [
+        addresses = [
             ("127.0.0.1", port) for port in ports.allocate(3 * schedule.gateways + 2 * (1 + schedule.agents))
         ]
         count = schedule.gateways
-        self.gateways = [Gateway(rank, found[3 * rank : 3 * rank + 3]) for rank in range(count)]
-        self.service = found[3 * count]
-        self.operators = found[3 * count + 1]
-        self.agents = [found[3 * count + 2 + 2 * i : 3 * count + 4 + 2 * i] for i in range(schedule.agents)]
-        self.datagrams: DatagramRelay | None = None
-        self.streams: list[StreamRelay] = []
-        self.lists: dict[str, Address] = {}  # discovery as each gateway is to reach it
-        self.meets: dict[str, Address] = {}  # the list service as each gateway is to reach it
+        self.gateways = [Gateway(rank, addresses[3 * rank : 3 * rank + 3]) for rank in range(count)]
+        self.list_service = addresses[3 * count]
+        self.list_operators = addresses[3 * count + 1]
+        self.agents = [
+            addresses[3 * count + 2 + 2 * i : 3 * count + 4 + 2 * i] for i in range(schedule.agents)
+        ]
+        self.datagram_relay: DatagramRelay | None = None
+        self.stream_relays: list[StreamRelay] = []
+        self.discovery_addresses: dict[str, Address] = {}  # relayed, by gateway
+        self.rendezvous_addresses: dict[str, Address] = {}  # of the list service, by gateway
         self.hosts: list[Host] = []
         self.registrations: list[Registration] = []
         self.clients: Clients | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        kept = os.environ.items()
-        # Nobody's configuration but the files here; each gateway has a TMPDIR of its own for its upgrades.
-        self.environment = {k: v for k, v in kept if not k.startswith(("BIRCHDRUM_", "LB_", "TMPDIR"))}
+        inherited = os.environ.items()
+        # Only the files written here may configure the processes. Each gateway gets a TMPDIR of its own, used
+        # by its upgrades.
+        self.environment = {k: v for k, v in inherited if not k.startswith(("BIRCHDRUM_", "LB_", "TMPDIR"))}
 
-    # -- up and down ----------------------------------------------------------------------------------------
+    # -- start and stop -------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """The list service, hosts, agents and gateways; then clients. Raises Broken."""
+        """Starts the list service, hosts, agents and gateways, then clients. Raises FleetError."""
         shared = self.schedule.found != "fixed"
-        self.datagrams = DatagramRelay(self.links, {g.name: g.peer for g in self.gateways}, shared)
+        self.datagram_relay = DatagramRelay(self.links, {g.name: g.peer for g in self.gateways}, shared)
         await self._start_list_service()
-        parts = np.random.SeedSequence(self.seed).spawn(self.schedule.hosts + 1)
-        await self._start_hosts(parts[: self.schedule.hosts])
-        lists = await self._start_agents()
-        await self._start_gateways(lists)
-        self._start_clients(parts[-1])
+        seeds = np.random.SeedSequence(self.seed).spawn(self.schedule.hosts + 1)
+        await self._start_hosts(seeds[: self.schedule.hosts])
+        agents = await self._start_agents()
+        await self._start_gateways(agents)
+        self._start_clients(seeds[-1])
 
     async def _start_list_service(self) -> None:
-        words = ["registry", "serve", "--listen", _text(self.service), "--operators", _text(self.operators)]
+        arguments = [
+            "registry",
+            "serve",
+            "--listen",
+            _address_text(self.list_service),
+            "--operators",
+            _address_text(self.list_operators),
+        ]
         store = self.folder / "list.db"
-        more: list[str | Path] = ["--store", store, "--new", "--settle", "0"]
-        await self.children.start(LIST_SERVICE, *words, *more, environment=self.environment)
+        store_arguments: list[str | Path] = ["--store", store, "--new", "--settle", "0"]
+        await self.children.start(LIST_SERVICE, *arguments, *store_arguments, environment=self.environment)
 
-    async def _start_hosts(self, parts: list[np.random.SeedSequence]) -> None:
+    async def _start_hosts(self, seeds: list[np.random.SeedSequence]) -> None:
         machine = Machine(slots=8, work={b"reading": 0.01, b"order": 0.02}, cold_from=0.5, warm_within=3.0)
-        for i, part in enumerate(parts):
-            host = await Host(f"host-{i}", machine, np.random.default_rng(part)).listen()
-            host.observer = self._observe_host(host.name)
+        for i, seed_sequence in enumerate(seeds):
+            host = await Host(f"host-{i}", machine, np.random.default_rng(seed_sequence)).listen()
+            host.observer = self._host_observer(host.name)
             self.hosts.append(host)
-            entry = Registration(self.service, host.name, _text(host.address), block=i // 4, lease_ms=20_000)
-            self.registrations.append(entry)
-        await self._wait(READY_WITHIN, self._registered, "the list service")
-        for entry in self.registrations:
-            entry.start()
+            registration = Registration(
+                self.list_service, host.name, _address_text(host.address), block=i // 4, lease_ms=20_000
+            )
+            self.registrations.append(registration)
+        await self._wait_until(READY_TIMEOUT, self._all_registered, "the list service")
+        for registration in self.registrations:
+            registration.start()
 
     async def _start_agents(self) -> list[Address]:
-        lists = []
+        addresses = []
         for i, (listen, operators) in enumerate(self.agents):
-            relayed = await self._stream(f"agent-{i}", self.service)
-            words = ["registry", "agent", "--listen", _text(listen), "--operators", _text(operators)]
-            more: list[str | Path] = ["--follow", _text(relayed), "--keep", self.folder / f"agent-{i}.list"]
-            await self.children.start(f"agent-{i}", *words, *more, environment=self.environment)
-            lists.append(listen)
-        return lists
-
-    async def _start_gateways(self, lists: list[Address]) -> None:
-        turn = asyncio.Semaphore(STARTS_AT_ONCE)
+            service = await self._relay_stream(f"agent-{i}", self.list_service)
+            arguments = [
+                "registry",
+                "agent",
+                "--listen",
+                _address_text(listen),
+                "--operators",
+                _address_text(operators),
+            ]
+            follow_arguments: list[str | Path] = [
+                "--follow",
+                _address_text(service),
+                "--keep",
+                self.folder / f"agent-{i}.list",
+            ]
+            await self.children.start(
+                f"agent-{i}", *arguments, *follow_arguments, environment=self.environment
+            )
+            addresses.append(listen)
+        return addresses
+
+    async def _start_gateways(self, agents: list[Address]) -> None:
+        start_slots = asyncio.Semaphore(CONCURRENT_STARTS_MAX)
         for gateway in self.gateways:
-            near = lists[gateway.rank] if gateway.rank < len(lists) else self.service
-            discovery = await self._stream(gateway.name, near)
-            self.lists[gateway.name] = discovery
-            self.meets[gateway.name] = discovery if near is self.service else self.service
-            self._write(gateway.name, gateway, discovery)
-            if self.before:  # it knows no membership
-                self._write(f"{gateway.name}-before", gateway, discovery, cluster=None)
-
-        async def begin(gateway: Gateway) -> None:
-            async with turn:
-                await self.run(gateway, "-before" if self.before else "")
-                await self._wait(READY_WITHIN, lambda: self._ready(gateway), gateway.name)
-
-        await asyncio.gather(*map(begin, self.gateways))
-        if self.schedule.membership and not self.before and len(self.gateways) > 1:
-            await self._wait(AGREE_WITHIN, self.agreed, "an equal view of all gateways")
-
-    def _start_clients(self, part: np.random.SeedSequence) -> None:
+            discovery_service = agents[gateway.rank] if gateway.rank < len(agents) else self.list_service
+            discovery = await self._relay_stream(gateway.name, discovery_service)
+            self.discovery_addresses[gateway.name] = discovery
+            self.rendezvous_addresses[gateway.name] = (
+                discovery if discovery_service is self.list_service else self.list_service
+            )
+            self._write_configuration(gateway.name, gateway, discovery)
+            if self.previous_tree:  # that revision has no membership
+                self._write_configuration(f"{gateway.name}-before", gateway, discovery, cluster=None)
+
+        async def start_gateway(gateway: Gateway) -> None:
+            async with start_slots:
+                await self.start_process(gateway, "-before" if self.previous_tree else "")
+                await self._wait_until(READY_TIMEOUT, lambda: self._is_ready(gateway), gateway.name)
+
+        await asyncio.gather(*map(start_gateway, self.gateways))
+        if self.schedule.membership and not self.previous_tree and len(self.gateways) > 1:
+            await self._wait_until(AGREEMENT_TIMEOUT, self.views_agree, "agreement of all member views")
+
+    def _start_clients(self, seed_sequence: np.random.SeedSequence) -> None:
         count = len(self.gateways)
         front = Front([gateway.listen for gateway in self.gateways])
         customers = [
-            Customer(100 + i, PLAN, RATE * DEMANDS[i % len(DEMANDS)], RATE, BURST, i % count, min(3, count))
+            Customer(
+                100 + i,
+                PLAN_NAME,
+                PLAN_RATE * DEMAND_FACTORS[i % len(DEMAND_FACTORS)],
+                PLAN_RATE,
+                PLAN_BURST,
+                i % count,
+                min(3, count),
+            )
             for i in range(self.schedule.customers)
         ]
-        self.clients = Clients(front, customers, KINDS, part)
+        self.clients = Clients(front, customers, REQUEST_CLASSES, seed_sequence)
         self.clients.observer = self._observe_client
         self.clients.start()
 
-    async def _stream(self, client: str, to: Address) -> Address:
-        stream = await StreamRelay(self.links, client, LIST_SERVICE, to).listen()
-        self.streams.append(stream)
+    async def _relay_stream(self, client: str, target: Address) -> Address:
+        stream = await StreamRelay(self.links, client, LIST_SERVICE, target).listen()
+        self.stream_relays.append(stream)
         return stream.address
 
-    def _write(
+    def _write_configuration(
         self,
         name: str,
         gateway: Gateway,
         discovery: Address,
         twin: list[Address] | None = None,
-        cluster: str | None = CLUSTER,
+        cluster: str | None = CLUSTER_NAME,
     ) -> None:
         listen, control = twin or (gateway.listen, gateway.control)
-        values = {
+        settings = {
             "name": gateway.name,
-            "listen": _text(listen),
-            "discovery": _text(discovery),
-            "control": _text(control),
+            "listen": _address_text(listen),
+            "discovery": _address_text(discovery),
+            "control": _address_text(control),
             "log": {"form": "json"},
-            "fleet": self._fleet_values(gateway, cluster),
+            "fleet": self._fleet_settings(gateway, cluster),
             "hosts": {"cold_from": 0.5, "warm_within": "3s"},
             "classes": [
                 {"name": "reading", "effect": "repeatable", "aim": "500ms", "deadline": "2s"},
                 {"name": "order", "effect": "by_key", "aim": "1s", "deadline": "3s", "repeat_window": "5s"},
             ],
-            "plans": [{"name": PLAN, "rate": RATE, "burst": BURST}],
+            "plans": [{"name": PLAN_NAME, "rate": PLAN_RATE, "burst": PLAN_BURST}],
         }
-        (self.folder / f"{name}.toml").write_text(tomlkit.dumps(values))
+        (self.folder / f"{name}.toml").write_text(tomlkit.dumps(settings))
 
-    def _fleet_values(self, gateway: Gateway, cluster: str | None) -> dict[str, Any]:
-        assert self.datagrams is not None
+    def _fleet_settings(self, gateway: Gateway, cluster: str | None) -> dict[str, Any]:
+        assert self.datagram_relay is not None
         fleet: dict[str, Any] = {"rank": gateway.rank, "gateways": len(self.gateways), "intake": 100.0}
         if self.schedule.found == "fixed":
             fleet["peers"] = [
-                _text(
-                    gateway.peer if other is gateway else self.datagrams.address((gateway.name, other.name))
+                _address_text(
+                    gateway.peer
+                    if other is gateway
+                    else self.datagram_relay.address((gateway.name, other.name))
                 )
                 for other in self.gateways
             ]
         else:
-            fleet |= {"listen": _text(gateway.peer), "advertise": _text(self._stands_for(gateway.name))}
+            fleet |= {
+                "listen": _address_text(gateway.peer),
+                "advertise": _address_text(self._shared_relay_address(gateway.name)),
+            }
         if self.schedule.found == "members":
-            fleet["join"] = [_text(self._stands_for(other.name)) for other in self.gateways[:SEEDS]]
+            fleet["join"] = [
+                _address_text(self._shared_relay_address(other.name))
+                for other in self.gateways[:SEED_GATEWAYS]
+            ]
         if self.schedule.found == "list":
-            fleet["meet"] = _text(self.meets[gateway.name])
+            fleet["meet"] = _address_text(self.rendezvous_addresses[gateway.name])
         if cluster and self.schedule.membership:
             fleet["cluster"] = cluster
         return fleet
 
-    def _stands_for(self, name: str) -> Address:
-        """The relay's address for whoever sends to a gateway."""
-        assert self.datagrams is not None
-        return self.datagrams.address(("", name))
+    def _shared_relay_address(self, name: str) -> Address:
+        """The relay's address at which all others reach this gateway."""
+        assert self.datagram_relay is not None
+        return self.datagram_relay.address(("", name))
 
-    async def run(self, gateway: Gateway, kind: str = "") -> Child:
-        """Start its process; ``kind`` is nothing, ``-before`` (by the revision before) or ``-twin``."""
+    async def start_process(self, gateway: Gateway, kind: str = "") -> Child:
+        """Starts a gateway's process; ``kind`` is empty, ``-before`` (previous revision) or ``-twin``."""
         name = gateway.name + kind
         scratch = self.folder / (name if kind == "-twin" else gateway.name)
         scratch.mkdir(exist_ok=True)
         environment = self.environment | {"TMPDIR": str(scratch)}
         module = self.module
         if kind == "-before":
-            environment["PYTHONPATH"], module = str(self.before), "birchdrum"
+            environment["PYTHONPATH"], module = str(self.previous_tree), "birchdrum"
         file = self.folder / f"{name}.toml"
         child = await self.children.start(name, "gateway", file, environment=environment, module=module)
         if kind != "-twin":
-            gateway.child, gateway.down = child, False
+            gateway.child, gateway.is_down = child, False
         return child
 
-    async def _registered(self) -> bool:
-        left = [entry for entry in self.registrations if not entry.version]
-        return all([await entry.register() for entry in left])
+    async def _all_registered(self) -> bool:
+        unregistered = [registration for registration in self.registrations if not registration.version]
+        return all([await registration.register() for registration in unregistered])
+
+    async def _is_ready(self, gateway: Gateway) -> bool:
+        answer = await control_call(gateway.control, "HEALTH")
+        return answer is not None and answer.startswith("done")
 
-    async def _ready(self, gateway: Gateway) -> bool:
-        said = await ask(gateway.control, "HEALTH")
-        return said is not None and said.startswith("done")
+    async def views_agree(self) -> bool:
+        """Whether all running gateways see exactly each other as present and report only cut links as down.
 
-    async def agreed(self) -> bool:
-        """Whether all that run hold each other to be there, all others not, and no direction dead that is
-        whole. Who yielded to a twin holds nothing any more."""
-        running = [g for g in self.gateways if g.runs]
-        found = await asyncio.gather(*(table(g.control) for g in running))
-        wanted = {g.rank for g in running}
+        A process that yielded to its twin no longer keeps a view and is not checked.
+        """
+        running = [g for g in self.gateways if g.is_running]
+        views = await asyncio.gather(*(query_member_view(g.control) for g in running))
+        running_ranks = {g.rank for g in running}
         return all(
             view is not None
-            and (view["yielded"] or (here(view) == wanted and all(map(self._is_cut, view["links_down"]))))
-            for view in found
+            and (
+                view["yielded"]
+                or (present_ranks(view) == running_ranks and all(map(self._is_cut, view["links_down"])))
+            )
+            for view in views
         )
 
-    def _is_cut(self, ends: list[int]) -> bool:
-        a, b = (self.gateways[rank].name for rank in ends)
+    def _is_cut(self, ranks: list[int]) -> bool:
+        a, b = (self.gateways[rank].name for rank in ranks)
         return self.links.direction((a, b)).is_cut()
 
-    async def _wait(self, within: float, holds: Callable[[], Awaitable[bool]], what: str) -> None:
-        ends = time.monotonic() + within
-        while not await holds():
+    async def _wait_until(self, timeout: float, condition: Callable[[], Awaitable[bool]], what: str) -> None:
+        deadline = time.monotonic() + timeout
+        while not await condition():
             for child in self.children.exited():
                 raise FleetError(await child.exit_reason())
-            if time.monotonic() > ends:
-                raise FleetError(f"{what} did not come about within {within:g} s")
-            await asyncio.sleep(LOOK_EVERY)
+            if time.monotonic() > deadline:
+                raise FleetError(f"timed out after {timeout:g} s waiting for {what}")
+            await asyncio.sleep(POLL_INTERVAL)
 
-    async def end(self) -> None:
-        """Nothing is left."""
-        ends = time.monotonic() + END_WITHIN
+    async def stop(self) -> None:
+        """Stops all processes and closes all connections."""
+        deadline = time.monotonic() + STOP_TIMEOUT
 
-        def left() -> float:
-            return ends - time.monotonic()
+        def remaining_time() -> float:
+            return deadline - time.monotonic()
 
         for task in self.tasks:
             task.cancel()
         if self.clients:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.clients.stop(), max(0.1, left()))
+                await asyncio.wait_for(self.clients.stop(), max(0.1, remaining_time()))
         for gateway in self.gateways:
-            if gateway.stopped and gateway.child and gateway.child.process.returncode is None:
+            if gateway.pauses and gateway.child and gateway.child.process.returncode is None:
                 gateway.child.process.send_signal(signal.SIGCONT)
         names = [child.name for child in self.children.all if child.name.startswith("gw-")]
-        await self.children.stop(left, names or ["-"])
-        for entry in self.registrations:
-            if entry.task:
-                entry.task.cancel()
-        await self.children.stop(left)
+        await self.children.stop(remaining_time, names or ["-"])
+        for registration in self.registrations:
+            if registration.task:
+                registration.task.cancel()
+        await self.children.stop(remaining_time)
         for host in self.hosts:
             await host.close()
-        for stream in self.streams:
+        for stream in self.stream_relays:
             stream.close()
-        if self.datagrams:
-            self.datagrams.close()
+        if self.datagram_relay:
+            self.datagram_relay.close()
         self.recorder.close()
 
-    # -- what is seen ---------------------------------------------------------------------------------------
+    # -- observations ---------------------------------------------------------------------------------------
 
-    def _observe_host(self, name: str) -> Callable[[bytes, bytes, dict[bytes, bytes]], None]:
-        def begun(customer: bytes, number: bytes, terms: dict[bytes, bytes]) -> None:
+    def _host_observer(self, name: str) -> Callable[[bytes, bytes, dict[bytes, bytes]], None]:
+        def record_request(customer: bytes, number: bytes, terms: dict[bytes, bytes]) -> None:
             fields = {
                 "customer": customer.decode(),
                 "id": number.decode(),
@@ -342,181 +404,195 @@
             }
             self.recorder.append_line("hosts", host=name, **fields)
 
-        return begun
+        return record_request
 
-    def _observe_client(self, customer: Customer, number: str, came: str, took: float, rank: int) -> None:
+    def _observe_client(
+        self, customer: Customer, number: str, outcome: str, duration: float, rank: int
+    ) -> None:
         name = f"gw-{rank}"
         self.recorder.append_line(
-            "clients", customer=customer.number, id=number, came=came, took_ms=int(1000 * took), gateway=name
+            "clients",
+            customer=customer.number,
+            id=number,
+            came=outcome,
+            took_ms=int(1000 * duration),
+            gateway=name,
         )
 
     # -- faults ---------------------------------------------------------------------------------------------
 
-    async def play(self, faults: list[PlannedFault], lasts: float) -> None:
-        """Do all of them in their time, and wait until the schedule is over."""
+    async def run_faults(self, faults: list[PlannedFault], duration: float) -> None:
+        """Starts and ends the faults at their times; returns at the end of the schedule."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         steps = [(fault.at, 0, i, fault) for i, fault in enumerate(faults)]
         steps += [(fault.at + fault.lasts, 1, i, fault) for i, fault in enumerate(faults) if fault.lasts]
         for at, is_end, number, fault in sorted(steps, key=lambda step: step[:3]):
             await asyncio.sleep(max(0.0, began + at - loop.time()))
-            late = int(1000 * (loop.time() - began - at))
-            # The word goes to the file at the side of the doing where the checker's rules are stricter.
+            delay_ms = int(1000 * (loop.time() - began - at))
+            # The start is recorded before the fault is applied and the end after it is undone. The recorded
+            # span thus covers the whole fault, and the checker's deadlines, which count from its start, are
+            # as strict as possible.
             if not is_end:
-                self._note("begun", number, late, fault)
-            await (self._undo if is_end else self._do)(fault)
+                self._record_fault("begun", number, delay_ms, fault)
+            await (self._end_fault if is_end else self._start_fault)(fault)
             if is_end:
-                self._note("ended", number, late, fault)
-        await asyncio.sleep(max(0.0, began + lasts - loop.time()))
+                self._record_fault("ended", number, delay_ms, fault)
+        await asyncio.sleep(max(0.0, began + duration - loop.time()))
 
-    def _note(self, step: str, number: int, late: int, fault: PlannedFault) -> None:
-        self.recorder.append_line("faults", step=step, number=number, late_ms=late, fault=fault.fields())
+    def _record_fault(self, step: str, number: int, delay_ms: int, fault: PlannedFault) -> None:
+        self.recorder.append_line("faults", step=step, number=number, late_ms=delay_ms, fault=fault.fields())
 
-    def _chosen(self, fault: PlannedFault) -> list[Gateway]:
+    def _affected(self, fault: PlannedFault) -> list[Gateway]:
         return [gateway for gateway in self.gateways if gateway.name in fault.nodes]
 
-    async def _do(self, fault: PlannedFault) -> None:
+    async def _start_fault(self, fault: PlannedFault) -> None:
         if fault.links:
             self.links.start_fault(fault)
-        for gateway in self._chosen(fault):
+        for gateway in self._affected(fault):
             child = gateway.child
-            if child is None or (gateway.down and fault.what != "twin"):
+            if child is None or (gateway.is_down and fault.what != "twin"):
                 continue
-            await self._do_to(gateway, child, fault.what)
+            await self._start_fault_at(gateway, child, fault.what)
 
-    async def _do_to(self, gateway: Gateway, child: Child, what: str) -> None:
+    async def _start_fault_at(self, gateway: Gateway, child: Child, what: str) -> None:
         match what:
             case "pause":
-                gateway.stopped += 1
+                gateway.pauses += 1
                 child.process.send_signal(signal.SIGSTOP)
             case "kill" | "move":
-                gateway.down = True
+                gateway.is_down = True
                 child.process.kill()
                 await child.process.wait()
             case "leave":
-                gateway.down = True
+                gateway.is_down = True
                 child.process.terminate()
             case "twin":
                 name = f"{gateway.name}-twin"
-                own: list[Address] = [("127.0.0.1", port) for port in ports.allocate(2)]
-                self._write(name, gateway, self.service, own)
-                gateway.twin = await self.run(gateway, "-twin")
+                twin_addresses: list[Address] = [("127.0.0.1", port) for port in ports.allocate(2)]
+                self._write_configuration(name, gateway, self.list_service, twin_addresses)
+                gateway.twin = await self.start_process(gateway, "-twin")
             case "upgrade":
-                await self.run(gateway)
-                self.tasks.append(asyncio.get_running_loop().create_task(self._end_elder(gateway, child)))
+                await self.start_process(gateway)
+                self.tasks.append(
+                    asyncio.get_running_loop().create_task(self._terminate_predecessor(gateway, child))
+                )
 
-    async def _end_elder(self, gateway: Gateway, elder: Child) -> None:
-        """The platform's part of an upgrade: SIGTERM once the next process says yes."""
-        await self._wait(READY_WITHIN, lambda: self._ready(gateway), f"{gateway.name}'s next process")
-        await asyncio.sleep(UPGRADE_YES)
-        if elder.process.returncode is None:
-            elder.process.terminate()
+    async def _terminate_predecessor(self, gateway: Gateway, predecessor: Child) -> None:
+        """The platform's part of an upgrade: sends SIGTERM to the predecessor once its successor is ready."""
+        await self._wait_until(READY_TIMEOUT, lambda: self._is_ready(gateway), f"{gateway.name}'s successor")
+        await asyncio.sleep(TERMINATION_DELAY)
+        if predecessor.process.returncode is None:
+            predecessor.process.terminate()
 
-    async def _undo(self, fault: PlannedFault) -> None:
+    async def _end_fault(self, fault: PlannedFault) -> None:
         if fault.links:
             self.links.end_fault(fault)
-        for gateway in self._chosen(fault):
-            await self._undo_to(gateway, fault.what)
+        for gateway in self._affected(fault):
+            await self._end_fault_at(gateway, fault.what)
 
-    async def _undo_to(self, gateway: Gateway, what: str) -> None:
+    async def _end_fault_at(self, gateway: Gateway, what: str) -> None:
         child = gateway.child
         match what:
-            case "pause" if gateway.stopped:
-                gateway.stopped -= 1
-                if not gateway.stopped and child and not gateway.down:
+            case "pause" if gateway.pauses:
+                gateway.pauses -= 1
+                if not gateway.pauses and child and not gateway.is_down:
                     child.process.send_signal(signal.SIGCONT)
-            case "kill" | "leave" | "move" if gateway.down and child:
+            case "kill" | "leave" | "move" if gateway.is_down and child:
                 await child.process.wait()
-                gateway.stopped = 0
-                if what == "move" and self.datagrams:
+                gateway.pauses = 0
+                if what == "move" and self.datagram_relay:
                     gateway.peer = "127.0.0.1", ports.allocate(1)[0]
-                    self.datagrams.move(gateway.name, gateway.peer)
-                    self._write(gateway.name, gateway, self.lists[gateway.name])
-                await self.run(gateway)
+                    self.datagram_relay.move(gateway.name, gateway.peer)
+                    self._write_configuration(gateway.name, gateway, self.discovery_addresses[gateway.name])
+                await self.start_process(gateway)
             case "twin" if gateway.twin:
                 gateway.twin.process.terminate()
 
-    async def tables(self) -> dict[str, Any]:
-        """What each that runs holds now."""
-        running = [gateway for gateway in self.gateways if gateway.runs]
-        found = await asyncio.gather(*(table(gateway.control) for gateway in running))
-        return {gateway.name: view for gateway, view in zip(running, found, strict=True)}
+    async def member_views(self) -> dict[str, Any]:
+        """The member views of all running gateways; None for one that does not answer."""
+        running = [gateway for gateway in self.gateways if gateway.is_running]
+        views = await asyncio.gather(*(query_member_view(gateway.control) for gateway in running))
+        return {gateway.name: view for gateway, view in zip(running, views, strict=True)}
 
 
-def here(view: dict[str, Any]) -> set[int]:
-    """Ranks that a gateway holds to be there, its own as well."""
+def present_ranks(view: dict[str, Any]) -> set[int]:
+    """The ranks that a gateway sees as present, its own included."""
     return {view["rank"]} | {
         int(rank) for rank, row in view["members"].items() if row[0] in ("alive", "suspect")
     }
 
 
-def _checkout(revision: str, folder: Path) -> Path:
-    """That revision's tree; raises Broken."""
+def _check_out(revision: str, folder: Path) -> Path:
+    """Extracts a git revision's tree into a folder. Raises FleetError."""
     folder.mkdir()
     root = Path(__file__).parent.parent.parent
-    words = ["git", "archive", "--format=tar", revision]
-    done = subprocess.run(words, cwd=root, capture_output=True, check=False)
-    if done.returncode:
-        raise FleetError(f"revision {revision}: {done.stderr.decode('utf-8', 'replace').strip()}")
-    with tarfile.open(fileobj=io.BytesIO(done.stdout)) as tree:
+    arguments = ["git", "archive", "--format=tar", revision]
+    completed = subprocess.run(arguments, cwd=root, capture_output=True, check=False)
+    if completed.returncode:
+        raise FleetError(f"revision {revision}: {completed.stderr.decode('utf-8', 'replace').strip()}")
+    with tarfile.open(fileobj=io.BytesIO(completed.stdout)) as tree:
         tree.extractall(folder, filter="data")
     return folder
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return "{}:{}".format(*address)
 
 
-def _allow_descriptors(wanted: int) -> None:
+def _raise_descriptor_limit(minimum: int) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, hard), hard))
+    if soft < minimum:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(minimum, hard), hard))
 
 
-async def _agreed_ms(fleet: Fleet, within: float) -> int | None:
-    ends = time.monotonic() + within
-    agreed: int | None = None
-    while time.monotonic() < ends and agreed is None:
-        if await fleet.agreed():
-            agreed = now_ms()
-        await asyncio.sleep(LOOK_EVERY)
-    return agreed
+async def _agreement_ms(fleet: Fleet, timeout: float) -> int | None:
+    deadline = time.monotonic() + timeout
+    agreed_ms: int | None = None
+    while time.monotonic() < deadline and agreed_ms is None:
+        if await fleet.views_agree():
+            agreed_ms = now_ms()
+        await asyncio.sleep(POLL_INTERVAL)
+    return agreed_ms
 
 
-async def play(
+async def run_schedule(
     schedule: Schedule,
     faults: list[PlannedFault],
     seed: int,
     out: Path,
     module: str = "birchdrum",
-    before: str | None = None,
+    previous_revision: str | None = None,
 ) -> None:
-    """One run of a fleet under these faults; its files are in ``out``. With ``before`` gateways begin as that
-    revision, and what is started later is of today. Raises Broken."""
-    _allow_descriptors(SPARE + schedule.gateways * schedule.gateways)
+    """Runs a fleet under these faults and writes the files of the run into ``out``.
+
+    With ``previous_revision`` gateways start as that git revision; processes that faults start run as the
+    current one. Raises FleetError.
+    """
+    _raise_descriptor_limit(SPARE_DESCRIPTORS + schedule.gateways * schedule.gateways)
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cluster-"))
     guard = FolderGuard(folder)
     run: dict[str, Any] = {"seed": seed, "gateways": schedule.gateways, "agreed": None}
     try:
-        fleet = Fleet(schedule, seed, out, folder, module, before)
+        fleet = Fleet(schedule, seed, out, folder, module, previous_revision)
     except BaseException:
         guard.remove()
         raise
     try:
         await fleet.start()
         run["began"] = now_ms()
-        await fleet.play(faults, schedule.lasts.base / 1e6)
+        await fleet.run_faults(faults, schedule.lasts.base / 1e6)
         run["over"] = now_ms()
         if schedule.membership:
-            run["agreed"] = await _agreed_ms(fleet, schedule.settle.base / 1e6)
+            run["agreed"] = await _agreement_ms(fleet, schedule.settle.base / 1e6)
         run["names"] = gateway_names(schedule.gateways)
-        run["running"] = [gateway.name for gateway in fleet.gateways if gateway.runs]
+        run["running"] = [gateway.name for gateway in fleet.gateways if gateway.is_running]
         run["ended"] = [child.name for child in fleet.children.exited()]
-        fleet.recorder.write_json("tables", await fleet.tables())
+        fleet.recorder.write_json("tables", await fleet.member_views())
         fleet.recorder.write_json("links", fleet.links.counters())
         fleet.recorder.write_json("run", run)
     finally:
         try:
-            await fleet.end()
+            await fleet.stop()
         finally:
             guard.remove()
