--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -1,4 +1,4 @@
-"""What membership costs a gateway in processor time: the same fleet with it and without, under one load."""
+"""CPU time that membership costs a gateway: the same fleet with and without it under the same load."""
 
 from __future__ import annotations
 
@@ -18,43 +18,45 @@
 from .guard import FolderGuard
 from .schedule import Schedule
 
-LINES = 8  # connections that the load comes on
-KIND = Kind("reading", "repeatable", 2.0)
+CONNECTIONS = 8  # of the load generator
+REQUEST_CLASS = Kind("reading", "repeatable", 2.0)
 
 
-def processor_ns(pid: int) -> int:
-    """Nanoseconds that a process has run, all threads."""
+def cpu_time_ns(pid: int) -> int:
+    """CPU time of all threads of a process, in nanoseconds."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks)
 
 
-async def _load(fleet: Fleet, rate: float, seconds: float) -> int:
-    """So many requests a second to the first gateway, of customers within quotas; how many were sent."""
+async def _generate_load(fleet: Fleet, rate: float, seconds: float) -> int:
+    """Sends ``rate`` requests a second to the first gateway, from customers within their quotas. Returns the
+    number of requests sent."""
     loop = asyncio.get_running_loop()
     gateway = fleet.gateways[0]
-    ends = loop.time() + seconds
+    end_time = loop.time() + seconds
     sent = 0
 
-    async def one(number: int) -> None:
+    async def send_requests(index: int) -> None:
         nonlocal sent
-        _, line = await loop.create_connection(Line, *gateway.listen)
-        due = loop.time()
-        while loop.time() < ends:
+        _, connection = await loop.create_connection(Line, *gateway.listen)
+        next_request = loop.time()
+        while loop.time() < end_time:
             customer = Customer(10_000 + sent % 1_000, PLAN_NAME, 1.0, 4.0, 12.0, 0, len(fleet.gateways))
             sent += 1
-            await line.ask(command(customer, KIND, f"{number}-{sent}"), 3.0)
-            due += LINES / rate
-            await asyncio.sleep(max(0.0, due - loop.time()))
-        if line.transport:
-            line.transport.close()
+            await connection.ask(command(customer, REQUEST_CLASS, f"{index}-{sent}"), 3.0)
+            next_request += CONNECTIONS / rate
+            await asyncio.sleep(max(0.0, next_request - loop.time()))
+        if connection.transport:
+            connection.transport.close()
 
-    await asyncio.gather(*(one(number) for number in range(LINES)))
+    await asyncio.gather(*(send_requests(index) for index in range(CONNECTIONS)))
     return sent
 
 
 @contextlib.asynccontextmanager
-async def _up(schedule: Schedule, seed: int) -> AsyncIterator[tuple[Fleet, int]]:
-    """A fleet, and its first gateway's process; nothing is left of it."""
+async def _running_fleet(schedule: Schedule, seed: int) -> AsyncIterator[tuple[Fleet, int]]:
+    """Runs a fleet; yields it and the process id of its first gateway. Stops it and removes its files
+    at exit."""
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cost-"))
     guard = FolderGuard(folder)
     fleet = Fleet(schedule, seed, folder / "out", folder, "birchdrum", None)
@@ -69,45 +71,55 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def measure_pairs(schedule: Schedule, count: int, rate: float, seconds: float) -> list[str]:
-    """Lines of a table. Both fleets are up all the time and are loaded in turn, so that what the machine does
-    meanwhile falls on both alike."""
-    without = msgspec.structs.replace(schedule, membership=False)
-    loaded: dict[bool, list[float]] = {True: [], False: []}  # microseconds a request, with membership or not
-    rests: dict[bool, list[float]] = {True: [], False: []}  # microseconds a second
-    async with _up(schedule, 1) as on, _up(without, 2) as off:
-        fleets = {True: on, False: off}
+async def measure_pairs(schedule: Schedule, pair_count: int, rate: float, seconds: float) -> list[str]:
+    """Measures ``pair_count`` pairs and returns the lines of a table.
+
+    Both fleets run all the time and are loaded alternately, so that other load on the machine affects both
+    alike.
+    """
+    schedule_without = msgspec.structs.replace(schedule, membership=False)
+    # By whether the fleet has membership.
+    request_costs: dict[bool, list[float]] = {True: [], False: []}  # microseconds a request
+    idle_costs: dict[bool, list[float]] = {True: [], False: []}  # microseconds a second
+    async with (
+        _running_fleet(schedule, 1) as with_membership,
+        _running_fleet(schedule_without, 2) as without_membership,
+    ):
+        fleets = {True: with_membership, False: without_membership}
         for fleet, _ in fleets.values():
-            await _load(fleet, rate, seconds)  # warm
-        for number in range(count):
-            for which in (True, False) if number % 2 else (False, True):
-                fleet, pid = fleets[which]
-                before = processor_ns(pid)
-                sent = await _load(fleet, rate, seconds)
-                loaded[which].append((processor_ns(pid) - before) / 1_000 / sent)
+            await _generate_load(fleet, rate, seconds)  # warm-up
+        for index in range(pair_count):
+            for membership in (True, False) if index % 2 else (False, True):
+                fleet, pid = fleets[membership]
+                cpu_before = cpu_time_ns(pid)
+                sent = await _generate_load(fleet, rate, seconds)
+                request_costs[membership].append((cpu_time_ns(pid) - cpu_before) / 1_000 / sent)
             await asyncio.sleep(1.0)
-            marks = {which: processor_ns(pid) for which, (_, pid) in fleets.items()}
+            idle_starts = {membership: cpu_time_ns(pid) for membership, (_, pid) in fleets.items()}
             await asyncio.sleep(seconds)
-            for which, (_, pid) in fleets.items():
-                rests[which].append((processor_ns(pid) - marks[which]) / 1_000 / seconds)
-    return _table(count, rate, seconds, loaded, rests)
+            for membership, (_, pid) in fleets.items():
+                idle_costs[membership].append((cpu_time_ns(pid) - idle_starts[membership]) / 1_000 / seconds)
+    return _table(pair_count, rate, seconds, request_costs, idle_costs)
 
 
 def _table(
-    count: int,
+    pair_count: int,
     rate: float,
     seconds: float,
-    loaded: dict[bool, list[float]],
-    rests: dict[bool, list[float]],
+    request_costs: dict[bool, list[float]],
+    idle_costs: dict[bool, list[float]],
 ) -> list[str]:
-    ratios = [a / b for a, b in zip(loaded[True], loaded[False], strict=True)]
-    more = [a - b for a, b in zip(rests[True], rests[False], strict=True)]
-    first, middle, last = statistics.quantiles(ratios, n=4) if count > 1 else ratios * 3
-    each = {which: statistics.median(costs) for which, costs in loaded.items()}
+    ratios = [a / b for a, b in zip(request_costs[True], request_costs[False], strict=True)]
+    idle_differences = [a - b for a, b in zip(idle_costs[True], idle_costs[False], strict=True)]
+    lower_quartile, median, upper_quartile = (
+        statistics.quantiles(ratios, n=4) if pair_count > 1 else ratios * 3
+    )
+    median_costs = {membership: statistics.median(costs) for membership, costs in request_costs.items()}
     return [
-        f"{rate:g} requests a second, {count} pairs of {seconds:g} s:"
-        f" {each[False]:.0f} us a request without, {each[True]:.0f} with",
-        f"ratio in pairs: median {middle:.3f}, half of them {first:.3f} to {last:.3f}",
-        f"at rest: {statistics.median(more) / 1_000:.2f} ms a second more,"
-        f" {min(more) / 1_000:.2f} to {max(more) / 1_000:.2f}",
+        f"{rate:g} requests a second, {pair_count} pairs of {seconds:g} s:"
+        f" {median_costs[False]:.0f} us a request without, {median_costs[True]:.0f} with",
+        f"ratio in pairs: median {median:.3f},"
+        f" interquartile range {lower_quartile:.3f} to {upper_quartile:.3f}",
+        f"at rest: {statistics.median(idle_differences) / 1_000:.2f} ms a second more,"
+        f" {min(idle_differences) / 1_000:.2f} to {max(idle_differences) / 1_000:.2f}",
     ]
