--- a/lab/children.py
+++ b/lab/children.py
@@ -55,7 +55,7 @@
         without stopping them. A child paused by SIGSTOP reacts to SIGKILL only."""
         self.folder = folder
         self.parent_death_signal = parent_death_signal
-        self.all: list[Child] = []
+        self.started: list[Child] = []
 
     async def start(
         self, name: str, *arguments: str | Path, environment: dict[str, str], module: str = "birchdrum"
@@ -75,17 +75,17 @@
             preexec_fn=functools.partial(_set_parent_death_signal, self.parent_death_signal),
         )
         child = Child(name, process, self.folder / f"{name}.log")
-        self.all.append(child)
+        self.started.append(child)
         return child
 
     def exited(self) -> list[Child]:
         """Children that have exited."""
-        return [child for child in self.all if child.process.returncode is not None]
+        return [child for child in self.started if child.process.returncode is not None]
 
     async def stop(self, remaining: Callable[[], float], names: Sequence[str] = ()) -> None:
         """Sends SIGTERM, then SIGKILL to those still running after ``remaining()`` seconds. Applies to the
         children of these names, or to all."""
-        selected = [child for child in reversed(self.all) if not names or child.name in names]
+        selected = [child for child in reversed(self.started) if not names or child.name in names]
         for child in selected:
             if child.process.returncode is None:
                 child.process.terminate()
--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -170,17 +170,20 @@
             if span.ended < deadline:
                 continue
             failed = self._failed_links(span.began, deadline)
-            for a, b in span.fault.links:
-                if not {a, b} <= set(self.data.gateways) or (b, a) in failed:
+            for sender, receiver in span.fault.links:
+                if not {sender, receiver} <= set(self.data.gateways) or (receiver, sender) in failed:
                     continue
-                if self._was_unavailable(a, span.began, deadline) or self._was_unavailable(
-                    b, span.began, deadline
+                if self._was_unavailable(sender, span.began, deadline) or self._was_unavailable(
+                    receiver, span.began, deadline
                 ):
                     continue
-                ranks = int(a[3:]), int(b[3:])
+                ranks = int(sender[3:]), int(receiver[3:])
                 reports = self._events("member_link_changed", span.began, deadline)
                 if not any((e.fields["from"], e.fields["to"]) == ranks and e.fields["down"] for e in reports):
-                    text = f"no gateway reported {a}>{b} as down within {LINK_REPORT_TIMEOUT_MS / 1000:g} s"
+                    text = (
+                        f"no gateway reported {sender}>{receiver} as down"
+                        f" within {LINK_REPORT_TIMEOUT_MS / 1000:g} s"
+                    )
                     yield self._breach("dead direction not named", deadline, text)
 
     def recovered_directions_are_not_reported(self) -> Iterator[Breach]:
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -352,16 +352,18 @@
         )
 
     def _is_cut(self, ranks: list[int]) -> bool:
-        a, b = (self.gateways[rank].name for rank in ranks)
-        return self.links.direction((a, b)).is_cut()
+        sender, receiver = (self.gateways[rank].name for rank in ranks)
+        return self.links.direction((sender, receiver)).is_cut()
 
-    async def _wait_until(self, timeout: float, condition: Callable[[], Awaitable[bool]], what: str) -> None:
+    async def _wait_until(
+        self, timeout: float, condition: Callable[[], Awaitable[bool]], awaited: str
+    ) -> None:
         deadline = time.monotonic() + timeout
         while not await condition():
             for child in self.children.exited():
                 raise FleetError(await child.exit_reason())
             if time.monotonic() > deadline:
-                raise FleetError(f"timed out after {timeout:g} s waiting for {what}")
+                raise FleetError(f"timed out after {timeout:g} s waiting for {awaited}")
             await asyncio.sleep(POLL_INTERVAL)
 
     async def stop(self) -> None:
@@ -379,7 +381,7 @@
         for gateway in self.gateways:
             if gateway.pauses and gateway.child and gateway.child.process.returncode is None:
                 gateway.child.process.send_signal(signal.SIGCONT)
-        names = [child.name for child in self.children.all if child.name.startswith("gw-")]
+        names = [child.name for child in self.children.started if child.name.startswith("gw-")]
         await self.children.stop(remaining_time, names or ["-"])
         for registration in self.registrations:
             if registration.task:
@@ -455,8 +457,8 @@
                 continue
             await self._start_fault_at(gateway, child, fault.what)
 
-    async def _start_fault_at(self, gateway: Gateway, child: Child, what: str) -> None:
-        match what:
+    async def _start_fault_at(self, gateway: Gateway, child: Child, kind: str) -> None:
+        match kind:
             case "pause":
                 gateway.pauses += 1
                 child.process.send_signal(signal.SIGSTOP)
@@ -491,9 +493,9 @@
         for gateway in self._affected(fault):
             await self._end_fault_at(gateway, fault.what)
 
-    async def _end_fault_at(self, gateway: Gateway, what: str) -> None:
+    async def _end_fault_at(self, gateway: Gateway, kind: str) -> None:
         child = gateway.child
-        match what:
+        match kind:
             case "pause" if gateway.pauses:
                 gateway.pauses -= 1
                 if not gateway.pauses and child and not gateway.is_down:
@@ -501,7 +503,7 @@
             case "kill" | "leave" | "move" if gateway.is_down and child:
                 await child.process.wait()
                 gateway.pauses = 0
-                if what == "move" and self.datagram_relay:
+                if kind == "move" and self.datagram_relay:
                     gateway.peer = "127.0.0.1", ports.allocate(1)[0]
                     self.datagram_relay.move(gateway.name, gateway.peer)
                     self._write_configuration(gateway.name, gateway, self.discovery_addresses[gateway.name])
--- a/lab/cluster/relay.py
+++ b/lab/cluster/relay.py
@@ -101,7 +101,10 @@
 
     def counters(self) -> dict[str, dict[str, int]]:
         """Counts of datagrams (for TCP: of reads) and of what became of them, by direction."""
-        return {f"{a}>{b}": dict(direction.counters) for (a, b), direction in self.directions.items()}
+        return {
+            f"{sender}>{receiver}": dict(direction.counters)
+            for (sender, receiver), direction in self.directions.items()
+        }
 
 
 class DatagramRelay:
