--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -46,7 +46,7 @@
 PLAN_NAME = "domestic"
 PLAN_RATE = 4.0
 PLAN_BURST = 12.0
-DEMAND_FACTORS = (0.5, 0.9, 1.6)  # requests per unit of quota, assigned to the customers in turn
+DEMAND_FACTORS = (0.5, 0.9, 1.6)  # demand relative to the quota, one factor for each customer in rotation
 
 
 class FleetError(Exception):
--- a/lab/cluster/guard.py
+++ b/lab/cluster/guard.py
@@ -32,7 +32,7 @@
 def main() -> None:
     """Waits until the parent, or the kernel on the parent's exit, closes the pipe; then removes the folder.
 
-    Signals that end the parent are ignored, as they may be sent to both.
+    Ignores SIGINT, SIGTERM and SIGHUP: only the closed pipe ends it.
     """
     for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(signal_number, signal.SIG_IGN)
--- a/lab/cluster/relay.py
+++ b/lab/cluster/relay.py
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 DATAGRAM_SIZE_MAX = 2_048  # bytes; longer datagrams are truncated
 READ_SIZE = 65_536  # bytes of a TCP read
-READS_PER_WAKEUP_MAX = 64  # datagrams read from one socket before the others get a turn
+READS_PER_WAKEUP_MAX = 64  # datagrams read from one socket before other sockets are served
 CUT_POLL_INTERVAL = 0.02  # seconds between checks whether a cut TCP link has recovered
 
 
