--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -226,17 +226,19 @@
         try:
             loaded[name] = schedule.load(schedule.shipped().get(name, Path(name)))
             if gateways:
-                loaded[name] = schedule.sized(loaded[name], gateways)
-        except schedule.Impossible as error:
+                loaded[name] = schedule.with_gateway_count(loaded[name], gateways)
+        except schedule.ScheduleError as error:
             raise CommandError(USAGE_ERROR, *error.lines) from None
 
     async def run_one(name: str, seed: int) -> bool:
         results = out / f"{Path(name).stem}-{seed}"
         verdict = await campaign.run(loaded[name], seed, results, module, None, before)
-        click.echo(json.dumps(verdict.fields()) if as_json else "\n".join(campaign.lines(name, verdict)))
+        click.echo(
+            json.dumps(verdict.fields()) if as_json else "\n".join(campaign.summary_lines(name, verdict))
+        )
         if verdict.breaches and shrink:
 
-            async def breaks_rule(faults: list[schedule.Planned]) -> bool:
+            async def breaks_rule(faults: list[schedule.PlannedFault]) -> bool:
                 smaller = out / f"{results.name}-shrunk"
                 shrunk = await campaign.run(loaded[name], seed, smaller, module, faults, before)
                 return bool(shrunk.breaches)
@@ -250,8 +252,8 @@
         return SUCCESS if all(passed) else FAILED
 
     try:
-        sys.exit(asyncio.run(campaign.until_told(run_all())))
-    except (fleet.Broken, OSError) as error:
+        sys.exit(asyncio.run(campaign.run_until_signalled(run_all())))
+    except (fleet.FleetError, OSError) as error:
         raise CommandError(NOT_POSSIBLE, str(error)) from None
 
 
@@ -448,7 +450,7 @@
 
     fleet_schedule = schedule.Schedule(gateways=gateways, hosts=4, customers=0)
     try:
-        for line in asyncio.run(cost_study.pairs(fleet_schedule, count, rate, span)):
+        for line in asyncio.run(cost_study.measure_pairs(fleet_schedule, count, rate, span)):
             click.echo(line)
-    except (fleet.Broken, OSError) as error:
+    except (fleet.FleetError, OSError) as error:
         raise CommandError(NOT_POSSIBLE, str(error)) from None
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -140,7 +140,7 @@
     folder: Path, gateways: int, hosts: int, count: int, seed: int, fault: FaultInjection | None
 ) -> Fleet:
     """Starts the fleet, the list service first; raises DemoError."""
-    free_ports = iter(ports.free(2 + 4 * gateways))
+    free_ports = iter(ports.allocate(2 + 4 * gateways))
 
     def address() -> str:
         return f"127.0.0.1:{next(free_ports)}"
@@ -251,10 +251,10 @@
 async def check_processes(fleet: Fleet) -> None:
     """Raises DemoError if a process has exited unexpectedly."""
     expected = fleet.fault.expected_exits if fleet.fault else ()
-    for child in fleet.children.ended():
+    for child in fleet.children.exited():
         if child in expected:
             continue
-        raise DemoError(await child.why())
+        raise DemoError(await child.exit_reason())
 
 
 def _answers_http(address: str) -> bool:
@@ -304,11 +304,11 @@
     if fleet.clients:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(fleet.clients.stop(), max(0.1, remaining()))
-    await fleet.children.end(remaining, [gateway.name for gateway in fleet.gateways] or ["-"])
+    await fleet.children.stop(remaining, [gateway.name for gateway in fleet.gateways] or ["-"])
     await asyncio.gather(*(registration.leave() for registration in fleet.registrations))
     for host in fleet.hosts:
         await host.close()
-    await fleet.children.end(remaining)
+    await fleet.children.stop(remaining)
 
 
 # -- output -----------------------------------------------------------------------------------------------
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from lab.children import Child
-from lab.cluster.relay import Datagrams, Links
-from lab.cluster.schedule import Planned
+from lab.cluster.relay import DatagramRelay, Links
+from lab.cluster.schedule import PlannedFault
 
 KINDS = ("pause", "kill", "cut")
 VICTIM_RANK = 1  # rank of the gateway that gets the fault
@@ -47,7 +47,7 @@
     ended_at: float = 0.0
     losses: list[Loss] = field(default_factory=list)
     links: Links | None = None
-    datagrams: Datagrams | None = None
+    datagrams: DatagramRelay | None = None
     expected_exits: set[Child] = field(default_factory=set)  # processes that the fault kills
     task: asyncio.Task[None] | None = None
 
@@ -61,10 +61,10 @@
         longest = DURATION if self.run_seconds is None else self.run_seconds / RUN_DIVISOR
         return min(START_DELAY, longest), min(DURATION, longest)
 
-    def create_relay(self, peers: dict[str, tuple[str, int]], seed: int) -> Datagrams:
+    def create_relay(self, peers: dict[str, tuple[str, int]], seed: int) -> DatagramRelay:
         """Creates the datagram relay that a cut needs; gateways must be configured with its addresses."""
         self.links = Links(seed)
-        self.datagrams = Datagrams(self.links, peers)
+        self.datagrams = DatagramRelay(self.links, peers)
         return self.datagrams
 
     async def inject(
@@ -80,7 +80,7 @@
             for other in others
             for source, target in ((gateway_name, other), (other, gateway_name))
         )
-        fault = Planned(self.kind, delay, duration, (gateway_name,), links, 0.0, 0.0)
+        fault = PlannedFault(self.kind, delay, duration, (gateway_name,), links, 0.0, 0.0)
         match self.kind:
             case "pause":
                 child.process.send_signal(signal.SIGSTOP)
@@ -88,14 +88,14 @@
                 self.expected_exits.add(child)
                 child.process.kill()
             case "cut" if self.links:
-                self.links.begin(fault)
+                self.links.start_fault(fault)
         try:
             await asyncio.sleep(duration)
         finally:
             if self.kind == "pause" and child.process.returncode is None:
                 child.process.send_signal(signal.SIGCONT)
             elif self.kind == "cut" and self.links:
-                self.links.end(fault)
+                self.links.end_fault(fault)
         if self.kind == "kill":
             await child.process.wait()
             await restart()
