--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -18,13 +18,13 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from .messages import SIZE_MOST, put, read_varint
+from .messages import MESSAGE_BYTES_MAX, append_varints, read_varint
 
 FORMAT, VERSION = 3, 1
 TAG_BYTES = 8
 HEADER = struct.Struct("<BHH7sIIIIBHII")
 HEADER_OFFSET = 2 + TAG_BYTES  # format, version, tag
-ROWS_BYTES_MAX = SIZE_MOST - HEADER_OFFSET - HEADER.size
+ROWS_BYTES_MAX = MESSAGE_BYTES_MAX - HEADER_OFFSET - HEADER.size
 LIFE_BYTES = 7
 AGE_UNIT = 10_000  # microseconds
 COUNTER_MAX = 0xFFFF_FFFF  # incarnations and sequence numbers
@@ -109,14 +109,14 @@
 def pack_row(row: Row) -> bytes:
     """Encode one row."""
     encoded = bytearray((row.kind,))
-    put(encoded, row.rank)
+    append_varints(encoded, row.rank)
     encoded += row.life.to_bytes(LIFE_BYTES, "little")
-    put(encoded, row.incarnation)
+    append_varints(encoded, row.incarnation)
     if row.kind in KINDS_WITH_AGE:
         # Rounded up, so that evidence never appears more recent than it is.
-        put(encoded, min(-(-row.age // AGE_UNIT), 0x1FFFFF))
+        append_varints(encoded, min(-(-row.age // AGE_UNIT), 0x1FFFFF))
     if row.kind not in (RowKind.ALIVE, RowKind.LEFT):
-        put(encoded, row.observer)
+        append_varints(encoded, row.observer)
     return bytes(encoded)
 
 
@@ -143,7 +143,7 @@
 def unseal(data: bytes, key: bytes, version: int = VERSION) -> bytes:
     """The body of a datagram. Raises InvalidMessage: ``malformed``, ``version``, or ``foreign`` if the tag is
     wrong."""
-    if not HEADER_OFFSET < len(data) <= SIZE_MOST or data[0] != FORMAT:
+    if not HEADER_OFFSET < len(data) <= MESSAGE_BYTES_MAX or data[0] != FORMAT:
         raise InvalidMessage("malformed")
     if data[1] != version:
         raise InvalidMessage("version")
--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 
 FORMAT = 2
-SIZE_MOST = 256  # bytes: what the transport carries
-HEAD = 6  # bytes of a head
+MESSAGE_BYTES_MAX = 256  # bytes: what the transport carries
+HEADER_BYTES = 6  # bytes of a head
 SCALE = 16  # parts of a unit and of a second that travel
-TICK = 1000 // SCALE  # ms in one step of a start
-CLOCK = 1 << 32  # ms after which send times repeat
-VARINT_MOST = 9  # bytes: 63 bits
+TICK_MS = 1000 // SCALE  # ms in one step of a start
+SEND_TIME_PERIOD = 1 << 32  # ms after which send times repeat
+VARINT_BYTES_MAX = 9  # bytes: 63 bits
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +31,10 @@
     plan: int
     set_first: int
     set_size: int
-    reach: int
-    room: float
+    forward_count: int
+    remaining: float
     total: float
-    rights: float
+    ceiling_tokens: float
     counts: tuple[tuple[int, int, float], ...]
 
 
@@ -42,13 +42,13 @@
 class Message:
     """A decoded message; sent in ms."""
 
-    sent: int
-    ask: bool
-    keep: bool
+    sent_ms: int
+    expects_answer: bool
+    to_owner: bool
     rows: tuple[Row, ...]
 
 
-def put(out: bytearray, *values: int) -> None:
+def append_varints(out: bytearray, *values: int) -> None:
     """Append numbers of 0 or more."""
     for value in values:
         while value > 0x7F:
@@ -63,7 +63,7 @@
     if byte < 0x80:
         return byte, at + 1
     value = 0
-    for i in range(VARINT_MOST):
+    for i in range(VARINT_BYTES_MAX):
         byte = body[at + i]
         value |= (byte & 0x7F) << (7 * i)
         if byte < 0x80:
@@ -71,20 +71,26 @@
     raise ValueError("number too long")
 
 
-def pack_row(row: Row, sent: int, ranks: int) -> bytes:
+def pack_row(row: Row, sent_ms: int, ranks: int) -> bytes:
     """One row as bytes; starts are told as ages at the send time."""
-    out, first, ticks = bytearray(), row.set_first, sent // TICK
-    put(out, row.customer, row.plan, first, row.set_size, row.reach)
-    put(out, int(row.room * SCALE), int(row.total * SCALE), int(row.rights * SCALE), len(row.counts))
+    out, first, ticks = bytearray(), row.set_first, sent_ms // TICK_MS
+    append_varints(out, row.customer, row.plan, first, row.set_size, row.forward_count)
+    append_varints(
+        out,
+        int(row.remaining * SCALE),
+        int(row.total * SCALE),
+        int(row.ceiling_tokens * SCALE),
+        len(row.counts),
+    )
     for rank, start, value in row.counts:
-        put(out, (rank - first) % ranks, max(0, ticks - start), int(value * SCALE))
+        append_varints(out, (rank - first) % ranks, max(0, ticks - start), int(value * SCALE))
     return bytes(out)
 
 
-def fit(rows: Iterable[bytes]) -> list[bytes]:
+def fit_rows(rows: Iterable[bytes]) -> list[bytes]:
     """As many of the rows, from the first on, as one message holds."""
     taken: list[bytes] = []
-    space = SIZE_MOST - HEAD
+    space = MESSAGE_BYTES_MAX - HEADER_BYTES
     for row in rows:
         space -= len(row)
         if space < 0:
@@ -93,9 +99,13 @@
     return taken
 
 
-def pack(sent: int, ask: bool, keep: bool, rows: list[bytes]) -> bytes:
+def pack(sent_ms: int, expects_answer: bool, to_owner: bool, rows: list[bytes]) -> bytes:
     """A whole message."""
-    return bytes((FORMAT, ask + 2 * keep)) + (sent % CLOCK).to_bytes(4, "little") + b"".join(rows)
+    return (
+        bytes((FORMAT, expects_answer + 2 * to_owner))
+        + (sent_ms % SEND_TIME_PERIOD).to_bytes(4, "little")
+        + b"".join(rows)
+    )
 
 
 def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
@@ -104,18 +114,24 @@
     Of the send times that the low bits may mean, the one nearest to now (in ms) is taken.
     """
     try:
-        if body[0] != FORMAT or body[1] > 3 or not HEAD <= len(body) <= SIZE_MOST:
+        if body[0] != FORMAT or body[1] > 3 or not HEADER_BYTES <= len(body) <= MESSAGE_BYTES_MAX:
             return None
-        sent = int.from_bytes(body[2:HEAD], "little")
-        sent += (now - sent + CLOCK // 2) // CLOCK * CLOCK
-        ticks, rows, at = sent // TICK, [], HEAD
+        sent_ms = int.from_bytes(body[2:HEADER_BYTES], "little")
+        sent_ms += (now - sent_ms + SEND_TIME_PERIOD // 2) // SEND_TIME_PERIOD * SEND_TIME_PERIOD
+        ticks, rows, at = sent_ms // TICK_MS, [], HEADER_BYTES
         while at < len(body):
             head = []
             for _ in range(9):
                 value, at = read_varint(body, at)
                 head.append(value)
-            customer, plan, first, size, reach, room, total, rights, number = head
-            if plan >= plans or first >= ranks or not 1 <= size <= ranks or reach >= size or number > size:
+            customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, number = head
+            if (
+                plan >= plans
+                or first >= ranks
+                or not 1 <= size <= ranks
+                or forward_count >= size
+                or number > size
+            ):
                 return None
             counts = []
             for _ in range(number):
@@ -125,8 +141,8 @@
                 if place >= size:
                     return None
                 counts.append(((first + place) % ranks, ticks - age, value / SCALE))
-            amounts = room / SCALE, total / SCALE, rights / SCALE
-            rows.append(Row(customer, plan, first, size, reach, *amounts, tuple(counts)))
-        return Message(sent, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
+            amounts = remaining / SCALE, total / SCALE, ceiling_tokens / SCALE
+            rows.append(Row(customer, plan, first, size, forward_count, *amounts, tuple(counts)))
+        return Message(sent_ms, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
     except (IndexError, ValueError):
         return None
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -45,7 +45,7 @@
 OWNER_HASH_MULTIPLIER = 2_654_435_761  # spreads customers over the gateways of their sets
 OWNER_CANDIDATES = 3  # gateways of a set that are tried as owner
 OWNER_WAIT_TIMEOUT = 100 * MS  # longest wait of a request for the owner's answer
-NEW_COUNT_TICKS = 1000 // messages.TICK  # an unknown count that began earlier is in the total already
+NEW_COUNT_TICKS = 1000 // messages.TICK_MS  # an unknown count that began earlier is in the total already
 OWNER_QUERIES_MAX = 2  # per request, as the query or the answer may be lost
 ISOLATION_MIN_UNRESPONSIVE = 4  # with this many and no message from any gateway, this one is isolated
 PEER_DRAWS_MAX = 4  # draws for an available peer; a round is skipped where most are unavailable
@@ -761,7 +761,7 @@
         scanned = [self.accounts[customer] for customer in islice(self.pending_gossip, GOSSIP_SCAN_MAX)]
         shared = [a for a in scanned if self._position(rank, a.set_first) < a.set_size]
         shared.sort(key=lambda a: a.remaining / (self.settings.plans[a.plan].burst or 1.0))
-        rows = messages.fit(self._pack_row(a, 0) for a in shared)
+        rows = messages.fit_rows(self._pack_row(a, 0) for a in shared)
         if self._send_message(rank, rows, owner_index=NO_OTHER_OWNER):
             for account in shared[: len(rows)]:
                 del self.pending_gossip[account.customer]
@@ -829,7 +829,7 @@
         message = messages.unpack(event.body, self.now // MS, settings.gateways, len(settings.plans))
         if message is None or self.gossip_disabled or not 0 <= event.sender < settings.gateways:
             return
-        age = self.now - message.sent * MS
+        age = self.now - message.sent_ms * MS
         if abs(age) >= MESSAGE_AGE_MAX:
             return
 
@@ -841,18 +841,19 @@
         merged = []
         for row in message.rows:
             if self._position(self.rank, row.set_first) < row.set_size:
-                account = self._merge_row(row, event.sender, max(0, age), message.keep)
-                merged.append((account, row.rights if message.keep else 0.0))
-                self._broadcast(account, min(row.reach, account.set_size - 1))
-                if message.keep:
+                account = self._merge_row(row, event.sender, max(0, age), message.to_owner)
+                merged.append((account, row.ceiling_tokens if message.to_owner else 0.0))
+                self._broadcast(account, min(row.forward_count, account.set_size - 1))
+                if message.to_owner:
                     self._broadcast_if_throttled(account)
                 else:
                     self._resume_waiting(account, event.sender)
-        if message.ask:
+        if message.expects_answer:
             rows = (
-                self._answer_row(account, event.sender, wanted, message.keep) for account, wanted in merged
+                self._answer_row(account, event.sender, wanted, message.to_owner)
+                for account, wanted in merged
             )
-            self._send_message(event.sender, messages.fit(rows))
+            self._send_message(event.sender, messages.fit_rows(rows))
 
     def _resume_waiting(self, account: Account, sender: int) -> None:
         """Continue the request that has waited longest for this owner's answer."""
@@ -895,7 +896,7 @@
         plan = self.settings.plans[account.plan]
         self._refill(account)
         if not to_owner:
-            granted = min(row.rights, account.requested_tokens)
+            granted = min(row.ceiling_tokens, account.requested_tokens)
             account.ceiling_tokens += granted
             account.requested_tokens -= granted
 
@@ -917,7 +918,7 @@
 
         # The total covers counts that did not fit into the row or were lost on the way.
         account.total = max(account.total + unreported, account.counted, row.total)
-        account.limit = max(account.limit, row.total + row.room + plan.rate * age / SECOND)
+        account.limit = max(account.limit, row.total + row.remaining + plan.rate * age / SECOND)
         self._refill(account)
         return account
 
@@ -931,7 +932,7 @@
 
     def _ticks(self) -> int:
         """The time in ticks, the unit in which the start of a count is sent."""
-        return self.now // MS // messages.TICK
+        return self.now // MS // messages.TICK_MS
 
     def _evict_idle(self) -> None:
         """Evict idle accounts with a full quota, which hold no information, a few at a time.
--- a/saffrongw/peers.py
+++ b/saffrongw/peers.py
@@ -61,7 +61,7 @@
     def datagram_received(self, body: bytes, source: Address) -> None:
         """What a stranger sends, or what is too long to be ours, is dropped."""
         rank = self.ranks.get(source)
-        if not 0 < len(body) <= messages.SIZE_MOST:
+        if not 0 < len(body) <= messages.MESSAGE_BYTES_MAX:
             return
         if self.members and body[:2] == bytes((MEMBERS_FORMAT, PLACES_VERSION)):
             self.members.greeted(source, body)
@@ -81,7 +81,7 @@
 
     def send(self, address: Address, body: bytes) -> None:
         """Send to an address."""
-        if len(body) <= messages.SIZE_MOST and not self.transport.is_closing():
+        if len(body) <= messages.MESSAGE_BYTES_MAX and not self.transport.is_closing():
             self.transport.sendto(body, address)
 
     def move(self, rank: int, address: Address) -> None:
--- a/saffrongw/places.py
+++ b/saffrongw/places.py
@@ -33,7 +33,7 @@
 HELLO, HERE = 1, 2
 HEAD = struct.Struct(f"<BH{messages.LIFE_BYTES}sIIH")
 ROW = struct.Struct(f"<H{messages.LIFE_BYTES}s4sH")
-ROWS_MAX = (messages.SIZE_MOST - messages.HEADER_OFFSET - HEAD.size) // ROW.size
+ROWS_MAX = (messages.MESSAGE_BYTES_MAX - messages.HEADER_OFFSET - HEAD.size) // ROW.size
 
 # Between two tries at ``join`` while nobody is known, doubled with each.
 JOIN_INTERVAL_MIN, JOIN_INTERVAL_MAX = 250 * MS, 4 * SECOND
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -18,14 +18,14 @@
 from orchidlane.rules import DEADLINE_MARGIN
 
 MS = T0 // 1_000
-TICK = MS // messages.TICK
+TICK = MS // messages.TICK_MS
 
 
-def say(bench: Bench, sender: int, *rows: Row, ask=False, keep=False, sent=None) -> list:
+def say(bench: Bench, sender: int, *rows: Row, ask=False, to_owner=False, sent=None) -> list:
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
     packed = [messages.pack_row(r, sent, bench.settings.gateways) for r in rows]
-    return bench.feed(api.PeerMessage(sender, messages.pack(sent, ask, keep, packed)))
+    return bench.feed(api.PeerMessage(sender, messages.pack(sent, ask, to_owner, packed)))
 
 
 def told(counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0) -> Row:
@@ -86,7 +86,7 @@
 def test_a_keeper_adds_up_what_each_gateway_tells_of_itself():
     bench = heard()
     for sender in (1, 2):
-        say(bench, sender, told([(sender, TICK - 9, 4.0)], total=4.0), keep=True)
+        say(bench, sender, told([(sender, TICK - 9, 4.0)], total=4.0), to_owner=True)
     assert bench.gateway.accounts[7].total == 8.0
 
 
@@ -101,7 +101,7 @@
 def test_a_restart_gives_no_fresh_allowance():
     bench = heard()
     say(bench, 1, told([(1, TICK - 90, 6.0)], total=6.0))
-    say(bench, 1, told([(1, TICK - 1, 1.0)], total=1.0), keep=True)  # it has started anew
+    say(bench, 1, told([(1, TICK - 1, 1.0)], total=1.0), to_owner=True)  # it has started anew
     assert bench.gateway.accounts[7].counts[1] == (TICK - 1, 1.0)
     assert bench.gateway.accounts[7].total == 7.0
 
@@ -134,22 +134,22 @@
 
 def test_each_approval_is_told_to_one_keeper_and_the_next_one_stands_in():
     bench = Bench(gateways=60)
-    first = [(p, m) for p, m in bodies(bench.ask(1, size=50)) if m.keep]
+    first = [(p, m) for p, m in bodies(bench.ask(1, size=50)) if m.to_owner]
     assert len(first) == 1
-    assert first[0][1].ask
-    again = [p for p, m in bodies(bench.run(290_000)) if m.keep]
+    assert first[0][1].expects_answer
+    again = [p for p, m in bodies(bench.run(290_000)) if m.to_owner]
     assert again == [first[0][0]] * 2  # asked once more, then told
-    stands_in = [p for p, m in bodies(bench.run(150_000)) if m.keep]
+    stands_in = [p for p, m in bodies(bench.run(150_000)) if m.to_owner]
     assert len(stands_in) == 1
     assert stands_in != [first[0][0]]
 
 
 def test_a_keeper_that_answers_is_not_replaced():
     bench = Bench(gateways=60)
-    keeper = next(p for p, m in bodies(bench.ask(1, size=50)) if m.keep)
+    keeper = next(p for p, m in bodies(bench.ask(1, size=50)) if m.to_owner)
     bench.now += 20_000
     say(bench, keeper, told([], size=50))
-    assert not [p for p, m in bodies(bench.run(270_000)) if m.keep]
+    assert not [p for p, m in bodies(bench.run(270_000)) if m.to_owner]
 
 
 def test_a_set_is_told_when_a_customer_has_spent_nearly_all():
@@ -157,7 +157,7 @@
     rest, told_ranks = 60, []
     slow = dataclasses.replace(PLAIN, rate=0.5)  # gossip keeps up: its burst needs 20 s to come back
     bench = Bench(gateways=80, peer_intake=1_000.0, plans=(slow,))
-    say(bench, 1, told([(1, TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), keep=True)
+    say(bench, 1, told([(1, TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), to_owner=True)
     waiting = bodies(bench.log)
     assert 0 < len(waiting) <= 13
     while waiting:
@@ -170,14 +170,14 @@
 
 def test_a_set_is_not_told_while_there_is_room():
     bench = heard()
-    say(bench, 1, told([(1, TICK - 9, 2.0)], total=2.0), keep=True)
+    say(bench, 1, told([(1, TICK - 9, 2.0)], total=2.0), to_owner=True)
     assert not bodies(bench.log)
 
 
 def test_changes_go_to_a_random_peer_each_interval():
     bench = heard()
     let_in(bench, 1)
-    rows = [row for _, m in bodies(bench.run(SECOND)) if not m.keep for row in m.rows]
+    rows = [row for _, m in bodies(bench.run(SECOND)) if not m.to_owner for row in m.rows]
     assert [row.customer for row in rows] == [7]
     assert rows[0].counts[0][2] == 1.0
 
@@ -185,7 +185,7 @@
 def test_a_question_is_answered_with_what_is_known():
     bench = heard()
     say(bench, 1, told([(1, TICK - 9, 4.0)], total=4.0))
-    ((peer, message),) = bodies(say(bench, 2, told([(2, TICK - 9, 1.0)], total=1.0), ask=True, keep=True))
+    ((peer, message),) = bodies(say(bench, 2, told([(2, TICK - 9, 1.0)], total=1.0), ask=True, to_owner=True))
     assert peer == 2
     assert message.rows[0].total == 5.0
 
@@ -205,7 +205,7 @@
     for i in range(1, 20):
         bench.ask(i, customer=i, size=50)
     bench.now += 2 * SECOND  # no event in between: its own timers are late
-    assert not [m for _, m in bodies(bench.run(1)) if m.keep]  # no other keeper is told instead
+    assert not [m for _, m in bodies(bench.run(1)) if m.to_owner]  # no other keeper is told instead
 
 
 def test_a_customer_whose_keepers_all_keep_silent_is_not_locked_to_its_first_share():
@@ -224,7 +224,7 @@
         bench.ask(i, customer=i % 90)
         bench.run(5_000)
     sizes = [len(a.body) for a in bench.log if isinstance(a, api.SendPeerMessage)]
-    assert max(sizes) <= messages.SIZE_MOST
+    assert max(sizes) <= messages.MESSAGE_BYTES_MAX
     seconds = (bench.now - T0) / SECOND
     assert 0 < len(sizes) <= 50.0 * (seconds + 1)
 
@@ -299,7 +299,7 @@
                 bench,
                 1 + i % 3,
                 told([(1, TICK, i / 4)], total=i / 2, customer=i % 5, size=gateways),
-                keep=True,
+                to_owner=True,
             )
             bench.run(50_000)
     finally:
@@ -445,7 +445,7 @@
     """A keeper that stands in heard a count first when it was long, and added all of it once more."""
     bench = heard(gateways=60)
     say(bench, 1, told([], room=0.0, total=30.0))
-    say(bench, 2, told([(2, TICK - 900, 12.0)], room=0.0, total=30.0), keep=True)
+    say(bench, 2, told([(2, TICK - 900, 12.0)], room=0.0, total=30.0), to_owner=True)
     assert bench.gateway.accounts[7].total == 30.0
 
 
@@ -479,10 +479,14 @@
 
 
 def test_send_times_that_wrap_are_read_aright():
-    for sent in (messages.CLOCK - 5, messages.CLOCK + 5, 7 * messages.CLOCK + 1):
+    for sent in (
+        messages.SEND_TIME_PERIOD - 5,
+        messages.SEND_TIME_PERIOD + 5,
+        7 * messages.SEND_TIME_PERIOD + 1,
+    ):
         body = messages.pack(sent, False, False, [])
-        assert messages.unpack(body, sent + 900, 3, 1).sent == sent
-        assert messages.unpack(body, sent - 900, 3, 1).sent == sent
+        assert messages.unpack(body, sent + 900, 3, 1).sent_ms == sent
+        assert messages.unpack(body, sent - 900, 3, 1).sent_ms == sent
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -64,7 +64,7 @@
 @given(MESSAGES)
 def test_messages_survive_encoding_and_fit_one_datagram(message):
     body = messages.pack(message, KEY)
-    assert len(body) <= messages.SIZE_MOST
+    assert len(body) <= messages.MESSAGE_BYTES_MAX
     assert messages.unpack(body, KEY, 200) == message
 
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -309,7 +309,7 @@
     assert list(rig.driver.gateway.last_received) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
-    assert len(reply) <= messages.SIZE_MOST
+    assert len(reply) <= messages.MESSAGE_BYTES_MAX
     stranger.setblocking(False)
     try:
         stranger.recv(512)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -232,10 +232,10 @@
     return Row(1, 2, 0, 3, 0, 8.0, total, rights, ())
 
 
-def hear(bench: Bench, sender: int, row: Row, keep: bool) -> list:
+def hear(bench: Bench, sender: int, row: Row, to_owner: bool) -> list:
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
-    body = messages.pack(sent, keep, keep, [messages.pack_row(row, sent, 3)])
+    body = messages.pack(sent, to_owner, to_owner, [messages.pack_row(row, sent, 3)])
     return bench.feed(api.PeerMessage(sender, body))
 
 
@@ -244,23 +244,23 @@
     keeper = next(r for r in range(3) if Bench(rank=r).gateway._owner(Account(1, (2, 0, 3), 8.0, T0)) == r)
     bench = Bench(rank=keeper)
     other = (keeper + 1) % 3
-    hear(bench, other, ceiling_row(0.0), keep=True)
+    hear(bench, other, ceiling_row(0.0), to_owner=True)
     bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
     given = 0.0
     for _ in range(5):
-        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.SendPeerMessage):
+        for tell in of(hear(bench, other, ceiling_row(5.0), to_owner=True), api.SendPeerMessage):
             message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
-            given += message.rows[0].rights if not message.keep else 0.0
+            given += message.rows[0].ceiling_tokens if not message.to_owner else 0.0
     assert 10.0 < given <= 16 * 2 / 3
 
 
 def test_rights_that_were_not_asked_for_are_not_taken():
     """A repeated or made-up gift must not lift a ceiling."""
     bench = Bench(rank=1)
-    hear(bench, 0, ceiling_row(16.0), keep=False)
+    hear(bench, 0, ceiling_row(16.0), to_owner=False)
     assert not of(bench.ask(1, customer=1, plan=2), api.Send)
-    hear(bench, 0, ceiling_row(2.0), keep=False)
-    hear(bench, 0, ceiling_row(2.0), keep=False)
+    hear(bench, 0, ceiling_row(2.0), to_owner=False)
+    hear(bench, 0, ceiling_row(2.0), to_owner=False)
     sends = [s for r in range(2, 30) for s in of(bench.ask(r, customer=1, plan=2), api.Send)]
     assert 1 <= len(sends) <= 2  # once what was asked for
 
