--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -16,14 +16,14 @@
 from .rules import Gateway
 from .state import Account, HealthStats
 
-WRONG = (KeyError, TypeError, ValueError, IndexError, OverflowError, AttributeError)
+INVALID_STATE_ERRORS = (KeyError, TypeError, ValueError, IndexError, OverflowError, AttributeError)
 
 
 def _marks(known: HealthStats) -> list[float]:
     return [known.updated_at, known.slowdown, known.typical_load, known.failures]
 
 
-def head(gateway: Gateway) -> dict[str, Any]:
+def encode_state(gateway: Gateway) -> dict[str, Any]:
     """All but the accounts."""
     return {
         "shape": _shape(gateway),
@@ -44,7 +44,7 @@
     }
 
 
-def accounts(gateway: Gateway) -> Iterator[list[Any]]:
+def encode_accounts(gateway: Gateway) -> Iterator[list[Any]]:
     """One row a customer, in the order of their next look; the attempts out are not in it."""
     for customer in gateway.idle_queue:
         a = gateway.accounts[customer]
@@ -64,7 +64,7 @@
         ]
 
 
-def out(gateway: Gateway) -> list[api.AttemptElsewhere]:
+def open_attempt_events(gateway: Gateway) -> list[api.AttemptElsewhere]:
     """The attempts out, as the other process is told of them."""
     return [
         api.AttemptElsewhere(request.event, number, attempt.host.entry.server, attempt.sent_at)
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class DecodedState:
     """A state that makes sense, for a gateway of these settings."""
 
     accounts: list[Account]
@@ -91,7 +91,7 @@
     last_received: dict[int, int]
     pending_gossip: list[int]
 
-    def load(self, gateway: Gateway) -> None:
+    def apply_to(self, gateway: Gateway) -> None:
         """Go on from there, with the servers that the gateway knows by now."""
         gateway.usual_times, gateway.retry_budget, gateway.next_trial_at = (
             self.usual_times,
@@ -124,7 +124,7 @@
                 host.typical_load, host.failures = marks.typical_load, marks.failures
 
 
-def read(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> State:
+def decode(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> DecodedState:
     """What the other process told; raises ValueError where it is no state of such a gateway."""
     try:
         if state["shape"] != _shape(gateway):
@@ -138,7 +138,7 @@
         retry_budget, next_trial_at, send_allowance, allowance_refilled_at = map(
             _number, state["budget"] + state["intake"]
         )
-        return State(
+        return DecodedState(
             accounts,
             usual_times,
             retry_budget,
@@ -160,7 +160,7 @@
             {int(rank): int(at) for rank, at in state["heard"]},
             [int(customer) for customer in state["changed"]],
         )
-    except WRONG as wrong:
+    except INVALID_STATE_ERRORS as wrong:
         raise ValueError(f"no usable state: {wrong!r}") from wrong
 
 
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -45,7 +45,13 @@
 ExecuteCall = Callable[[bytes], Awaitable[str]]  # executes an operator's call and returns its answer
 
 # Raised by the channel and by malformed messages.
-CHANNEL_ERRORS = (OSError, EOFError, asyncio.LimitOverrunError, RecursionError, *handover.WRONG)
+CHANNEL_ERRORS = (
+    OSError,
+    EOFError,
+    asyncio.LimitOverrunError,
+    RecursionError,
+    *handover.INVALID_STATE_ERRORS,
+)
 
 
 def handover_socket_path(config: Config) -> Path | None:
@@ -206,12 +212,12 @@
     async def _send_state(self, channel: Channel) -> None:
         gateway, pools = self.driver.gateway, self.driver.hosts.pools
         host_rows = [_host_row(host.entry, pools[server].address) for server, host in gateway.hosts.items()]
-        channel.send(state=handover.head(gateway), hosts=host_rows, clock=self.driver.clock.base)
-        rows = handover.accounts(gateway)
+        channel.send(state=handover.encode_state(gateway), hosts=host_rows, clock=self.driver.clock.base)
+        rows = handover.encode_accounts(gateway)
         while batch := list(islice(rows, ACCOUNTS_PER_MESSAGE)):
             channel.send(rows=batch)
             await channel.writer.drain()
-        for event in handover.out(gateway):
+        for event in handover.open_attempt_events(gateway):
             channel.send(began=_attempt_row(event))
         channel.send(end=True)
 
@@ -398,11 +404,11 @@
             async with asyncio.timeout(FREEZE_TIMEOUT):
                 state, rows, attempts_out = await self._receive_state()
             hosts = tuple(map(_host_entry, state["hosts"]))
-            restored = handover.read(driver.gateway, state["state"], rows)
+            restored = handover.decode(driver.gateway, state["state"], rows)
             driver.clock.base = int(state["clock"])
             if not host_list_received.is_set():
                 driver.apply_host_list(HostList(0, True, hosts))
-            restored.load(driver.gateway)
+            restored.apply_to(driver.gateway)
             for message in attempts_out:
                 self._attempt_started(message)
             # Written directly, not through the transport: the confirmation is sent at once or not at all.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -383,13 +383,13 @@
 
 def restored_copy(bench: Bench, change=lambda state, rows: None) -> Gateway:
     """A gateway restored from the JSON state of another one."""
-    text = json.dumps([handover.head(bench.gateway), list(handover.accounts(bench.gateway))])
+    text = json.dumps([handover.encode_state(bench.gateway), list(handover.encode_accounts(bench.gateway))])
     state, rows = json.loads(text)
     change(state, rows)
     gateway = Gateway(bench.settings, 99, bench.now)
     gateway.start()
     gateway.handle(bench.now, listed(*(host.entry for host in bench.gateway.hosts.values())))
-    handover.read(gateway, state, rows).load(gateway)
+    handover.decode(gateway, state, rows).apply_to(gateway)
     return gateway
 
 
@@ -411,7 +411,7 @@
         gateway.usual_times == bench.gateway.usual_times
         and gateway.pending_gossip == bench.gateway.pending_gossip
     )
-    assert handover.head(gateway) == handover.head(bench.gateway)
+    assert handover.encode_state(gateway) == handover.encode_state(bench.gateway)
 
 
 def test_the_predecessors_open_attempts_count_and_end_like_any_other():
@@ -419,7 +419,7 @@
     bench.ask(1, plan=1)
     bench.ask(2, plan=1)
     gateway = restored_copy(bench)
-    for event in (events := handover.out(bench.gateway)):
+    for event in (events := handover.open_attempt_events(bench.gateway)):
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
         assert gateway.handle(bench.now, dataclasses.replace(event, arrived=arrived)) == []
     assert len(events) == 2
