--- a/lab/defects.py
+++ b/lab/defects.py
@@ -18,7 +18,7 @@
 from orchidlane.membership import Membership
 from saffrongw import places
 from saffrongw.config import Address
-from saffrongw.places import Action, Moved, Place, Places
+from saffrongw.places import Action, AddressBook, AddressChanged, PeerAddress
 
 VARIABLE = "LAB_DEFECT"  # not of those that the proving ground takes away
 
@@ -89,33 +89,33 @@
         super()._process(now, message)
 
 
-class DoesNotPassOn(Places):
+class DoesNotPassOn(AddressBook):
     """Tells nobody where the others are."""
 
-    def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
-        known, self.known = self.known, {}
-        done = super().heard(now, source, data)
-        self.known = known | self.known
+    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        known, self.peers = self.peers, {}
+        done = super().receive(now, source, data)
+        self.peers = known | self.peers
         return done
 
 
-class TakesSource(Places):
+class TakesSource(AddressBook):
     """Binds a rank to wherever a message of its life comes from."""
 
-    def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
-        done = super().heard(now, source, data)
+    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        done = super().receive(now, source, data)
         with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
-            if rank != self.rank and life >= self.known.get(rank, Place(0, source)).life:
-                self.known[rank] = Place(life, source)
-                done.append(Moved(rank, source))
+            if rank != self.rank and life >= self.peers.get(rank, PeerAddress(0, source)).life:
+                self.peers[rank] = PeerAddress(life, source)
+                done.append(AddressChanged(rank, source))
         return done
 
 
-class TakesHearsay(Places):
+class TakesHearsay(AddressBook):
     """Binds a rank to wherever others say that it is."""
 
-    def _hint(self, now: int, rank: int, place: Place) -> bool:
+    def _set_candidate(self, now: int, rank: int, place: PeerAddress) -> bool:
         self._bind(rank, place)
         return True
 
@@ -129,7 +129,7 @@
     "no-yielding": NoYielding,
     "old-lives-count": OldLivesCount,
 }
-PLACES: dict[str, type[Places]] = {
+PLACES: dict[str, type[AddressBook]] = {
     "does-not-pass-on": DoesNotPassOn,
     "takes-source": TakesSource,
     "takes-hearsay": TakesHearsay,
@@ -140,7 +140,7 @@
 def plant(name: str) -> None:
     """Into this process, before the gateway's parts are loaded."""
     if name in PLACES:
-        places.Places = PLACES[name]  # type: ignore[misc]
+        places.AddressBook = PLACES[name]  # type: ignore[misc]
     else:
         membership.Membership = DEFECTS[name]  # type: ignore[misc]
 
--- a/lab/placing.py
+++ b/lab/placing.py
@@ -14,14 +14,14 @@
 SECOND = 1_000_000
 DELAY = (200, 1_200)  # microseconds on the way
 
-Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.Places]
+Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.AddressBook]
 
 
 @dataclass(slots=True, eq=False)
 class Seat:
     """One gateway at its address; ``bound`` is where its sends to each rank go."""
 
-    core: places.Places
+    core: places.AddressBook
     bound: dict[int, Address] = field(default_factory=dict)
     replaced: int = 0  # the greater life of another process under its rank
     dead: bool = False
@@ -30,7 +30,9 @@
 class Land:
     """A network of addresses, from one seed."""
 
-    def __init__(self, size: int, seed: int, factory: Factory = places.Places, loss: float = 0.0) -> None:
+    def __init__(
+        self, size: int, seed: int, factory: Factory = places.AddressBook, loss: float = 0.0
+    ) -> None:
         """``size``: ranks that the settings have room for."""
         self.kernel, self.size, self.factory, self.loss = Kernel(), size, factory, loss
         self.kernel.now = T0
@@ -46,7 +48,7 @@
         seeds = [self._at(other) for other in join]
         seat = Seat(self.factory(rank, self.size, "lab", life, at, seeds, int(self.seeds.integers(2**31))))
         self.seats[at] = seat
-        self.kernel.after(int(self.draw() * places.GREETING_INTERVAL), self._tick, at, seat)
+        self.kernel.after(int(self.draw() * places.HELLO_INTERVAL), self._tick, at, seat)
         return seat
 
     @staticmethod
@@ -78,7 +80,7 @@
     def _tick(self, at: Address, seat: Seat) -> None:
         if not seat.dead and self.seats[at] is seat:
             self._carry_out(at, seat, seat.core.tick(self.kernel.now))
-            self.kernel.after(places.GREETING_INTERVAL, self._tick, at, seat)
+            self.kernel.after(places.HELLO_INTERVAL, self._tick, at, seat)
 
     def say(self, source: Address, to: Address, body: bytes) -> None:
         """A datagram, also a forged one."""
@@ -89,15 +91,15 @@
     def _arrive(self, source: Address, to: Address, body: bytes) -> None:
         seat = self.seats.get(to)
         if seat and not seat.dead:
-            self._carry_out(to, seat, seat.core.heard(self.kernel.now, source, body))
+            self._carry_out(to, seat, seat.core.receive(self.kernel.now, source, body))
 
     def _carry_out(self, at: Address, seat: Seat, actions: Iterable[places.Action]) -> None:
         for action in actions:
-            if isinstance(action, places.Greet):
+            if isinstance(action, places.SendDatagram):
                 self.sent[at] += 1
                 self.seen.append((at, action.address, action.body))
                 self.say(at, action.address, action.body)
-            elif isinstance(action, places.Moved):
+            elif isinstance(action, places.AddressChanged):
                 seat.bound[action.rank] = action.address
             else:
                 seat.replaced = action.life
--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -13,7 +13,7 @@
 from ops import logs
 
 from .config import Address, address
-from .places import Places
+from .places import AddressBook
 
 log = logs.get(__name__)
 
@@ -27,7 +27,7 @@
 class Meeting:
     """Calls for as long as the gateway speaks to others; a service that is away is told of once."""
 
-    def __init__(self, service: Address, cluster: str, places: Places, clock: Callable[[], int]) -> None:
+    def __init__(self, service: Address, cluster: str, places: AddressBook, clock: Callable[[], int]) -> None:
         self.service, self.cluster, self.places, self.clock = service, cluster, places, clock
         self.task: asyncio.Task[None] | None = None
         self.reached: bool | None = None  # None: not tried yet
@@ -49,7 +49,9 @@
                 async with asyncio.timeout(RESPONSE_TIMEOUT):
                     told = await self._call()
                 for row in told:
-                    self.places.hint(self.clock(), int(row["rank"]), int(row["life"]), address(row["dial"]))
+                    self.places.add_candidate(
+                        self.clock(), int(row["rank"]), int(row["life"]), address(row["dial"])
+                    )
                 if self.reached is not True:
                     log.info("meeting_reached", address=self.service)
                 self.reached = True
@@ -57,7 +59,7 @@
                 if self.reached is not False:  # once, until it is there again
                     log.warning("meeting_failed", address=self.service, error=str(wrong) or "no answer")
                 self.reached = False
-            span = RENEW_INTERVAL if self.places.known else SEARCH_INTERVAL
+            span = RENEW_INTERVAL if self.places.peers else SEARCH_INTERVAL
             await asyncio.sleep(span * random.uniform(0.5, 1.0))
 
     async def _call(self) -> list[dict[str, str]]:
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -53,10 +53,10 @@
         size, intake = min(settings.gateways, len(config.peers) or settings.gateways), settings.peer_intake
         self.core = Membership(settings.rank, size, config.cluster, life, draw, clock(), intake)
         own = config.advertise or config.peer_listen
-        self.places: where.Places | None = None  # a fixed list tells where all are
+        self.places: where.AddressBook | None = None  # a fixed list tells where all are
         self.meeting: Meeting | None = None
         if not config.peers:
-            self.places = where.Places(settings.rank, size, config.cluster, life, own, config.join, draw)
+            self.places = where.AddressBook(settings.rank, size, config.cluster, life, own, config.join, draw)
         if self.places and config.meet:
             self.meeting = Meeting(config.meet, config.cluster, self.places, clock)
         self.driver, self.peers, self.drain, self.loop = driver, peers, drain, driver.loop
@@ -80,8 +80,8 @@
         if core.suspects or core.urgent_pings:
             return now + TICK_INTERVAL
         looks = [probe.sent_at + STEPS[probe.stage] for probe in core.probes.values()]
-        if self.places and self.places.busy:
-            looks.append(now + where.GREETING_INTERVAL)
+        if self.places and self.places.has_candidates:
+            looks.append(now + where.HELLO_INTERVAL)
         return min(
             core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relayed_probes.values())
         )
@@ -138,15 +138,15 @@
         """A datagram that says where members are, from anywhere."""
         now = clock()
         if self.places and self.timer:
-            self._find(now, self.places.heard(now, source, body))
+            self._find(now, self.places.receive(now, source, body))
             self._wake(now)
 
     def _find(self, now: int, actions: Iterable[where.Action]) -> None:
         """What is new of where members are."""
         for action in actions:
-            if isinstance(action, where.Greet):
+            if isinstance(action, where.SendDatagram):
                 self.peers.send(action.address, action.body)
-            elif isinstance(action, where.Moved):
+            elif isinstance(action, where.AddressChanged):
                 at = "{}:{}".format(*action.address)
                 log.info("member_placed", member=action.rank, address=at, boot_ms=now // MS)
                 self.peers.move(action.rank, action.address)
@@ -180,7 +180,9 @@
         """What the decisions are told: who has no place yet is away, too."""
         view = self.core.view
         apart = view.cut_off or view.unheard or view.doubtful or self.core.yielded
-        return api.MembersChanged(view.absent | self.places.unplaced if self.places else view.absent, apart)
+        return api.MembersChanged(
+            view.absent | self.places.ranks_without_address if self.places else view.absent, apart
+        )
 
     def _notice(self, notice: state.LogEvent) -> None:
         fields = notice.fields | {"boot_ms": clock() // MS}
@@ -247,7 +249,7 @@
             "health": core.health,
             "part": list(core.view.active_of_total),
             "members": rows,
-            "unplaced": sorted(self.places.unplaced) if self.places else [],
+            "unplaced": sorted(self.places.ranks_without_address) if self.places else [],
             "links_down": core.links.down_links(),
         }
 
--- a/saffrongw/places.py
+++ b/saffrongw/places.py
@@ -37,7 +37,7 @@
 
 # Between two tries at ``join`` while nobody is known, doubled with each.
 JOIN_INTERVAL_MIN, JOIN_INTERVAL_MAX = 250 * MS, 4 * SECOND
-GREETING_INTERVAL = 50 * MS  # between two greetings of members that others told of
+HELLO_INTERVAL = 50 * MS  # between two greetings of members that others told of
 GREETING_TIMEOUT = 1 * SECOND  # until a greeting is repeated
 GREETING_TRIES = 4  # of one hint
 ROUND_INTERVAL = 5 * SECOND  # between two greetings of a known one: what it knows and we don't
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class PeerAddress:
     """Where a rank is, and of which life that is known."""
 
     life: int
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Greet:
+class SendDatagram:
     """Send this to an address."""
 
     address: Address
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class AddressChanged:
     """From now on this rank is at that address."""
 
     rank: int
@@ -73,20 +73,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replaced:
+class NewerLifeFound:
     """Another process has our rank, with a greater life."""
 
     life: int
 
 
-Action = Greet | Moved | Replaced
+Action = SendDatagram | AddressChanged | NewerLifeFound
 
 
 @dataclass(slots=True)
 class Hint:
     """Where a rank is said to be."""
 
-    place: Place
+    place: PeerAddress
     due: int
     tries: int = 0
 
@@ -99,11 +99,11 @@
     return life.to_bytes(messages.LIFE_BYTES, "little")
 
 
-def _share(rank: int, place: Place) -> int:
+def _share(rank: int, place: PeerAddress) -> int:
     return zlib.crc32(f"{rank} {place.life} {place.address}".encode())
 
 
-class Places:
+class AddressBook:
     """One gateway's knowledge of where the others are."""
 
     def __init__(
@@ -114,9 +114,9 @@
         self.key = messages.tag_key(cluster)
         self.join = [address for address in join if address != own]
         self.random = random.Random(seed)
-        self.known: dict[int, Place] = {}
-        self.sum = 0  # of their shares in the digest
-        self.hints: dict[int, Hint] = {}
+        self.peers: dict[int, PeerAddress] = {}
+        self.peers_digest = 0  # of their shares in the digest
+        self.candidates: dict[int, Hint] = {}
         # Greetings that may be answered: number, where; whether all pages are wanted.
         self.out: OrderedDict[tuple[int, Address], bool] = OrderedDict()
         self.counts: Counter[str] = Counter()
@@ -130,24 +130,26 @@
     def tick(self, now: int) -> list[Action]:
         """Time has passed; to be called each GREETING_INTERVAL while ``busy``, else JOIN_INTERVAL_MIN."""
         self.actions = []
-        if not self.known and now >= self.next_knock and self.join:
+        if not self.peers and now >= self.next_knock and self.join:
             self._knock()
             self.next_knock = now + int(self.knock * (0.5 + self.random.random()))
             self.knock = min(JOIN_INTERVAL_MAX, 2 * self.knock)
-        if now >= self.next_greeting and (due := [r for r, hint in self.hints.items() if hint.due <= now]):
-            self.next_greeting = now + GREETING_INTERVAL
-            self._try(now, min(due, key=lambda rank: (self.hints[rank].due, rank)))
-        if self.known and now >= self.next_round:
+        if now >= self.next_greeting and (
+            due := [r for r, hint in self.candidates.items() if hint.due <= now]
+        ):
+            self.next_greeting = now + HELLO_INTERVAL
+            self._try(now, min(due, key=lambda rank: (self.candidates[rank].due, rank)))
+        if self.peers and now >= self.next_round:
             self.next_round = now + int(ROUND_INTERVAL * (0.5 + self.random.random()))
             self.rounds += 1
             if self.join and self.rounds % REJOIN_ROUND_EVERY == 0:
                 self._knock()
             else:
-                place = self.known[self.random.choice(sorted(self.known))]
+                place = self.peers[self.random.choice(sorted(self.peers))]
                 self._greet(place.address, full=self.rounds % FULL_ROUND_EVERY == 0)
         return self._done()
 
-    def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
+    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
         """A datagram of this version, from anywhere."""
         self.actions = []
         try:
@@ -158,9 +160,9 @@
         if rank == self.rank:
             self._of_our_rank(source, kind, life, number, now)
         elif kind == HELLO:
-            known = self.known.get(rank)
+            known = self.peers.get(rank)
             if known is None or life > known.life or (known.life == life and known.address != source):
-                self._hint(now, rank, Place(life, source))
+                self._set_candidate(now, rank, PeerAddress(life, source))
             newer = known if known and life < known.life else None
             differs = digest != self._digest()
             if differs:  # one of us knows more: who does is asked soon
@@ -169,7 +171,7 @@
                 )
             self._answer(now, source, number, page if differs else None, newer, rank)
         elif (is_full := self.out.pop((number, source), None)) is not None:
-            self._bind(rank, Place(life, source))
+            self._bind(rank, PeerAddress(life, source))
             news = sum(self._told(now, other, place) for other, place in rows)
             # The latest come first: after a page without news all of them now and then only.
             if page and digest != self._digest() and (is_full or news):
@@ -178,20 +180,20 @@
             self.counts["dropped_unasked"] += 1
         return self._done()
 
-    def hint(self, now: int, rank: int, life: int, address: Address) -> None:
+    def add_candidate(self, now: int, rank: int, life: int, address: Address) -> None:
         """The list service says that a rank is there."""
         if 0 <= rank < self.size:
-            self._told(now, rank, Place(life, address))
+            self._told(now, rank, PeerAddress(life, address))
 
     @property
-    def busy(self) -> bool:
+    def has_candidates(self) -> bool:
         """Whether somebody is still to be greeted."""
-        return bool(self.hints)
+        return bool(self.candidates)
 
     @property
-    def unplaced(self) -> frozenset[int]:
+    def ranks_without_address(self) -> frozenset[int]:
         """Ranks that nobody is known to hold."""
-        return frozenset(range(self.size)) - self.known.keys() - {self.rank}
+        return frozenset(range(self.size)) - self.peers.keys() - {self.rank}
 
     # -- what follows ---------------------------------------------------------------------------------------
 
@@ -201,50 +203,50 @@
 
     def _digest(self) -> int:
         """Of all that we know, ourselves as well: who knows the same has the same."""
-        return self.sum ^ _share(self.rank, Place(self.life, self.own))
+        return self.peers_digest ^ _share(self.rank, PeerAddress(self.life, self.own))
 
-    def _told(self, now: int, rank: int, place: Place) -> bool:
+    def _told(self, now: int, rank: int, place: PeerAddress) -> bool:
         """Hearsay, also of ourselves; whether it is news."""
         if rank == self.rank:
             if place.life > self.life:
-                self.actions.append(Replaced(place.life))
-        elif (known := self.known.get(rank)) is None or place.life > known.life:
-            return self._hint(now, rank, place)
+                self.actions.append(NewerLifeFound(place.life))
+        elif (known := self.peers.get(rank)) is None or place.life > known.life:
+            return self._set_candidate(now, rank, place)
         return False
 
-    def _hint(self, now: int, rank: int, place: Place) -> bool:
-        held = self.hints.get(rank)
+    def _set_candidate(self, now: int, rank: int, place: PeerAddress) -> bool:
+        held = self.candidates.get(rank)
         if held is None or place.life > held.place.life or (held.tries and place != held.place):
-            self.hints[rank] = Hint(place, now)
+            self.candidates[rank] = Hint(place, now)
             return True
         return False
 
     def _try(self, now: int, rank: int) -> None:
-        hint = self.hints[rank]
+        hint = self.candidates[rank]
         hint.tries, hint.due = hint.tries + 1, now + GREETING_TIMEOUT
         self._greet(hint.place.address)
         if hint.tries >= GREETING_TRIES:
-            del self.hints[rank]
+            del self.candidates[rank]
 
-    def _bind(self, rank: int, place: Place) -> None:
+    def _bind(self, rank: int, place: PeerAddress) -> None:
         """It has answered from there."""
-        known = self.known.get(rank)
+        known = self.peers.get(rank)
         if known and place.life < known.life:
             return  # a former self, or the elder of twins
-        self.sum ^= _share(rank, place) ^ (_share(rank, known) if known else 0)
-        self.known.pop(rank, None)
-        self.known[rank] = place  # the last one of all
-        if (hint := self.hints.get(rank)) and hint.place.life <= place.life:
-            del self.hints[rank]
+        self.peers_digest ^= _share(rank, place) ^ (_share(rank, known) if known else 0)
+        self.peers.pop(rank, None)
+        self.peers[rank] = place  # the last one of all
+        if (hint := self.candidates.get(rank)) and hint.place.life <= place.life:
+            del self.candidates[rank]
         if known is None or known.address != place.address:
-            self.actions.append(Moved(rank, place.address))
+            self.actions.append(AddressChanged(rank, place.address))
 
     def _of_our_rank(self, source: Address, kind: int, life: int, number: int, now: int) -> None:
         """Ourselves by way of ``join``, or a process under our rank: the elder yields."""
         if life > self.life:
-            self.actions.append(Replaced(life))
+            self.actions.append(NewerLifeFound(life))
         elif life < self.life and kind == HELLO:
-            self._answer(now, source, number, 0, Place(self.life, self.own), self.rank)
+            self._answer(now, source, number, 0, PeerAddress(self.life, self.own), self.rank)
 
     def _knock(self) -> None:
         self._greet(self.join[self.turn % len(self.join)], full=True)
@@ -258,7 +260,7 @@
         self._send(address, HELLO, number, page)
 
     def _answer(
-        self, now: int, to: Address, number: int, page: int | None, newer: Place | None, rank: int
+        self, now: int, to: Address, number: int, page: int | None, newer: PeerAddress | None, rank: int
     ) -> None:
         """What we know from a page on (None: nothing); first of all that another process has the asker's
         rank."""
@@ -272,25 +274,25 @@
         self.room -= 1
         some, more = [(rank, newer)] if newer else [], 0
         if page is not None:
-            others = [r for r in reversed(self.known) if r != rank][page:]
+            others = [r for r in reversed(self.peers) if r != rank][page:]
             room = ROWS_MAX - len(some)
             more = page + room if len(others) > room else 0
-            some += [(other, self.known[other]) for other in others[:room]]
+            some += [(other, self.peers[other]) for other in others[:room]]
         self._send(to, HERE, number, more, some)
 
     def _send(
-        self, to: Address, kind: int, number: int, page: int, rows: Iterable[tuple[int, Place]] = ()
+        self, to: Address, kind: int, number: int, page: int, rows: Iterable[tuple[int, PeerAddress]] = ()
     ) -> None:
         body = HEAD.pack(kind, self.rank, _bytes(self.life), number, self._digest(), page)
         for rank, place in rows:
             host, port = place.address
             body += ROW.pack(rank, _bytes(place.life), socket.inet_aton(host), port)
         self.counts["sent"] += 1
-        self.actions.append(Greet(to, messages.seal(self.key, body, VERSION)))
+        self.actions.append(SendDatagram(to, messages.seal(self.key, body, VERSION)))
 
     # -- bytes ----------------------------------------------------------------------------------------------
 
-    def _unpack(self, data: bytes) -> tuple[int, int, int, int, int, int, list[tuple[int, Place]]]:
+    def _unpack(self, data: bytes) -> tuple[int, int, int, int, int, int, list[tuple[int, PeerAddress]]]:
         body = messages.unseal(data, self.key, VERSION)
         if len(body) < HEAD.size or (len(body) - HEAD.size) % ROW.size:
             raise messages.InvalidMessage("malformed")
@@ -301,8 +303,8 @@
         return kind, rank, _life(life), number, digest, page, rows
 
     @staticmethod
-    def _rows(body: bytes) -> Iterator[tuple[int, Place]]:
+    def _rows(body: bytes) -> Iterator[tuple[int, PeerAddress]]:
         yield from (
-            (rank, Place(_life(life), (socket.inet_ntoa(host), port)))
+            (rank, PeerAddress(_life(life), (socket.inet_ntoa(host), port)))
             for rank, life, host, port in ROW.iter_unpack(body[HEAD.size :])
         )
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -21,7 +21,7 @@
 SEEDS = (1, 2, 3)
 
 
-def grown(seed: int, factory=places.Places, size: int = 12, loss: float = 0.0) -> Land:
+def grown(seed: int, factory=places.AddressBook, size: int = 12, loss: float = 0.0) -> Land:
     """A fleet whose members each know one who was there before, and not one list of all."""
     land = Land(size, seed, factory, loss)
     for rank in range(size):
@@ -78,9 +78,9 @@
     land = grown(seed, factory)
     held = {at: dict(seat.bound) for at, seat in land.seats.items() if seat.core.rank != 2}
     liar = land.seats["10.0.0.1", 7_002].core
-    for rank in liar.known:
-        liar.known[rank] = places.Place(liar.life + 10**9, ("10.0.0.1", 9_000 + rank))
-    liar.sum = 1  # so that others ask what it knows
+    for rank in liar.peers:
+        liar.peers[rank] = places.PeerAddress(liar.life + 10**9, ("10.0.0.1", 9_000 + rank))
+    liar.peers_digest = 1  # so that others ask what it knows
     land.run(30)
     assert {at: seat.bound for at, seat in land.seats.items() if seat.core.rank != 2} == held
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("check", CHECKS)
 def test_places_bear(check, seed):
-    check(places.Places, seed)
+    check(places.AddressBook, seed)
 
 
 @pytest.mark.parametrize(
@@ -116,20 +116,20 @@
     assert land.sent["10.0.0.1", 7_099] < 3 * 100
     for at, sent in before.items():  # all of them may ask the one that they joined by
         assert land.sent[at] - sent < (200 if at[1] == 7_000 else 60)
-    assert not new.core.busy
+    assert not new.core.has_candidates
 
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(1, 255))
 def test_noise_and_what_is_garbled_foreign_or_of_another_version_changes_nothing(noise, at, flip):
-    core = places.Places(0, 8, "lab", 1_000, ("10.0.0.1", 7_000), [("10.0.0.1", 7_001)], 1)
-    [greeting] = [action for action in core.tick(0) if isinstance(action, places.Greet)]
+    core = places.AddressBook(0, 8, "lab", 1_000, ("10.0.0.1", 7_000), [("10.0.0.1", 7_001)], 1)
+    [greeting] = [action for action in core.tick(0) if isinstance(action, places.SendDatagram)]
     body = bytearray(greeting.body)
     body[at % len(body)] ^= flip
-    other = places.Places(1, 8, "other", 2_000, ("10.0.0.1", 7_001), [("10.0.0.1", 7_000)], 1)
-    foreign = [action.body for action in other.tick(0) if isinstance(action, places.Greet)]
+    other = places.AddressBook(1, 8, "other", 2_000, ("10.0.0.1", 7_001), [("10.0.0.1", 7_000)], 1)
+    foreign = [action.body for action in other.tick(0) if isinstance(action, places.SendDatagram)]
     for data in (noise, bytes((messages.FORMAT, places.VERSION)) + noise, bytes(body), *foreign):
-        assert core.heard(1, ("10.0.0.1", 7_001), data) == []
-    assert core.known == {} and not core.busy
+        assert core.receive(1, ("10.0.0.1", 7_001), data) == []
+    assert core.peers == {} and not core.has_candidates
     assert core.counts.total() == core.counts["sent"] + 4
 
 
@@ -198,7 +198,7 @@
         primary = await registry.service().start("--new")
         follower = await registry.service("b", follow=primary.listen).start("--new")
         cores = [
-            places.Places(rank, 4, "valley", 10 + rank, ("127.0.0.1", 7_000 + rank), [], rank)
+            places.AddressBook(rank, 4, "valley", 10 + rank, ("127.0.0.1", 7_000 + rank), [], rank)
             for rank in range(3)
         ]
 
@@ -209,7 +209,7 @@
         calls = [meeting.Meeting(address(primary.listen), "valley", core, lambda: 0) for core in cores]
         for one in calls:
             one.go_on()
-        await until(lambda: all(len(core.hints) == 2 for core in cores), 10)
+        await until(lambda: all(len(core.candidates) == 2 for core in cores), 10)
         for one in calls:
             one.stop()
         refused = await call(follower.listen, "POST", "/registry/gateways/valley", word())
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -76,9 +76,9 @@
             seat = {"rank": rank, "life": 5, "dial": f"127.0.1.1:{2_000 + rank}", "lease_ms": 60_000}
             assert (await wire.call("POST", "/registry/gateways/valley", seat)).status == 200
         wire.close()
-        core = places.Places(0, MANY + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
+        core = places.AddressBook(0, MANY + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
         calls = meeting.Meeting(address(primary.listen), "valley", core, lambda: 0)
         calls.go_on()
-        await until(lambda: core.hints)
+        await until(lambda: core.candidates)
         calls.stop()
-        assert set(core.hints) == set(range(1, MANY + 1))
+        assert set(core.candidates) == set(range(1, MANY + 1))
