--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -132,7 +132,7 @@
 
     def health_warnings(self) -> str:
         """Return membership's doubts about this process's own health, as a suffix; empty if it has none."""
-        warnings = self.members.doubts() if self.members else ()
+        warnings = self.members.health_warnings() if self.members else ()
         return f", but {', '.join(warnings)}" if warnings else ""
 
     async def execute(self, line: bytes) -> str:
--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -24,7 +24,7 @@
 RESPONSE_BYTES_MAX = 1024 * 1024  # bytes of one: several thousand gateways
 
 
-class Meeting:
+class RendezvousClient:
     """Calls for as long as the gateway speaks to others; a service that is away is told of once."""
 
     def __init__(self, service: Address, cluster: str, places: AddressBook, clock: Callable[[], int]) -> None:
@@ -32,7 +32,7 @@
         self.task: asyncio.Task[None] | None = None
         self.reached: bool | None = None  # None: not tried yet
 
-    def go_on(self) -> None:
+    def start(self) -> None:
         """Call from now on."""
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._run())
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -26,7 +26,7 @@
 from . import places as where
 from .config import Address, Config
 from .driver import Driver
-from .meeting import Meeting
+from .meeting import RendezvousClient
 from .peers import Peers
 
 log = logs.get(__name__)
@@ -54,23 +54,23 @@
         self.core = Membership(settings.rank, size, config.cluster, life, draw, clock(), intake)
         own = config.advertise or config.peer_listen
         self.places: where.AddressBook | None = None  # a fixed list tells where all are
-        self.meeting: Meeting | None = None
+        self.meeting: RendezvousClient | None = None
         if not config.peers:
             self.places = where.AddressBook(settings.rank, size, config.cluster, life, own, config.join, draw)
         if self.places and config.meet:
-            self.meeting = Meeting(config.meet, config.cluster, self.places, clock)
+            self.meeting = RendezvousClient(config.meet, config.cluster, self.places, clock)
         self.driver, self.peers, self.drain, self.loop = driver, peers, drain, driver.loop
         self.told = None if self.places else self._says()
         self.timer: asyncio.TimerHandle | None = None
         self.due = 0  # when it fires
         peers.members, driver.pre_event_hook = self, self.look
 
-    def go_on(self) -> None:
+    def start(self) -> None:
         """The socket is ours: speak from now on."""
         if self.timer is None:
             self._tick()
             if self.meeting:
-                self.meeting.go_on()
+                self.meeting.start()
 
     def _due(self, now: int) -> int:
         """When there is something to do at the latest: a process at rest wakes for its own probes alone."""
@@ -209,7 +209,7 @@
 
     # -- to be seen -----------------------------------------------------------------------------------------
 
-    def doubts(self) -> tuple[str, ...]:
+    def health_warnings(self) -> tuple[str, ...]:
         """What is wrong with this process's own sight."""
         view, core = self.core.view, self.core
         others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} gateways are here"
--- a/saffrongw/peers.py
+++ b/saffrongw/peers.py
@@ -42,7 +42,7 @@
         """The socket's descriptor."""
         return self.transport.get_extra_info("socket").fileno()
 
-    def leave(self) -> socket.socket:
+    def detach_socket(self) -> socket.socket:
         """Read no more: the socket has one reader at a time. What comes meanwhile waits in it. Who takes over
         is a member of its own."""
         if self.members:
@@ -56,7 +56,7 @@
         self.transport = transport
         self.driver.send_to_peer = self.tell
         if self.members:
-            self.members.go_on()
+            self.members.start()
 
     def datagram_received(self, body: bytes, source: Address) -> None:
         """What a stranger sends, or what is too long to be ours, is dropped."""
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -189,7 +189,7 @@
         """Send the state and wait for ``serving``. Exactly one of the processes goes on, whatever is lost."""
         self.driver.freeze()
         taken_over = False
-        peer_socket = self.peers.leave() if self.peers else None
+        peer_socket = self.peers.detach_socket() if self.peers else None
         try:
             async with asyncio.timeout(FREEZE_TIMEOUT):
                 await self._send_state(channel)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -206,9 +206,11 @@
             host, _, port = text.rpartition(":")
             return host, int(port)
 
-        calls = [meeting.Meeting(address(primary.listen), "valley", core, lambda: 0) for core in cores]
+        calls = [
+            meeting.RendezvousClient(address(primary.listen), "valley", core, lambda: 0) for core in cores
+        ]
         for one in calls:
-            one.go_on()
+            one.start()
         await until(lambda: all(len(core.candidates) == 2 for core in cores), 10)
         for one in calls:
             one.stop()
@@ -220,6 +222,6 @@
             ("POST", "/registry/gateways/valley/1", 404),
         ]:
             assert (await call(primary.listen, method, target, word())).status == status
-        lost = meeting.Meeting(address(follower.listen), "valley", cores[0], lambda: 0)
+        lost = meeting.RendezvousClient(address(follower.listen), "valley", cores[0], lambda: 0)
         with pytest.raises(ValueError, match="421: gateways meet at the primary"):
             await asyncio.wait_for(lost._call(), 5)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -77,8 +77,8 @@
             assert (await wire.call("POST", "/registry/gateways/valley", seat)).status == 200
         wire.close()
         core = places.AddressBook(0, MANY + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
-        calls = meeting.Meeting(address(primary.listen), "valley", core, lambda: 0)
-        calls.go_on()
+        calls = meeting.RendezvousClient(address(primary.listen), "valley", core, lambda: 0)
+        calls.start()
         await until(lambda: core.candidates)
         calls.stop()
         assert set(core.candidates) == set(range(1, MANY + 1))
