--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -1,12 +1,14 @@
-"""Byte layout of the messages between gateways: no decision, only packing.
+"""Encoding and decoding of the messages by which gateways share their quota counts.
 
-A message is a head and rows. Numbers are LEB128 variable-length integers unless a size is given.
+A message consists of a header and rows. Numbers are LEB128 variable-length integers unless a size is given.
 
-    head  u8 format, u8 flags (1: answer this, 2: spread this), u32 send time in ms (its low bits)
-    row   customer, plan, first gateway of its set, size of the set, how many of the set the receiver hands
-          it on to, room, all units known to be spent, rights of its ceiling wanted (flag 2) or given, all in
-          1/16 units, number of counts, counts
-    count place in the set (0: its first gateway), age of its start in 1/16 s, value in 1/16 units
+    header  u8 format, u8 flags (1: expects an answer, 2: sent to the customers' owner, which notifies the
+            other gateways), u32 send time in ms (its low bits)
+    row     customer, plan, first gateway of the customer's set, size of the set, number of gateways in the
+            set that the receiver must forward the update to, remaining units, total of units known to be
+            spent, ceiling tokens requested (flag 2) or granted, all units in 1/16, number of counts, counts
+    count   position of the gateway in the set (0: the first), age of the count's start in 1/16 s,
+            value in 1/16 units
 """
 
 from __future__ import annotations
@@ -15,17 +17,17 @@
 from dataclasses import dataclass
 
 FORMAT = 2
-MESSAGE_BYTES_MAX = 256  # bytes: what the transport carries
-HEADER_BYTES = 6  # bytes of a head
-SCALE = 16  # parts of a unit and of a second that travel
-TICK_MS = 1000 // SCALE  # ms in one step of a start
-SEND_TIME_PERIOD = 1 << 32  # ms after which send times repeat
-VARINT_BYTES_MAX = 9  # bytes: 63 bits
+MESSAGE_BYTES_MAX = 256  # limit of the transport
+HEADER_BYTES = 6
+SCALE = 16  # units and seconds are encoded in parts of 1/16
+TICK_MS = 1000 // SCALE  # resolution of the start of a count
+SEND_TIME_PERIOD = 1 << 32  # ms after which the encoded send time wraps around
+VARINT_BYTES_MAX = 9  # 63 bits
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What a message tells of one customer; counts are (rank, start in ticks, value)."""
+    """State of one customer as the sender knows it; counts are (rank, start in ticks, value)."""
 
     customer: int
     plan: int
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A decoded message; sent in ms."""
+    """A decoded message."""
 
     sent_ms: int
     expects_answer: bool
@@ -49,7 +51,7 @@
 
 
 def append_varints(out: bytearray, *values: int) -> None:
-    """Append numbers of 0 or more."""
+    """Append non-negative integers as LEB128."""
     for value in values:
         while value > 0x7F:
             out.append(value & 0x7F | 0x80)
@@ -57,22 +59,22 @@
         out.append(value)
 
 
-def read_varint(body: bytes, at: int) -> tuple[int, int]:
-    """A number and the place behind it; raises ValueError or IndexError."""
-    byte = body[at]
+def read_varint(body: bytes, offset: int) -> tuple[int, int]:
+    """Decode an integer; returns it and the offset behind it. Raises ValueError or IndexError."""
+    byte = body[offset]
     if byte < 0x80:
-        return byte, at + 1
+        return byte, offset + 1
     value = 0
     for i in range(VARINT_BYTES_MAX):
-        byte = body[at + i]
+        byte = body[offset + i]
         value |= (byte & 0x7F) << (7 * i)
         if byte < 0x80:
-            return value, at + i + 1
-    raise ValueError("number too long")
+            return value, offset + i + 1
+    raise ValueError(f"integer longer than {VARINT_BYTES_MAX} bytes")
 
 
 def pack_row(row: Row, sent_ms: int, ranks: int) -> bytes:
-    """One row as bytes; starts are told as ages at the send time."""
+    """Encode one row; the start of a count is encoded as its age at the send time."""
     out, first, ticks = bytearray(), row.set_first, sent_ms // TICK_MS
     append_varints(out, row.customer, row.plan, first, row.set_size, row.forward_count)
     append_varints(
@@ -88,19 +90,19 @@
 
 
 def fit_rows(rows: Iterable[bytes]) -> list[bytes]:
-    """As many of the rows, from the first on, as one message holds."""
-    taken: list[bytes] = []
+    """The leading rows that fit into one message."""
+    fitting: list[bytes] = []
     space = MESSAGE_BYTES_MAX - HEADER_BYTES
     for row in rows:
         space -= len(row)
         if space < 0:
             break
-        taken.append(row)
-    return taken
+        fitting.append(row)
+    return fitting
 
 
 def pack(sent_ms: int, expects_answer: bool, to_owner: bool, rows: list[bytes]) -> bytes:
-    """A whole message."""
+    """Encode a message from encoded rows, which must fit (see ``fit_rows``)."""
     return (
         bytes((FORMAT, expects_answer + 2 * to_owner))
         + (sent_ms % SEND_TIME_PERIOD).to_bytes(4, "little")
@@ -109,38 +111,40 @@
 
 
 def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
-    """The message, or None where the bytes are none or name what does not exist.
+    """Decode a message; None if it is malformed or refers to plans or gateways that do not exist.
 
-    Of the send times that the low bits may mean, the one nearest to now (in ms) is taken.
+    The low bits of the send time are completed to the time that is nearest to ``now`` (in ms).
     """
     try:
         if body[0] != FORMAT or body[1] > 3 or not HEADER_BYTES <= len(body) <= MESSAGE_BYTES_MAX:
             return None
         sent_ms = int.from_bytes(body[2:HEADER_BYTES], "little")
         sent_ms += (now - sent_ms + SEND_TIME_PERIOD // 2) // SEND_TIME_PERIOD * SEND_TIME_PERIOD
-        ticks, rows, at = sent_ms // TICK_MS, [], HEADER_BYTES
-        while at < len(body):
-            head = []
+        ticks, rows, offset = sent_ms // TICK_MS, [], HEADER_BYTES
+        while offset < len(body):
+            fields = []
             for _ in range(9):
-                value, at = read_varint(body, at)
-                head.append(value)
-            customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, number = head
+                value, offset = read_varint(body, offset)
+                fields.append(value)
+            customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, count_number = (
+                fields
+            )
             if (
                 plan >= plans
                 or first >= ranks
                 or not 1 <= size <= ranks
                 or forward_count >= size
-                or number > size
+                or count_number > size
             ):
                 return None
             counts = []
-            for _ in range(number):
-                place, at = read_varint(body, at)
-                age, at = read_varint(body, at)
-                value, at = read_varint(body, at)
-                if place >= size:
+            for _ in range(count_number):
+                position, offset = read_varint(body, offset)
+                age, offset = read_varint(body, offset)
+                value, offset = read_varint(body, offset)
+                if position >= size:
                     return None
-                counts.append(((first + place) % ranks, ticks - age, value / SCALE))
+                counts.append(((first + position) % ranks, ticks - age, value / SCALE))
             amounts = remaining / SCALE, total / SCALE, ceiling_tokens / SCALE
             rows.append(Row(customer, plan, first, size, forward_count, *amounts, tuple(counts)))
         return Message(sent_ms, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
