--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -23,6 +23,10 @@
 TICK_MS = 1000 // SCALE  # resolution of the start of a count
 SEND_TIME_PERIOD = 1 << 32  # ms after which the encoded send time wraps around
 VARINT_BYTES_MAX = 9  # 63 bits
+ROW_HEADER_FIELDS = 9  # integers of a row before its counts
+FLAG_EXPECTS_ANSWER = 1
+FLAG_TO_OWNER = 2
+KNOWN_FLAGS = FLAG_EXPECTS_ANSWER | FLAG_TO_OWNER
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,11 +107,8 @@
 
 def pack(sent_ms: int, expects_answer: bool, to_owner: bool, rows: list[bytes]) -> bytes:
     """Encode a message from encoded rows, which must fit (see ``fit_rows``)."""
-    return (
-        bytes((FORMAT, expects_answer + 2 * to_owner))
-        + (sent_ms % SEND_TIME_PERIOD).to_bytes(4, "little")
-        + b"".join(rows)
-    )
+    flags = FLAG_EXPECTS_ANSWER * expects_answer | FLAG_TO_OWNER * to_owner
+    return bytes((FORMAT, flags)) + (sent_ms % SEND_TIME_PERIOD).to_bytes(4, "little") + b"".join(rows)
 
 
 def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
@@ -116,14 +117,14 @@
     The low bits of the send time are completed to the time that is nearest to ``now`` (in ms).
     """
     try:
-        if body[0] != FORMAT or body[1] > 3 or not HEADER_BYTES <= len(body) <= MESSAGE_BYTES_MAX:
+        if body[0] != FORMAT or body[1] > KNOWN_FLAGS or not HEADER_BYTES <= len(body) <= MESSAGE_BYTES_MAX:
             return None
         sent_ms = int.from_bytes(body[2:HEADER_BYTES], "little")
         sent_ms += (now - sent_ms + SEND_TIME_PERIOD // 2) // SEND_TIME_PERIOD * SEND_TIME_PERIOD
         ticks, rows, offset = sent_ms // TICK_MS, [], HEADER_BYTES
         while offset < len(body):
             fields = []
-            for _ in range(9):
+            for _ in range(ROW_HEADER_FIELDS):
                 value, offset = read_varint(body, offset)
                 fields.append(value)
             customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, count_number = (
@@ -147,6 +148,7 @@
                 counts.append(((first + position) % ranks, ticks - age, value / SCALE))
             amounts = remaining / SCALE, total / SCALE, ceiling_tokens / SCALE
             rows.append(Row(customer, plan, first, size, forward_count, *amounts, tuple(counts)))
-        return Message(sent_ms, body[1] & 1 == 1, body[1] & 2 == 2, tuple(rows))
+        flags = body[1]
+        return Message(sent_ms, bool(flags & FLAG_EXPECTS_ANSWER), bool(flags & FLAG_TO_OWNER), tuple(rows))
     except (IndexError, ValueError):
         return None
