--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -1,8 +1,8 @@
-"""What a gateway remembers, as plain JSON values for the process that goes on in its place, and back.
+"""Encoding of a gateway's state as JSON values for its successor in an upgrade, and decoding.
 
-Nothing here decides anything. All values are checked before the first of them is used: a state that makes
-no sense raises ValueError and leaves the gateway as it was. Attempts that are out are not part of the state:
-they are told as events, and so is what becomes of them.
+All values are validated before any of them is used: an invalid state raises ValueError and leaves the gateway
+unchanged. Open attempts are not part of the state: the successor receives them as events, and later their
+outcomes.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 INVALID_STATE_ERRORS = (KeyError, TypeError, ValueError, IndexError, OverflowError, AttributeError)
 
 
-def _marks(known: HealthStats) -> list[float]:
-    return [known.updated_at, known.slowdown, known.typical_load, known.failures]
+def _encode_stats(stats: HealthStats) -> list[float]:
+    return [stats.updated_at, stats.slowdown, stats.typical_load, stats.failures]
 
 
 def encode_state(gateway: Gateway) -> dict[str, Any]:
-    """All but the accounts."""
+    """Encode all state except the accounts."""
     return {
-        "shape": _shape(gateway),
+        "shape": _settings_shape(gateway),
         "usual": gateway.usual_times,
         "budget": [gateway.retry_budget, gateway.next_trial_at],
         "intake": [gateway.send_allowance, gateway.allowance_refilled_at],
-        "met": _marks(gateway.warm_stats),
-        "zones": [[zone, *_marks(known)] for zone, known in gateway.zone_stats.items()],
+        "met": _encode_stats(gateway.warm_stats),
+        "zones": [[zone, *_encode_stats(stats)] for zone, stats in gateway.zone_stats.items()],
         "hosts": [
-            [host.entry.server.decode("latin-1"), host.entry.launched, host.last_active, *_marks(host)]
+            [host.entry.server.decode("latin-1"), host.entry.launched, host.last_active, *_encode_stats(host)]
             for host in gateway.hosts.values()
         ],
         "names": [server.decode("latin-1") for server in gateway.server_names],
@@ -45,27 +45,33 @@
 
 
 def encode_accounts(gateway: Gateway) -> Iterator[list[Any]]:
-    """One row a customer, in the order of their next look; the attempts out are not in it."""
+    """One row per customer without its open attempts, in the order in which they are checked for eviction."""
     for customer in gateway.idle_queue:
-        a = gateway.accounts[customer]
-        counts = [[rank, start, value] for rank, (start, value) in a.counts.items()]
-        floats = [a.limit, a.counted, a.total, a.ceiling_tokens, a.requested_tokens]
+        account = gateway.accounts[customer]
+        counts = [[rank, start, value] for rank, (start, value) in account.counts.items()]
+        amounts = [
+            account.limit,
+            account.counted,
+            account.total,
+            account.ceiling_tokens,
+            account.requested_tokens,
+        ]
         yield [
-            a.customer,
-            *a.placement,
-            floats,
-            a.refilled_at,
-            a.broadcast_at,
+            account.customer,
+            *account.placement,
+            amounts,
+            account.refilled_at,
+            account.broadcast_at,
             counts,
-            a.recent_ranks,
-            a.peer_approvals,
-            a.unconfirmed,
-            a.throttled,
+            account.recent_ranks,
+            account.peer_approvals,
+            account.unconfirmed,
+            account.throttled,
         ]
 
 
 def open_attempt_events(gateway: Gateway) -> list[api.AttemptElsewhere]:
-    """The attempts out, as the other process is told of them."""
+    """The open attempts, as events for the successor."""
     return [
         api.AttemptElsewhere(request.event, number, attempt.host.entry.server, attempt.sent_at)
         for (_, number), (attempt, request) in gateway.attempts.items()
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedState:
-    """A state that makes sense, for a gateway of these settings."""
+    """A validated state, which fits the settings of the gateway."""
 
     accounts: list[Account]
     usual_times: list[float]
@@ -92,7 +98,10 @@
     pending_gossip: list[int]
 
     def apply_to(self, gateway: Gateway) -> None:
-        """Go on from there, with the servers that the gateway knows by now."""
+        """Restore the state into a gateway.
+
+        Health statistics are restored for servers that it has listed already, unless they were restarted.
+        """
         gateway.usual_times, gateway.retry_budget, gateway.next_trial_at = (
             self.usual_times,
             self.retry_budget,
@@ -113,30 +122,30 @@
         gateway.pending_gossip = {
             customer: None for customer in self.pending_gossip if customer in gateway.accounts
         }
-        for server, launched, last_active, marks in self.hosts:
+        for server, launched, last_active, stats in self.hosts:
             host = gateway.hosts.get(server)
             if host is not None and host.entry.launched == launched:
                 host.last_active, host.updated_at, host.slowdown = (
                     last_active,
-                    marks.updated_at,
-                    marks.slowdown,
+                    stats.updated_at,
+                    stats.slowdown,
                 )
-                host.typical_load, host.failures = marks.typical_load, marks.failures
+                host.typical_load, host.failures = stats.typical_load, stats.failures
 
 
 def decode(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> DecodedState:
-    """What the other process told; raises ValueError where it is no state of such a gateway."""
+    """Validate and decode the predecessor's state; raises ValueError if it is invalid for this gateway."""
     try:
-        if state["shape"] != _shape(gateway):
-            raise ValueError("of a gateway with other settings")
-        accounts = [_account(gateway, row) for row in rows]
-        usual_times = [_number(value) for value in state["usual"]]
+        if state["shape"] != _settings_shape(gateway):
+            raise ValueError("state of a gateway with different settings")
+        accounts = [_decode_account(gateway, row) for row in rows]
+        usual_times = [_finite_number(value) for value in state["usual"]]
         if len(usual_times) != len(gateway.usual_times) or len({a.customer for a in accounts}) != len(
             accounts
         ):
-            raise ValueError("a class is missing, or a customer stands twice")
+            raise ValueError("missing request class or duplicate customer")
         retry_budget, next_trial_at, send_allowance, allowance_refilled_at = map(
-            _number, state["budget"] + state["intake"]
+            _finite_number, state["budget"] + state["intake"]
         )
         return DecodedState(
             accounts,
@@ -145,11 +154,11 @@
             next_trial_at,
             send_allowance,
             int(allowance_refilled_at),
-            _known(state["met"]),
-            {int(zone): _known(marks) for zone, *marks in state["zones"]},
+            _decode_stats(state["met"]),
+            {int(zone): _decode_stats(stats) for zone, *stats in state["zones"]},
             [
-                (server.encode("latin-1"), int(launched), int(last_active), _known(marks))
-                for server, launched, last_active, *marks in state["hosts"]
+                (server.encode("latin-1"), int(launched), int(last_active), _decode_stats(stats))
+                for server, launched, last_active, *stats in state["hosts"]
             ],
             [server.encode("latin-1") for server in state["names"]],
             [server.encode("latin-1") for server in state["banned"]],
@@ -157,39 +166,40 @@
                 server.encode("latin-1"): (int(until), int(after))
                 for server, until, after in state["returned"]
             },
-            {int(rank): int(at) for rank, at in state["heard"]},
+            {int(rank): int(received_at) for rank, received_at in state["heard"]},
             [int(customer) for customer in state["changed"]],
         )
-    except INVALID_STATE_ERRORS as wrong:
-        raise ValueError(f"no usable state: {wrong!r}") from wrong
+    except INVALID_STATE_ERRORS as error:
+        raise ValueError(f"unusable state: {error!r}") from error
 
 
-def _shape(gateway: Gateway) -> list[int]:
-    s = gateway.settings
-    return [s.rank, s.gateways, len(s.plans), len(s.classes)]
+def _settings_shape(gateway: Gateway) -> list[int]:
+    """The settings that must be equal in both processes."""
+    settings = gateway.settings
+    return [settings.rank, settings.gateways, len(settings.plans), len(settings.classes)]
 
 
-def _number(value: object) -> float:
+def _finite_number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise ValueError("not a number")
+        raise ValueError("not a finite number")
     return float(value)
 
 
-def _known(marks: list[Any]) -> HealthStats:
-    updated_at, *rest = map(_number, marks)
+def _decode_stats(values: list[Any]) -> HealthStats:
+    updated_at, *rest = map(_finite_number, values)
     slowdown, typical_load, failures = rest
     if slowdown < 0 or typical_load <= 0 or failures < 0:
-        raise ValueError("marks out of range")
+        raise ValueError("health statistics out of range")
     return HealthStats(int(updated_at), slowdown, typical_load, failures)
 
 
-def _account(gateway: Gateway, row: list[Any]) -> Account:
+def _decode_account(gateway: Gateway, row: list[Any]) -> Account:
     (
         customer,
         plan,
         first,
         size,
-        floats,
+        amounts,
         refilled_at,
         broadcast_at,
         counts,
@@ -200,11 +210,11 @@
     ) = row
     ranks = range(gateway.settings.gateways)
     if plan not in range(len(gateway.settings.plans)) or first not in ranks or size - 1 not in ranks:
-        raise ValueError("no such plan or set")
-    limit, counted, total, ceiling_tokens, requested_tokens = map(_number, floats)
-    by_rank = {rank: (int(start), _number(value)) for rank, start, value in counts}
+        raise ValueError("unknown plan or invalid gateway set")
+    limit, counted, total, ceiling_tokens, requested_tokens = map(_finite_number, amounts)
+    by_rank = {rank: (int(start), _finite_number(value)) for rank, start, value in counts}
     if any(rank not in ranks for rank in by_rank) or any(rank not in by_rank for rank in recent_ranks):
-        raise ValueError("no such gateway")
+        raise ValueError("unknown gateway rank")
     return Account(
         int(customer),
         (plan, first, size),
@@ -216,7 +226,7 @@
         tuple(recent_ranks),
         unconfirmed is True,
         0,
-        tuple(int(at) for at in peer_approvals),
+        tuple(int(approved_at) for approved_at in peer_approvals),
         int(broadcast_at),
         ceiling_tokens,
         requested_tokens,
