--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -102,16 +102,13 @@
 
         Health statistics are restored for servers that it has listed already, unless they were restarted.
         """
-        gateway.usual_times, gateway.retry_budget, gateway.next_trial_at = (
-            self.usual_times,
-            self.retry_budget,
-            self.next_trial_at,
-        )
-        gateway.send_allowance, gateway.allowance_refilled_at = (
-            self.send_allowance,
-            self.allowance_refilled_at,
-        )
-        gateway.last_received, gateway.warm_stats = self.last_received, self.warm_stats
+        gateway.usual_times = self.usual_times
+        gateway.retry_budget = self.retry_budget
+        gateway.next_trial_at = self.next_trial_at
+        gateway.send_allowance = self.send_allowance
+        gateway.allowance_refilled_at = self.allowance_refilled_at
+        gateway.last_received = self.last_received
+        gateway.warm_stats = self.warm_stats
         gateway.server_names = dict.fromkeys((*self.server_names, *gateway.server_names))
         for server in self.banned:
             gateway.ban(server)
@@ -125,12 +122,11 @@
         for server, launched, last_active, stats in self.hosts:
             host = gateway.hosts.get(server)
             if host is not None and host.entry.launched == launched:
-                host.last_active, host.updated_at, host.slowdown = (
-                    last_active,
-                    stats.updated_at,
-                    stats.slowdown,
-                )
-                host.typical_load, host.failures = stats.typical_load, stats.failures
+                host.last_active = last_active
+                host.updated_at = stats.updated_at
+                host.slowdown = stats.slowdown
+                host.typical_load = stats.typical_load
+                host.failures = stats.failures
 
 
 def decode(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> DecodedState:
@@ -140,9 +136,8 @@
             raise ValueError("state of a gateway with different settings")
         accounts = [_decode_account(gateway, row) for row in rows]
         usual_times = [_finite_number(value) for value in state["usual"]]
-        if len(usual_times) != len(gateway.usual_times) or len({a.customer for a in accounts}) != len(
-            accounts
-        ):
+        customers = {account.customer for account in accounts}
+        if len(usual_times) != len(gateway.usual_times) or len(customers) != len(accounts):
             raise ValueError("missing request class or duplicate customer")
         retry_budget, next_trial_at, send_allowance, allowance_refilled_at = map(
             _finite_number, state["budget"] + state["intake"]
