--- a/orchidlane/wirehost.py
+++ b/orchidlane/wirehost.py
@@ -1,4 +1,8 @@
-"""The process on the wire: frames in, one flushed reply to each out, many gateways that share nothing."""
+"""Process that runs gateways for a parent process, over the binary protocol of ``wire.py``.
+
+It reads frames from standard input and writes one reply per frame to standard output, flushed at once. It can
+run many gateways, which share no state.
+"""
 
 from __future__ import annotations
 
@@ -10,31 +14,31 @@
 from .rules import Gateway
 
 
-def _read(source: BinaryIO, size: int) -> bytes:
+def _read_exactly(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise wire.WireError(f"input ended within a frame: {len(data)} of {size} bytes")
+        raise wire.WireError(f"input ended inside a frame: {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends."""
+    """Reply to frames until the input ends."""
     decoder = wire.Decoder()
     gateways: dict[int, Gateway] = {}
     while first := source.read(1):
-        head = first + _read(source, wire.HEADER.size - 1)
-        count, length, now = wire.HEADER.unpack(head)
+        header = first + _read_exactly(source, wire.FRAME_HEADER.size - 1)
+        count, length, now = wire.FRAME_HEADER.unpack(header)
         encoder = wire.Encoder()
-        for number, event in decoder.frame(count, _read(source, length)):
+        for number, event in decoder.decode_frame(count, _read_exactly(source, length)):
             if isinstance(event, wire.Stop):
                 gateways.pop(number, None)
                 continue
             if not isinstance(event, wire.Start) and number not in gateways:
-                raise wire.WireError(f"event for gateway {number}, which never started")
+                raise wire.WireError(f"event for gateway {number}, which was not started")
             try:
-                actions = _decide(gateways, number, event, now)
-            except Exception as failure:  # the wire wants every failure of the decisions as a record
-                encoder.bug(number, f"{type(failure).__name__}: {failure}")
+                actions = _handle(gateways, number, event, now)
+            except Exception as error:  # the protocol reports every error of a gateway as a record
+                encoder.add_error(number, f"{type(error).__name__}: {error}")
                 continue
             for action in actions:
                 encoder.add(number, action)
@@ -42,7 +46,7 @@
         sink.flush()
 
 
-def _decide(
+def _handle(
     gateways: dict[int, Gateway], number: int, event: wire.Start | api.Event, now: int
 ) -> list[api.Action]:
     if isinstance(event, wire.Start):
@@ -52,11 +56,11 @@
 
 
 def main() -> int:
-    """Serve standard input and output; one plain line and 1 where the input is not of this wire."""
+    """Serve standard input and output. Invalid input ends it with a one-line message and exit status 1."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as wrong:
-        print(f"orchidlane: {wrong}", file=sys.stderr)
+    except wire.WireError as error:
+        print(f"orchidlane: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -77,7 +77,7 @@
 
 def decode(*records: bytes, tail: bytes = b""):
     """The events of one frame."""
-    return wire.Decoder().frame(len(records), b"".join(records) + tail)
+    return wire.Decoder().decode_frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: api.Action) -> bytes:
