--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -8,6 +8,7 @@
 import json
 import struct
 from dataclasses import dataclass, field
+from enum import IntEnum
 
 from . import interface as api
 
@@ -43,6 +44,39 @@
 
 FLAG_REPEAT = 2
 
+
+class EventCode(IntEnum):
+    """First byte of a record in a frame."""
+
+    TIMER_FIRED = 1
+    PEER_MESSAGE = 2
+    CLIENT_GONE = 3
+    STREAM_STARTED = 4
+    REQUEST_ARRIVED = 5
+    ATTEMPT_ENDED = 6
+    START = 7
+    STOP = 8
+    SERVER_LISTED = 9
+    COUNTER_ANSWERED = 10
+    PROBE_ENDED = 11
+    SERVER_LIST = 12
+
+
+class ActionCode(IntEnum):
+    """First byte of a record in a reply."""
+
+    SEND = 65
+    REFUSE = 66
+    FAIL = 67
+    CANCEL = 68
+    SET_TIMER = 69
+    PROBE = 70
+    SEND_PEER_MESSAGE = 72
+    ERROR = 74
+    WATCH_LIST = 75
+    FETCH_LIST = 76
+
+
 OUTCOMES = {
     100: api.Outcome.SERVED,
     301: api.Outcome.ERROR,
@@ -199,18 +233,18 @@
 
 
 _DECODERS = {
-    1: _timer_fired,
-    2: _peer_message,
-    3: _client_gone,
-    4: _stream_started,
-    5: _request_arrived,
-    6: _attempt_ended,
-    7: _start,
-    8: _stop,
-    9: _server_listed,
-    10: _counter_answered,
-    11: _probe_ended,
-    12: _server_list,
+    EventCode.TIMER_FIRED: _timer_fired,
+    EventCode.PEER_MESSAGE: _peer_message,
+    EventCode.CLIENT_GONE: _client_gone,
+    EventCode.STREAM_STARTED: _stream_started,
+    EventCode.REQUEST_ARRIVED: _request_arrived,
+    EventCode.ATTEMPT_ENDED: _attempt_ended,
+    EventCode.START: _start,
+    EventCode.STOP: _stop,
+    EventCode.SERVER_LISTED: _server_listed,
+    EventCode.COUNTER_ANSWERED: _counter_answered,
+    EventCode.PROBE_ENDED: _probe_ended,
+    EventCode.SERVER_LIST: _server_list,
 }
 
 
@@ -303,23 +337,25 @@
         """Append an action of a gateway."""
         match action:
             case api.Send():
-                raw = _SEND.pack(65, gateway, action.request, action.server, action.deadline)
+                raw = _SEND.pack(ActionCode.SEND, gateway, action.request, action.server, action.deadline)
             case api.Refuse():
-                raw = _REFUSE.pack(66, gateway, action.request, action.retry_after)
+                raw = _REFUSE.pack(ActionCode.REFUSE, gateway, action.request, action.retry_after)
             case api.Fail():
-                raw = _FAIL.pack(67, gateway, action.request)
+                raw = _FAIL.pack(ActionCode.FAIL, gateway, action.request)
             case api.Cancel():
-                raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
+                raw = _CANCEL.pack(ActionCode.CANCEL, gateway, action.request, action.attempt)
             case api.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.delay, action.token)
+                raw = _SET_TIMER.pack(ActionCode.SET_TIMER, gateway, action.delay, action.token)
             case api.Probe():
-                raw = _PROBE.pack(70, gateway, action.server)
+                raw = _PROBE.pack(ActionCode.PROBE, gateway, action.server)
             case api.SendPeerMessage():
-                raw = _SEND_PEER_MESSAGE.pack(72, gateway, action.peer, *self._append_tail(action.body))
+                raw = _SEND_PEER_MESSAGE.pack(
+                    ActionCode.SEND_PEER_MESSAGE, gateway, action.peer, *self._append_tail(action.body)
+                )
             case api.WatchList():
-                raw = _WATCH_LIST.pack(75, gateway, 1)
+                raw = _WATCH_LIST.pack(ActionCode.WATCH_LIST, gateway, 1)
             case api.FetchList():
-                raw = _FETCH_LIST.pack(76, gateway)
+                raw = _FETCH_LIST.pack(ActionCode.FETCH_LIST, gateway)
             case _:
                 raise TypeError(f"the protocol has no record for {action!r}")
         self.records.append(raw.ljust(ACTION_SIZE, b"\0"))
@@ -327,7 +363,9 @@
     def add_error(self, gateway: int, text: str) -> None:
         """Append the error with which a gateway failed."""
         self.records.append(
-            _ERROR.pack(74, gateway, *self._append_tail(text.encode())).ljust(ACTION_SIZE, b"\0")
+            _ERROR.pack(ActionCode.ERROR, gateway, *self._append_tail(text.encode())).ljust(
+                ACTION_SIZE, b"\0"
+            )
         )
 
     def reply(self) -> bytes:
