--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -65,7 +65,7 @@
     async def _call(self) -> list[dict[str, str]]:
         """One call; raises ValueError with what the service said against it."""
         places = self.places
-        host, port = places.own
+        host, port = places.own_address
         body = json.dumps(
             {
                 "rank": places.rank,
--- a/saffrongw/places.py
+++ b/saffrongw/places.py
@@ -1,16 +1,17 @@
-"""Where the members are: addresses that gateways learn from each other, where no fixed list names them.
+"""Discovery of the gateways' addresses, for fleets that are not configured with a fixed list of peers.
 
-Without clock or sockets, as the membership core: ``heard`` and ``tick`` take the time (microseconds) and give
-datagrams to send. A rank is bound to an address only by an answer from there that brings back a fresh number
-of ours; what others tell is a hint where to ask. Messages are version 2 of membership's kind:
+Like the membership protocol it has neither clock nor sockets: ``receive`` and ``tick`` take the time
+(microseconds) and return datagrams to send. A rank is bound to an address only by a reply from that address
+that echoes a random number of ours; what other gateways or the list service report are candidates, which are
+contacted to verify them. Messages have the format of membership with version 2:
 
-    u8 format, u8 version, tag of 8 bytes, head, rows
-    head  u8 kind (1 HELLO, 2 HERE), u16 rank, life of 7 bytes, u32 number, u32 digest, u16 page
-    row   u16 rank, life of 7 bytes, IPv4 address of 4 bytes, u16 port
+    u8 format, u8 version, authentication tag of 8 bytes, header, rows
+    header  u8 kind (1 HELLO, 2 HELLO_REPLY), u16 rank, life of 7 bytes, u32 number, u32 digest, u16 page
+    row     u16 rank, life of 7 bytes, IPv4 address of 4 bytes, u16 port
 
-HELLO asks whoever is at an address to answer HERE with its number and, where it knows other places than the
-digest stands for, the rows from ``page`` on, the ones learnt last first; HERE's own ``page`` is the number of
-the next row, 0 where these were the last.
+HELLO asks the process at an address to reply with the same number. If the digests of the two tables of
+addresses differ, the reply carries rows of the receiver's table from index ``page`` on, the most recently
+bound first; its own ``page`` is the index of the next row, 0 after the last one.
 """
 
 from __future__ import annotations
@@ -29,28 +30,28 @@
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
 
-VERSION = 2  # of membership's kind of message
-HELLO, HERE = 1, 2
-HEAD = struct.Struct(f"<BH{messages.LIFE_BYTES}sIIH")
+VERSION = 2  # within the message format of membership
+HELLO, HELLO_REPLY = 1, 2
+HEADER = struct.Struct(f"<BH{messages.LIFE_BYTES}sIIH")
 ROW = struct.Struct(f"<H{messages.LIFE_BYTES}s4sH")
-ROWS_MAX = (messages.MESSAGE_BYTES_MAX - messages.HEADER_OFFSET - HEAD.size) // ROW.size
+ROWS_MAX = (messages.MESSAGE_BYTES_MAX - messages.HEADER_OFFSET - HEADER.size) // ROW.size
 
-# Between two tries at ``join`` while nobody is known, doubled with each.
+# Between two attempts at ``join`` while no peer is known, doubled with each.
 JOIN_INTERVAL_MIN, JOIN_INTERVAL_MAX = 250 * MS, 4 * SECOND
-HELLO_INTERVAL = 50 * MS  # between two greetings of members that others told of
-GREETING_TIMEOUT = 1 * SECOND  # until a greeting is repeated
-GREETING_TRIES = 4  # of one hint
-ROUND_INTERVAL = 5 * SECOND  # between two greetings of a known one: what it knows and we don't
-NEXT_PAGE_DELAY = 500 * MS  # until the next one where another knew something else
-FULL_ROUND_EVERY = 4  # one in so many of them asks for all pages
-REJOIN_ROUND_EVERY = 8  # one in so many of them goes to an address of ``join``: groups that came up apart
-PENDING_GREETINGS_MAX = 256  # numbers of greetings that may still be answered
-ANSWERS_PER_SECOND_MAX = 64.0  # strangers, too, are answered
+HELLO_INTERVAL = 50 * MS  # between messages to different candidates
+HELLO_TIMEOUT = 1 * SECOND  # until a candidate is contacted again
+HELLO_ATTEMPTS_MAX = 4  # per candidate
+SYNC_INTERVAL = 5 * SECOND  # mean interval of anti-entropy: a known peer is asked for what we don't know
+EARLY_SYNC_DELAY = 500 * MS  # mean delay of the next sync after a peer's digest differed
+FULL_SYNC_EVERY = 4  # one in so many syncs requests all pages
+REJOIN_EVERY = 8  # one in so many goes to an address of ``join``, to merge groups that started separately
+PENDING_HELLOS_MAX = 256  # messages whose replies are still accepted
+REPLIES_PER_SECOND_MAX = 64.0  # unknown senders get replies, too
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a rank is, and of which life that is known."""
+    """Address of a gateway, and the life (see ``member_messages``) of the process there."""
 
     life: int
     address: Address
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send this to an address."""
+    """Send a datagram to an address."""
 
     address: Address
     body: bytes
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressChanged:
-    """From now on this rank is at that address."""
+    """A rank was bound to a new address."""
 
     rank: int
     address: Address
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewerLifeFound:
-    """Another process has our rank, with a greater life."""
+    """Another process runs under our rank, with a greater life."""
 
     life: int
 
@@ -83,228 +84,263 @@
 
 
 @dataclass(slots=True)
-class Hint:
-    """Where a rank is said to be."""
+class Candidate:
+    """A reported address, not verified yet."""
 
-    place: PeerAddress
-    due: int
-    tries: int = 0
+    peer: PeerAddress
+    due_at: int
+    attempts: int = 0
 
 
-def _life(raw: bytes) -> int:
+def _decode_life(raw: bytes) -> int:
     return int.from_bytes(raw, "little")
 
 
-def _bytes(life: int) -> bytes:
+def _encode_life(life: int) -> bytes:
     return life.to_bytes(messages.LIFE_BYTES, "little")
 
 
-def _share(rank: int, place: PeerAddress) -> int:
-    return zlib.crc32(f"{rank} {place.life} {place.address}".encode())
+def _digest_part(rank: int, peer: PeerAddress) -> int:
+    return zlib.crc32(f"{rank} {peer.life} {peer.address}".encode())
 
 
 class AddressBook:
-    """One gateway's knowledge of where the others are."""
+    """The addresses of the other gateways, as one gateway knows them."""
 
     def __init__(
-        self, rank: int, size: int, cluster: str, life: int, own: Address, join: Iterable[Address], seed: int
+        self,
+        rank: int,
+        size: int,
+        cluster: str,
+        life: int,
+        own_address: Address,
+        join: Iterable[Address],
+        seed: int,
     ) -> None:
-        """``own``: the address that others reach us at; ``join``: where to ask first, but for our own."""
-        self.rank, self.size, self.life, self.own = rank, size, life, own
+        """``own_address``: where others reach us; ``join``: addresses to contact first, without ours."""
+        self.rank, self.size, self.life, self.own_address = rank, size, life, own_address
         self.key = messages.tag_key(cluster)
-        self.join = [address for address in join if address != own]
+        self.join = [address for address in join if address != own_address]
         self.random = random.Random(seed)
         self.peers: dict[int, PeerAddress] = {}
-        self.peers_digest = 0  # of their shares in the digest
-        self.candidates: dict[int, Hint] = {}
-        # Greetings that may be answered: number, where; whether all pages are wanted.
-        self.out: OrderedDict[tuple[int, Address], bool] = OrderedDict()
+        self.peers_digest = 0  # XOR of the digest parts of all peers
+        self.candidates: dict[int, Candidate] = {}
+        # (number, destination) of HELLO messages whose reply is accepted: whether all pages are requested
+        self.pending_hellos: OrderedDict[tuple[int, Address], bool] = OrderedDict()
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
-        self.next_knock = self.next_round = self.next_greeting = 0
-        self.knock, self.turn, self.rounds = JOIN_INTERVAL_MIN, 0, 0
-        self.room, self.filled = ANSWERS_PER_SECOND_MAX, 0
+        self.next_join_at = self.next_sync_at = self.next_hello_at = 0
+        self.join_interval, self.join_position, self.sync_count = JOIN_INTERVAL_MIN, 0, 0
+        self.reply_tokens, self.tokens_refilled_at = REPLIES_PER_SECOND_MAX, 0
 
-    # -- what happens ---------------------------------------------------------------------------------------
+    # -- entry points ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Action]:
-        """Time has passed; to be called each GREETING_INTERVAL while ``busy``, else JOIN_INTERVAL_MIN."""
+        """Send what is due; to be called every HELLO_INTERVAL while ``has_candidates``, else every
+        JOIN_INTERVAL_MIN."""
         self.actions = []
-        if not self.peers and now >= self.next_knock and self.join:
-            self._knock()
-            self.next_knock = now + int(self.knock * (0.5 + self.random.random()))
-            self.knock = min(JOIN_INTERVAL_MAX, 2 * self.knock)
-        if now >= self.next_greeting and (
-            due := [r for r, hint in self.candidates.items() if hint.due <= now]
+        if not self.peers and now >= self.next_join_at and self.join:
+            self._contact_seed()
+            self.next_join_at = now + int(self.join_interval * (0.5 + self.random.random()))
+            self.join_interval = min(JOIN_INTERVAL_MAX, 2 * self.join_interval)
+        if now >= self.next_hello_at and (
+            due := [rank for rank, candidate in self.candidates.items() if candidate.due_at <= now]
         ):
-            self.next_greeting = now + HELLO_INTERVAL
-            self._try(now, min(due, key=lambda rank: (self.candidates[rank].due, rank)))
-        if self.peers and now >= self.next_round:
-            self.next_round = now + int(ROUND_INTERVAL * (0.5 + self.random.random()))
-            self.rounds += 1
-            if self.join and self.rounds % REJOIN_ROUND_EVERY == 0:
-                self._knock()
+            self.next_hello_at = now + HELLO_INTERVAL
+            self._contact_candidate(now, min(due, key=lambda rank: (self.candidates[rank].due_at, rank)))
+        if self.peers and now >= self.next_sync_at:
+            self.next_sync_at = now + int(SYNC_INTERVAL * (0.5 + self.random.random()))
+            self.sync_count += 1
+            if self.join and self.sync_count % REJOIN_EVERY == 0:
+                self._contact_seed()
             else:
-                place = self.peers[self.random.choice(sorted(self.peers))]
-                self._greet(place.address, full=self.rounds % FULL_ROUND_EVERY == 0)
-        return self._done()
+                peer = self.peers[self.random.choice(sorted(self.peers))]
+                self._send_hello(peer.address, all_pages=self.sync_count % FULL_SYNC_EVERY == 0)
+        return self._take_actions()
 
-    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
-        """A datagram of this version, from anywhere."""
+    def receive(self, now: int, sender_address: Address, data: bytes) -> list[Action]:
+        """Process a datagram of this version, whoever sent it."""
         self.actions = []
         try:
             kind, rank, life, number, digest, page, rows = self._unpack(data)
-        except messages.InvalidMessage as odd:
-            self.counts[f"dropped_{odd}"] += 1
+        except messages.InvalidMessage as reason:
+            self.counts[f"dropped_{reason}"] += 1
             return []
         if rank == self.rank:
-            self._of_our_rank(source, kind, life, number, now)
+            self._process_own_rank(sender_address, kind, life, number, now)
         elif kind == HELLO:
-            known = self.peers.get(rank)
-            if known is None or life > known.life or (known.life == life and known.address != source):
-                self._set_candidate(now, rank, PeerAddress(life, source))
-            newer = known if known and life < known.life else None
+            current = self.peers.get(rank)
+            if (
+                current is None
+                or life > current.life
+                or (current.life == life and current.address != sender_address)
+            ):
+                self._set_candidate(now, rank, PeerAddress(life, sender_address))
+            superseding = current if current and life < current.life else None
             differs = digest != self._digest()
-            if differs:  # one of us knows more: who does is asked soon
-                self.next_round = min(
-                    self.next_round, now + int(NEXT_PAGE_DELAY * (0.5 + self.random.random()))
+            if differs:  # one of us knows more; a sync finds out soon
+                self.next_sync_at = min(
+                    self.next_sync_at, now + int(EARLY_SYNC_DELAY * (0.5 + self.random.random()))
                 )
-            self._answer(now, source, number, page if differs else None, newer, rank)
-        elif (is_full := self.out.pop((number, source), None)) is not None:
-            self._bind(rank, PeerAddress(life, source))
-            news = sum(self._told(now, other, place) for other, place in rows)
-            # The latest come first: after a page without news all of them now and then only.
-            if page and digest != self._digest() and (is_full or news):
-                self._greet(source, page, is_full)
+            self._send_reply(now, sender_address, number, page if differs else None, superseding, rank)
+        elif (all_pages := self.pending_hellos.pop((number, sender_address), None)) is not None:
+            self._bind(rank, PeerAddress(life, sender_address))
+            new_candidates = sum(self._apply_report(now, other, peer) for other, peer in rows)
+            # The latest rows come first: after a page without new candidates the rest is left to full syncs.
+            if page and digest != self._digest() and (all_pages or new_candidates):
+                self._send_hello(sender_address, page, all_pages)
         else:
             self.counts["dropped_unasked"] += 1
-        return self._done()
+        return self._take_actions()
 
     def add_candidate(self, now: int, rank: int, life: int, address: Address) -> None:
-        """The list service says that a rank is there."""
+        """Contact an address that the list service reported."""
         if 0 <= rank < self.size:
-            self._told(now, rank, PeerAddress(life, address))
+            self._apply_report(now, rank, PeerAddress(life, address))
 
     @property
     def has_candidates(self) -> bool:
-        """Whether somebody is still to be greeted."""
+        """Whether a reported address is still to be verified."""
         return bool(self.candidates)
 
     @property
     def ranks_without_address(self) -> frozenset[int]:
-        """Ranks that nobody is known to hold."""
+        """The other ranks that are not bound to an address."""
         return frozenset(range(self.size)) - self.peers.keys() - {self.rank}
 
-    # -- what follows ---------------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------------------
 
-    def _done(self) -> list[Action]:
-        done, self.actions = self.actions, []
-        return done
+    def _take_actions(self) -> list[Action]:
+        actions, self.actions = self.actions, []
+        return actions
 
     def _digest(self) -> int:
-        """Of all that we know, ourselves as well: who knows the same has the same."""
-        return self.peers_digest ^ _share(self.rank, PeerAddress(self.life, self.own))
+        """Hash of our table including ourselves; equal for gateways that know the same addresses."""
+        return self.peers_digest ^ _digest_part(self.rank, PeerAddress(self.life, self.own_address))
 
-    def _told(self, now: int, rank: int, place: PeerAddress) -> bool:
-        """Hearsay, also of ourselves; whether it is news."""
+    def _apply_report(self, now: int, rank: int, peer: PeerAddress) -> bool:
+        """Apply an unverified report, which may concern ourselves; whether it gave a new candidate."""
         if rank == self.rank:
-            if place.life > self.life:
-                self.actions.append(NewerLifeFound(place.life))
-        elif (known := self.peers.get(rank)) is None or place.life > known.life:
-            return self._set_candidate(now, rank, place)
+            if peer.life > self.life:
+                self.actions.append(NewerLifeFound(peer.life))
+        elif (current := self.peers.get(rank)) is None or peer.life > current.life:
+            return self._set_candidate(now, rank, peer)
         return False
 
-    def _set_candidate(self, now: int, rank: int, place: PeerAddress) -> bool:
-        held = self.candidates.get(rank)
-        if held is None or place.life > held.place.life or (held.tries and place != held.place):
-            self.candidates[rank] = Hint(place, now)
+    def _set_candidate(self, now: int, rank: int, peer: PeerAddress) -> bool:
+        previous = self.candidates.get(rank)
+        if (
+            previous is None
+            or peer.life > previous.peer.life
+            or (previous.attempts and peer != previous.peer)
+        ):
+            self.candidates[rank] = Candidate(peer, now)
             return True
         return False
 
-    def _try(self, now: int, rank: int) -> None:
-        hint = self.candidates[rank]
-        hint.tries, hint.due = hint.tries + 1, now + GREETING_TIMEOUT
-        self._greet(hint.place.address)
-        if hint.tries >= GREETING_TRIES:
+    def _contact_candidate(self, now: int, rank: int) -> None:
+        candidate = self.candidates[rank]
+        candidate.attempts, candidate.due_at = candidate.attempts + 1, now + HELLO_TIMEOUT
+        self._send_hello(candidate.peer.address)
+        if candidate.attempts >= HELLO_ATTEMPTS_MAX:
             del self.candidates[rank]
 
-    def _bind(self, rank: int, place: PeerAddress) -> None:
-        """It has answered from there."""
-        known = self.peers.get(rank)
-        if known and place.life < known.life:
-            return  # a former self, or the elder of twins
-        self.peers_digest ^= _share(rank, place) ^ (_share(rank, known) if known else 0)
+    def _bind(self, rank: int, peer: PeerAddress) -> None:
+        """Bind a rank to the address from which it replied."""
+        current = self.peers.get(rank)
+        if current and peer.life < current.life:
+            return  # an earlier process of this rank, which may still be running
+        self.peers_digest ^= _digest_part(rank, peer) ^ (_digest_part(rank, current) if current else 0)
         self.peers.pop(rank, None)
-        self.peers[rank] = place  # the last one of all
-        if (hint := self.candidates.get(rank)) and hint.place.life <= place.life:
+        self.peers[rank] = peer  # inserted anew, as the most recent one
+        if (candidate := self.candidates.get(rank)) and candidate.peer.life <= peer.life:
             del self.candidates[rank]
-        if known is None or known.address != place.address:
-            self.actions.append(AddressChanged(rank, place.address))
+        if current is None or current.address != peer.address:
+            self.actions.append(AddressChanged(rank, peer.address))
+
+    def _process_own_rank(self, sender_address: Address, kind: int, life: int, number: int, now: int) -> None:
+        """Process a message with our rank: our own, sent to an address of ``join``, or another process's.
 
-    def _of_our_rank(self, source: Address, kind: int, life: int, number: int, now: int) -> None:
-        """Ourselves by way of ``join``, or a process under our rank: the elder yields."""
+        Of two processes under one rank the one with the smaller life yields.
+        """
         if life > self.life:
             self.actions.append(NewerLifeFound(life))
         elif life < self.life and kind == HELLO:
-            self._answer(now, source, number, 0, PeerAddress(self.life, self.own), self.rank)
+            self._send_reply(
+                now, sender_address, number, 0, PeerAddress(self.life, self.own_address), self.rank
+            )
 
-    def _knock(self) -> None:
-        self._greet(self.join[self.turn % len(self.join)], full=True)
-        self.turn += 1
+    def _contact_seed(self) -> None:
+        self._send_hello(self.join[self.join_position % len(self.join)], all_pages=True)
+        self.join_position += 1
 
-    def _greet(self, address: Address, page: int = 0, full: bool = False) -> None:
+    def _send_hello(self, address: Address, page: int = 0, all_pages: bool = False) -> None:
         number = self.random.getrandbits(32)
-        self.out[number, address] = full
-        if len(self.out) > PENDING_GREETINGS_MAX:
-            self.out.popitem(last=False)
+        self.pending_hellos[number, address] = all_pages
+        if len(self.pending_hellos) > PENDING_HELLOS_MAX:
+            self.pending_hellos.popitem(last=False)
         self._send(address, HELLO, number, page)
 
-    def _answer(
-        self, now: int, to: Address, number: int, page: int | None, newer: PeerAddress | None, rank: int
+    def _send_reply(
+        self,
+        now: int,
+        destination: Address,
+        number: int,
+        page: int | None,
+        superseding: PeerAddress | None,
+        rank: int,
     ) -> None:
-        """What we know from a page on (None: nothing); first of all that another process has the asker's
-        rank."""
-        self.room = min(
-            ANSWERS_PER_SECOND_MAX, self.room + ANSWERS_PER_SECOND_MAX * (now - self.filled) / SECOND
+        """Reply with rows from index ``page`` on (None: no rows).
+
+        If another process has replaced the sender under its rank, the first row tells so.
+        """
+        self.reply_tokens = min(
+            REPLIES_PER_SECOND_MAX,
+            self.reply_tokens + REPLIES_PER_SECOND_MAX * (now - self.tokens_refilled_at) / SECOND,
         )
-        self.filled = now
-        if self.room < 1:
+        self.tokens_refilled_at = now
+        if self.reply_tokens < 1:
             self.counts["kept_back"] += 1
             return
-        self.room -= 1
-        some, more = [(rank, newer)] if newer else [], 0
+        self.reply_tokens -= 1
+        rows, next_page = [(rank, superseding)] if superseding else [], 0
         if page is not None:
-            others = [r for r in reversed(self.peers) if r != rank][page:]
-            room = ROWS_MAX - len(some)
-            more = page + room if len(others) > room else 0
-            some += [(other, self.peers[other]) for other in others[:room]]
-        self._send(to, HERE, number, more, some)
+            others = [other for other in reversed(self.peers) if other != rank][page:]
+            capacity = ROWS_MAX - len(rows)
+            next_page = page + capacity if len(others) > capacity else 0
+            rows += [(other, self.peers[other]) for other in others[:capacity]]
+        self._send(destination, HELLO_REPLY, number, next_page, rows)
 
     def _send(
-        self, to: Address, kind: int, number: int, page: int, rows: Iterable[tuple[int, PeerAddress]] = ()
+        self,
+        destination: Address,
+        kind: int,
+        number: int,
+        page: int,
+        rows: Iterable[tuple[int, PeerAddress]] = (),
     ) -> None:
-        body = HEAD.pack(kind, self.rank, _bytes(self.life), number, self._digest(), page)
-        for rank, place in rows:
-            host, port = place.address
-            body += ROW.pack(rank, _bytes(place.life), socket.inet_aton(host), port)
+        body = HEADER.pack(kind, self.rank, _encode_life(self.life), number, self._digest(), page)
+        for rank, peer in rows:
+            host, port = peer.address
+            body += ROW.pack(rank, _encode_life(peer.life), socket.inet_aton(host), port)
         self.counts["sent"] += 1
-        self.actions.append(SendDatagram(to, messages.seal(self.key, body, VERSION)))
+        self.actions.append(SendDatagram(destination, messages.seal(self.key, body, VERSION)))
 
-    # -- bytes ----------------------------------------------------------------------------------------------
+    # -- decoding -------------------------------------------------------------------------------------------
 
     def _unpack(self, data: bytes) -> tuple[int, int, int, int, int, int, list[tuple[int, PeerAddress]]]:
         body = messages.unseal(data, self.key, VERSION)
-        if len(body) < HEAD.size or (len(body) - HEAD.size) % ROW.size:
+        if len(body) < HEADER.size or (len(body) - HEADER.size) % ROW.size:
             raise messages.InvalidMessage("malformed")
-        kind, rank, life, number, digest, page = HEAD.unpack_from(body)
-        rows = list(self._rows(body))
-        if kind not in (HELLO, HERE) or max(rank, page, *(other for other, _ in rows)) >= self.size:
+        kind, rank, life, number, digest, page = HEADER.unpack_from(body)
+        rows = list(self._unpack_rows(body))
+        if kind not in (HELLO, HELLO_REPLY) or max(rank, page, *(other for other, _ in rows)) >= self.size:
             raise messages.InvalidMessage("malformed")
-        return kind, rank, _life(life), number, digest, page, rows
+        return kind, rank, _decode_life(life), number, digest, page, rows
 
     @staticmethod
-    def _rows(body: bytes) -> Iterator[tuple[int, PeerAddress]]:
+    def _unpack_rows(body: bytes) -> Iterator[tuple[int, PeerAddress]]:
         yield from (
-            (rank, PeerAddress(_life(life), (socket.inet_ntoa(host), port)))
-            for rank, life, host, port in ROW.iter_unpack(body[HEAD.size :])
+            (rank, PeerAddress(_decode_life(life), (socket.inet_ntoa(host), port)))
+            for rank, life, host, port in ROW.iter_unpack(body[HEADER.size :])
         )
