--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -1,6 +1,6 @@
-"""Membership on the gateway's sockets: clock, timer, log; what follows from the view goes to the decisions.
+"""Runs the membership protocol: supplies clock, timer and socket, logs its events and reports view changes.
 
-Imported only where ``cluster`` is configured.
+Changes of the view are passed to the decision module. Imported only where ``cluster`` is configured.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     Membership,
 )
 
-from . import places as where
+from . import places
 from .config import Address, Config
 from .driver import Driver
 from .meeting import RendezvousClient
@@ -32,161 +32,172 @@
 log = logs.get(__name__)
 
 MS = 1_000  # microseconds
-TIMER_RESOLUTION = 5 * MS  # two times that lie nearer are one
-STEPS = (PROBE_RETRY_DELAY, INDIRECT_PROBE_DELAY, PROBE_TIMEOUT)  # when a probe is next looked at
-LIFE_BITS = 10  # random ones below the milliseconds of a life
+TIMER_RESOLUTION = 5 * MS  # the timer is not reset for a smaller difference
+PROBE_STAGE_DELAYS = (
+    PROBE_RETRY_DELAY,
+    INDIRECT_PROBE_DELAY,
+    PROBE_TIMEOUT,
+)  # age at which a probe is next checked, by stage
+LIFE_RANDOM_BITS = 10  # low bits of a life, below the milliseconds
 
 
 def clock() -> int:
-    """Microseconds of a clock that never jumps and runs on while the machine sleeps."""
+    """Microseconds of a monotonic clock that keeps running while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
 class Members:
-    """One gateway's membership."""
+    """Membership of this gateway in its cluster."""
 
     def __init__(self, driver: Driver, config: Config, peers: Peers, drain: Callable[[], None]) -> None:
-        """``drain`` is called where another process runs under our rank."""
+        """``drain`` is called if another process runs under our rank."""
         settings = config.settings
         draw = int.from_bytes(os.urandom(8), "big")
-        life = (time.time_ns() // 1_000_000 << LIFE_BITS) + draw % (1 << LIFE_BITS)
+        life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + draw % (1 << LIFE_RANDOM_BITS)
         size, intake = min(settings.gateways, len(config.peers) or settings.gateways), settings.peer_intake
         self.core = Membership(settings.rank, size, config.cluster, life, draw, clock(), intake)
         own = config.advertise or config.peer_listen
-        self.places: where.AddressBook | None = None  # a fixed list tells where all are
-        self.meeting: RendezvousClient | None = None
+        self.address_book: places.AddressBook | None = None  # None: all addresses are configured
+        self.rendezvous: RendezvousClient | None = None
         if not config.peers:
-            self.places = where.AddressBook(settings.rank, size, config.cluster, life, own, config.join, draw)
-        if self.places and config.meet:
-            self.meeting = RendezvousClient(config.meet, config.cluster, self.places, clock)
+            self.address_book = places.AddressBook(
+                settings.rank, size, config.cluster, life, own, config.join, draw
+            )
+        if self.address_book and config.meet:
+            self.rendezvous = RendezvousClient(config.meet, config.cluster, self.address_book, clock)
         self.driver, self.peers, self.drain, self.loop = driver, peers, drain, driver.loop
-        self.told = None if self.places else self._says()
+        self.last_reported = None if self.address_book else self._members_changed()
         self.timer: asyncio.TimerHandle | None = None
-        self.due = 0  # when it fires
-        peers.members, driver.pre_event_hook = self, self.look
+        self.timer_due = 0  # when the timer fires
+        peers.members, driver.pre_event_hook = self, self.check_pause
 
     def start(self) -> None:
-        """The socket is ours: speak from now on."""
+        """Start the protocol, once this process owns the socket."""
         if self.timer is None:
             self._tick()
-            if self.meeting:
-                self.meeting.start()
+            if self.rendezvous:
+                self.rendezvous.start()
 
-    def _due(self, now: int) -> int:
-        """When there is something to do at the latest: a process at rest wakes for its own probes alone."""
+    def _next_due(self, now: int) -> int:
+        """When ``_tick`` is needed next; an idle process wakes up only for its own probes."""
         core = self.core
         if core.left:
             return now + PROBE_INTERVAL
         if core.suspects or core.urgent_pings:
             return now + TICK_INTERVAL
-        looks = [probe.sent_at + STEPS[probe.stage] for probe in core.probes.values()]
-        if self.places and self.places.has_candidates:
-            looks.append(now + where.HELLO_INTERVAL)
+        check_times = [probe.sent_at + PROBE_STAGE_DELAYS[probe.stage] for probe in core.probes.values()]
+        if self.address_book and self.address_book.has_candidates:
+            check_times.append(now + places.HELLO_INTERVAL)
         return min(
-            core.next_probe, now + PROBE_INTERVAL, *looks, *(due for due, _ in core.relayed_probes.values())
+            core.next_probe,
+            now + PROBE_INTERVAL,
+            *check_times,
+            *(due for due, _ in core.relayed_probes.values()),
         )
 
-    def _wake(self, now: int) -> None:
-        """The one timer, set anew where something is due at another time."""
-        due = max(now + TIMER_RESOLUTION, self._due(now))
-        if self.timer and abs(due - self.due) < TIMER_RESOLUTION:
+    def _schedule(self, now: int) -> None:
+        """Set the timer for ``_tick``, unless it is already set for that time."""
+        due = max(now + TIMER_RESOLUTION, self._next_due(now))
+        if self.timer and abs(due - self.timer_due) < TIMER_RESOLUTION:
             return
         if self.timer:
             self.timer.cancel()
-        self.due = due
+        self.timer_due = due
         self.timer = self.loop.call_later((due - now) / 1_000_000, self._tick)
 
     def stop(self) -> None:
-        """The socket is another's: say nothing more."""
+        """Stop the protocol, as another process owns the socket now."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        if self.meeting:
-            self.meeting.stop()
+        if self.rendezvous:
+            self.rendezvous.stop()
 
     def _tick(self) -> None:
         now, self.timer = clock(), None
-        self._carry_out(self.core.tick(now))
-        if self.places:
-            self.places.life = self.core.life  # it may have outbid a former self
-            self._find(now, self.places.tick(now))
-            self.core.counts.update(self.places.counts)
-            self.places.counts.clear()
+        self._process_and_feed(self.core.tick(now))
+        if self.address_book:
+            self.address_book.life = self.core.life  # raised if an earlier process had a greater one
+            self._apply_address_actions(now, self.address_book.tick(now))
+            self.core.counts.update(self.address_book.counts)
+            self.address_book.counts.clear()
         for name, count in self.core.counts.items():
             self.driver.stats[f"member_{name}"] += count
         self.core.counts.clear()
         if not self.core.yielded:
-            self._wake(now)
+            self._schedule(now)
 
-    def look(self) -> api.MembersChanged | None:
-        """Before a decision: did we stand still? Then it must know."""
+    def check_pause(self) -> api.MembersChanged | None:
+        """Called before each decision, which must take a pause of this process into account."""
         now = clock()
         return (
-            self._do(self.core.tick(now))
+            self._process_actions(self.core.tick(now))
             if now - self.core.last_called > PAUSE_THRESHOLD and self.timer
             else None
         )
 
-    def heard(self, rank: int, body: bytes) -> None:
-        """A datagram of membership's kind, from this rank's address."""
+    def receive(self, rank: int, body: bytes) -> None:
+        """Process a membership message from the address of this rank."""
         now = clock()
-        self._carry_out(self.core.receive(now, rank, body))
+        self._process_and_feed(self.core.receive(now, rank, body))
         if self.timer:
-            self._wake(now)
+            self._schedule(now)
 
-    def greeted(self, source: Address, body: bytes) -> None:
-        """A datagram that says where members are, from anywhere."""
+    def receive_address_message(self, source: Address, body: bytes) -> None:
+        """Process a message of the address discovery, from any address."""
         now = clock()
-        if self.places and self.timer:
-            self._find(now, self.places.receive(now, source, body))
-            self._wake(now)
+        if self.address_book and self.timer:
+            self._apply_address_actions(now, self.address_book.receive(now, source, body))
+            self._schedule(now)
 
-    def _find(self, now: int, actions: Iterable[where.Action]) -> None:
-        """What is new of where members are."""
+    def _apply_address_actions(self, now: int, actions: Iterable[places.Action]) -> None:
+        """Carry out actions of the address book."""
         for action in actions:
-            if isinstance(action, where.SendDatagram):
+            if isinstance(action, places.SendDatagram):
                 self.peers.send(action.address, action.body)
-            elif isinstance(action, where.AddressChanged):
-                at = "{}:{}".format(*action.address)
-                log.info("member_placed", member=action.rank, address=at, boot_ms=now // MS)
-                self.peers.move(action.rank, action.address)
-                self._carry_out(())
+            elif isinstance(action, places.AddressChanged):
+                address = "{}:{}".format(*action.address)
+                log.info("member_placed", member=action.rank, address=address, boot_ms=now // MS)
+                self.peers.set_address(action.rank, action.address)
+                self._process_and_feed(())
             elif not self.core.yielded:
-                self._carry_out(self.core.on_newer_life(now, action.life))
+                self._process_and_feed(self.core.on_newer_life(now, action.life))
 
     def leave(self) -> None:
-        """This process ends on purpose."""
+        """Announce that this process shuts down."""
         if self.timer:
-            self._carry_out(self.core.leave(clock()))
+            self._process_and_feed(self.core.leave(clock()))
 
-    def _carry_out(self, actions: Iterable[state.Action]) -> None:
-        if changed := self._do(actions):
+    def _process_and_feed(self, actions: Iterable[state.Action]) -> None:
+        """Carry out actions and pass a changed view to the decision module."""
+        if changed := self._process_actions(actions):
             self.driver.feed(changed)
 
-    def _do(self, actions: Iterable[state.Action]) -> api.MembersChanged | None:
-        """Tell and log; what the decisions have to know, if the view has changed."""
+    def _process_actions(self, actions: Iterable[state.Action]) -> api.MembersChanged | None:
+        """Send and log; returns an event for the decision module if the view has changed."""
         for action in actions:
             if isinstance(action, state.Send):
-                self.peers.tell(action.rank, action.body)
+                self.peers.send_to_rank(action.rank, action.body)
             else:
-                self._notice(action)
-        says = self._says()
-        if says == self.told:
+                self._log_event(action)
+        event = self._members_changed()
+        if event == self.last_reported:
             return None
-        self.told = says
-        return says
+        self.last_reported = event
+        return event
 
-    def _says(self) -> api.MembersChanged:
-        """What the decisions are told: who has no place yet is away, too."""
+    def _members_changed(self) -> api.MembersChanged:
+        """The view for the decision module; gateways without a known address are unavailable, too."""
         view = self.core.view
-        apart = view.cut_off or view.unheard or view.doubtful or self.core.yielded
+        isolated = view.cut_off or view.unheard or view.doubtful or self.core.yielded
         return api.MembersChanged(
-            view.absent | self.places.ranks_without_address if self.places else view.absent, apart
+            view.absent | self.address_book.ranks_without_address if self.address_book else view.absent,
+            isolated,
         )
 
-    def _notice(self, notice: state.LogEvent) -> None:
-        fields = notice.fields | {"boot_ms": clock() // MS}
-        match notice.name:
+    def _log_event(self, event: state.LogEvent) -> None:
+        fields = event.fields | {"boot_ms": clock() // MS}
+        match event.name:
             case "member":
                 log.info("member_changed", **fields)
             case "link":
@@ -202,32 +213,34 @@
             case "twin":
                 log.error("member_has_twin", **fields)
                 self.driver.readiness.has_duplicate_rank = True
-                self.driver.feed(api.MembersChanged(self._says().unavailable, True))
+                self.driver.feed(api.MembersChanged(self._members_changed().unavailable, True))
                 self.drain()
                 self.stop()
-                self.loop.call_soon(self.peers.transport.close)  # all datagrams are the other's
+                self.loop.call_soon(
+                    self.peers.transport.close
+                )  # from here on all datagrams are for the other process
 
-    # -- to be seen -----------------------------------------------------------------------------------------
+    # -- for operators and metrics --------------------------------------------------------------------------
 
     def health_warnings(self) -> tuple[str, ...]:
-        """What is wrong with this process's own sight."""
+        """Reasons why this process's view of the cluster may be wrong."""
         view, core = self.core.view, self.core
-        others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} gateways are here"
+        others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} other gateways are active"
         return (
-            *((f"nobody is heard, {others}",) if view.cut_off else ()),
-            *(("most of those heard don't hear us",) if view.unheard else ()),
-            *(("it stood still and knows nothing fresh yet",) if view.doubtful else ()),
+            *((f"it receives nothing from other gateways, {others}",) if view.cut_off else ()),
+            *(("most gateways that it receives from do not receive from it",) if view.unheard else ()),
+            *(("it was paused and has no recent information yet",) if view.doubtful else ()),
             *(
                 (f"only {others}",)
                 if 2 * view.active_of_total[0] <= view.active_of_total[1] and not view.cut_off
                 else ()
             ),
-            *((f"{len(down)} links are dead",) if (down := core.links.down_links()) else ()),
+            *((f"{len(down)} links are down",) if (down := core.links.down_links()) else ()),
         )
 
     def table(self) -> dict[str, object]:
-        """The view for operators: each member's state, life, incarnation and the milliseconds since it was
-        heard; dead links as pairs (from, to)."""
+        """The view for operators: each member's state, life, incarnation and the milliseconds since its last
+        message; links that are down as pairs (from, to)."""
         core, now = self.core, clock()
         rows = {
             m.rank: [
@@ -249,12 +262,12 @@
             "health": core.health,
             "part": list(core.view.active_of_total),
             "members": rows,
-            "unplaced": sorted(self.places.ranks_without_address) if self.places else [],
+            "unplaced": sorted(self.address_book.ranks_without_address) if self.address_book else [],
             "links_down": core.links.down_links(),
         }
 
     def gauges(self) -> dict[str, int]:
-        """For the log's figures and the metrics."""
+        """Gauges for the periodic log line and the metrics."""
         view = self.core.view
         return {
             "members_here": view.active_of_total[0],
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -224,4 +224,4 @@
             assert (await call(primary.listen, method, target, word())).status == status
         lost = meeting.RendezvousClient(address(follower.listen), "valley", cores[0], lambda: 0)
         with pytest.raises(ValueError, match="421: gateways meet at the primary"):
-            await asyncio.wait_for(lost._call(), 5)
+            await asyncio.wait_for(lost._announce(), 5)
