--- a/saffrongw/places.py
+++ b/saffrongw/places.py
@@ -118,7 +118,10 @@
         seed: int,
     ) -> None:
         """``own_address``: where others reach us; ``join``: addresses to contact first, without ours."""
-        self.rank, self.size, self.life, self.own_address = rank, size, life, own_address
+        self.rank = rank
+        self.size = size
+        self.life = life
+        self.own_address = own_address
         self.key = messages.tag_key(cluster)
         self.join = [address for address in join if address != own_address]
         self.random = random.Random(seed)
@@ -130,8 +133,10 @@
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
         self.next_join_at = self.next_sync_at = self.next_hello_at = 0
-        self.join_interval, self.join_position, self.sync_count = JOIN_INTERVAL_MIN, 0, 0
-        self.reply_tokens, self.tokens_refilled_at = REPLIES_PER_SECOND_MAX, 0
+        self.join_interval = JOIN_INTERVAL_MIN
+        self.join_position = self.sync_count = 0
+        self.reply_tokens = REPLIES_PER_SECOND_MAX
+        self.tokens_refilled_at = 0
 
     # -- entry points ---------------------------------------------------------------------------------------
 
@@ -169,28 +174,9 @@
         if rank == self.rank:
             self._process_own_rank(sender_address, kind, life, number, now)
         elif kind == HELLO:
-            current = self.peers.get(rank)
-            if (
-                current is None
-                or life > current.life
-                or (current.life == life and current.address != sender_address)
-            ):
-                self._set_candidate(now, rank, PeerAddress(life, sender_address))
-            superseding = current if current and life < current.life else None
-            differs = digest != self._digest()
-            if differs:  # one of us knows more; a sync finds out soon
-                self.next_sync_at = min(
-                    self.next_sync_at, now + int(EARLY_SYNC_DELAY * (0.5 + self.random.random()))
-                )
-            self._send_reply(now, sender_address, number, page if differs else None, superseding, rank)
-        elif (all_pages := self.pending_hellos.pop((number, sender_address), None)) is not None:
-            self._bind(rank, PeerAddress(life, sender_address))
-            new_candidates = sum(self._apply_report(now, other, peer) for other, peer in rows)
-            # The latest rows come first: after a page without new candidates the rest is left to full syncs.
-            if page and digest != self._digest() and (all_pages or new_candidates):
-                self._send_hello(sender_address, page, all_pages)
+            self._process_hello(now, sender_address, rank, life, number, digest, page)
         else:
-            self.counts["dropped_unasked"] += 1
+            self._process_reply(now, sender_address, rank, life, number, digest, page, rows)
         return self._take_actions()
 
     def add_candidate(self, now: int, rank: int, life: int, address: Address) -> None:
@@ -240,7 +226,8 @@
 
     def _contact_candidate(self, now: int, rank: int) -> None:
         candidate = self.candidates[rank]
-        candidate.attempts, candidate.due_at = candidate.attempts + 1, now + HELLO_TIMEOUT
+        candidate.attempts += 1
+        candidate.due_at = now + HELLO_TIMEOUT
         self._send_hello(candidate.peer.address)
         if candidate.attempts >= HELLO_ATTEMPTS_MAX:
             del self.candidates[rank]
@@ -270,6 +257,45 @@
                 now, sender_address, number, 0, PeerAddress(self.life, self.own_address), self.rank
             )
 
+    def _process_hello(
+        self, now: int, sender_address: Address, rank: int, life: int, number: int, digest: int, page: int
+    ) -> None:
+        current = self.peers.get(rank)
+        if (
+            current is None
+            or life > current.life
+            or (current.life == life and current.address != sender_address)
+        ):
+            self._set_candidate(now, rank, PeerAddress(life, sender_address))
+        superseding = current if current and life < current.life else None
+        differs = digest != self._digest()
+        if differs:  # one of us knows more; a sync finds out soon
+            self.next_sync_at = min(
+                self.next_sync_at, now + int(EARLY_SYNC_DELAY * (0.5 + self.random.random()))
+            )
+        self._send_reply(now, sender_address, number, page if differs else None, superseding, rank)
+
+    def _process_reply(
+        self,
+        now: int,
+        sender_address: Address,
+        rank: int,
+        life: int,
+        number: int,
+        digest: int,
+        page: int,
+        rows: Iterable[tuple[int, PeerAddress]],
+    ) -> None:
+        all_pages = self.pending_hellos.pop((number, sender_address), None)
+        if all_pages is None:
+            self.counts["dropped_unasked"] += 1
+            return
+        self._bind(rank, PeerAddress(life, sender_address))
+        new_candidates = sum(self._apply_report(now, other, peer) for other, peer in rows)
+        # The latest rows come first: after a page without new candidates the rest is left to full syncs.
+        if page and digest != self._digest() and (all_pages or new_candidates):
+            self._send_hello(sender_address, page, all_pages)
+
     def _contact_seed(self) -> None:
         self._send_hello(self.join[self.join_position % len(self.join)], all_pages=True)
         self.join_position += 1
@@ -303,7 +329,8 @@
             self.counts["kept_back"] += 1
             return
         self.reply_tokens -= 1
-        rows, next_page = [(rank, superseding)] if superseding else [], 0
+        rows = [(rank, superseding)] if superseding else []
+        next_page = 0
         if page is not None:
             others = [other for other in reversed(self.peers) if other != rank][page:]
             capacity = ROWS_MAX - len(rows)
