--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: byte layouts, malformed input, the process."""
+"""The binary protocol: byte layouts, malformed input, the process that serves it."""
 
 from __future__ import annotations
 
@@ -70,8 +70,8 @@
 HOST = bytes.fromhex("0a124a072b23")
 
 
-def raw(text: str, size: int = wire.EVENT_SIZE) -> bytes:
-    """A record of the protocol note, zeros to its size."""
+def record(text: str, size: int = wire.EVENT_SIZE) -> bytes:
+    """A record given in hexadecimal, padded with zeros."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
@@ -81,7 +81,7 @@
 
 
 def encode(*actions: api.Action) -> bytes:
-    """The reply's bytes after its header."""
+    """The bytes of the reply after its header."""
     encoder = wire.Encoder()
     for action in actions:
         encoder.add(3, action)
@@ -89,104 +89,113 @@
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = 1) -> bytes:
-    """A whole batch."""
+    """An input frame."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
-def init(gateway: int, settings: dict, at: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
-    """A start record and its text for the tail."""
+def start_record(gateway: int, settings: dict, offset: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
+    """A start record, and the settings for the tail."""
     text = json.dumps(settings).encode()
-    return struct.pack("<BHQII", 7, gateway, seed, at, len(text)).ljust(48, b"\0"), text
+    return struct.pack("<BHQII", 7, gateway, seed, offset, len(text)).ljust(48, b"\0"), text
 
 
-def play(*frames: bytes) -> bytes:
-    """What the process answers."""
+def serve(*frames: bytes) -> bytes:
+    """All replies of the process."""
     sink = io.BytesIO()
     wirehost.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
-def test_an_empty_batch_has_an_empty_reply():
-    assert play(bytes.fromhex("00000000000000005a5c800000000000")) == bytes(8)
+def test_an_empty_frame_has_an_empty_reply():
+    assert serve(bytes.fromhex("00000000000000005a5c800000000000")) == bytes(8)
 
 
-def test_events_of_the_note():
-    order = raw("05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100")
-    bell = raw("01 0300 4d00000000000000")
-    gone = raw("03 0500 192b6f0e")
-    answer = raw(
+def test_events_are_decoded():
+    request_arrived = record(
+        "05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100"
+    )
+    timer_fired = record("01 0300 4d00000000000000")
+    client_gone = record("03 0500 192b6f0e")
+    attempt_ended = record(
         "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300 0352b81e3f 00006841 0000e040 00000000"
     )
-    counted = raw("0a 0300 00001842 66080000 6400 90f6890000000000")
-    got = decode(order, bell, gone, answer, counted)
-    assert got[0] == (3, api.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False))
-    assert got[1] == (3, api.TimerFired(77))
-    assert got[2] == (5, api.ClientGone(0x0E6F2B19))
-    ended = got[3][1]
-    assert ended.server == HOST
-    assert (ended.request, ended.attempt, ended.duration) == (0x5D3A91C4, 0, 18500)
-    assert (ended.outcome, ended.answered, ended.use) == (api.Outcome.SERVED, True, 0x56)
-    assert ended.true_units == 3.0
-    assert ended.report == pytest.approx((0.62, 14.5, 7.0))
-    assert got[4] == (3, api.CounterAnswered(0x89F690, api.Outcome.SERVED, 38.0, 0x866))
-
-
-def test_a_list_of_the_note():
+    counter_answered = record("0a 0300 00001842 66080000 6400 90f6890000000000")
+    events = decode(request_arrived, timer_fired, client_gone, attempt_ended, counter_answered)
+    assert events[0] == (
+        3,
+        api.RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False),
+    )
+    assert events[1] == (3, api.TimerFired(77))
+    assert events[2] == (5, api.ClientGone(0x0E6F2B19))
+    attempt = events[3][1]
+    assert attempt.server == HOST
+    assert (attempt.request, attempt.attempt, attempt.duration) == (0x5D3A91C4, 0, 18500)
+    assert (attempt.outcome, attempt.answered, attempt.use) == (api.Outcome.SERVED, True, 0x56)
+    assert attempt.true_units == 3.0
+    assert attempt.report == pytest.approx((0.62, 14.5, 7.0))
+    assert events[4] == (3, api.CounterAnswered(0x89F690, api.Outcome.SERVED, 38.0, 0x866))
+
+
+def test_a_server_list_is_decoded():
     tail = bytes.fromhex(
         "0000803f000a124a072b2300000000000000000001000000"[:46]
         + "0000c03f 00 0a9011f2 5423 01 20145d0000000000 01 0000".replace(" ", "")
     )
-    got = decode(raw("0c 0000 00000000 02000000"), raw("09 0300 02 0000 2900000000000000"), tail=tail)
-    listed = got[0][1]
+    events = decode(
+        record("0c 0000 00000000 02000000"), record("09 0300 02 0000 2900000000000000"), tail=tail
+    )
+    listed = events[0][1]
     assert (listed.kind, listed.version, len(listed.entries)) == (api.ListKind.CACHED, 41, 2)
     assert listed.entries[0] == api.ServerEntry(HOST, api.Phase.READY, 0, 0, 0, 1.0)
     assert listed.entries[1].launched == 0x5D1420
     assert (listed.entries[1].zone, listed.entries[1].size) == (1, 1.5)
 
 
-def test_actions_of_the_note():
+def test_actions_are_encoded():
     send = api.Send(0x5D3A91C4, HOST, 0x8194DA)
-    assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
-    assert encode(api.SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(api.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
-    assert tell == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
-    assert encode(api.Refuse(7, 9)) == raw("42 0300 07000000 09000000", 24)
-    assert encode(api.Fail(7)) == raw("43 0300 07000000", 24)
-    assert encode(api.Cancel(7, 2)) == raw("44 0300 07000000 0200", 24)
-    assert encode(api.Probe(HOST)) == raw("46 0300 0a124a07 2b23", 24)
-    assert encode(api.WatchList()) == raw("4b 0300 01", 24)
-    assert encode(api.FetchList()) == raw("4c 0300", 24)
-
-
-def test_one_process_acts_like_several():
-    one, text = init(1, SETTINGS)
-    two, _ = init(2, SETTINGS, seed=6)
-    order = [
-        struct.pack("<BHIBHQIfffH", 5, g, i, 0, 0, i % 3, 900000, 1.0, 3.0, 0.0, 0).ljust(48, b"\0")
+    assert encode(send) == record("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
+    assert encode(api.SetTimer(0x07A120, 77)) == record("45 0300 20a10700 4d00000000000000", 24)
+    peer_message = encode(api.SendPeerMessage(0xFFFF, bytes.fromhex("68692037")))
+    assert peer_message == record("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
+    assert encode(api.Refuse(7, 9)) == record("42 0300 07000000 09000000", 24)
+    assert encode(api.Fail(7)) == record("43 0300 07000000", 24)
+    assert encode(api.Cancel(7, 2)) == record("44 0300 07000000 0200", 24)
+    assert encode(api.Probe(HOST)) == record("46 0300 0a124a07 2b23", 24)
+    assert encode(api.WatchList()) == record("4b 0300 01", 24)
+    assert encode(api.FetchList()) == record("4c 0300", 24)
+
+
+def test_gateways_in_one_process_act_as_in_separate_processes():
+    first, text = start_record(1, SETTINGS)
+    second, _ = start_record(2, SETTINGS, seed=6)
+    requests = [
+        struct.pack("<BHIBHQIfffH", 5, gateway, i, 0, 0, i % 3, 900000, 1.0, 3.0, 0.0, 0).ljust(48, b"\0")
         for i in range(20)
-        for g in (1, 2)
+        for gateway in (1, 2)
     ]
-    together = play(frame(one, two, tail=text), frame(*order, now=9))
-    alone = [
-        play(frame(start, tail=text), frame(*(o for o in order if o[1] == g), now=9))
-        for g, start in ((1, one), (2, two))
+    together = serve(frame(first, second, tail=text), frame(*requests, now=9))
+    separate = [
+        serve(
+            frame(start, tail=text), frame(*(request for request in requests if request[1] == gateway), now=9)
+        )
+        for gateway, start in ((1, first), (2, second))
     ]
 
     def records(reply: bytes, gateway: int) -> list[bytes]:
-        found, at = [], 0
-        while at < len(reply):
-            count, length = struct.unpack_from("<II", reply, at)
-            found += [reply[at + 8 + 24 * i : at + 32 + 24 * i] for i in range(count)]
-            at += 8 + length
-        return [r for r in found if r[1] == gateway]
+        records_found, offset = [], 0
+        while offset < len(reply):
+            count, length = struct.unpack_from("<II", reply, offset)
+            records_found += [reply[offset + 8 + 24 * i : offset + 32 + 24 * i] for i in range(count)]
+            offset += 8 + length
+        return [r for r in records_found if r[1] == gateway]
 
-    assert records(alone[0], 1) == records(together, 1) != []
-    assert records(alone[1], 2) == records(together, 2) != []
+    assert records(separate[0], 1) == records(together, 1) != []
+    assert records(separate[1], 2) == records(together, 2) != []
 
 
 def without(*path: str) -> dict:
-    """The settings without one key."""
+    """The settings without the key at this path."""
     settings = json.loads(json.dumps(SETTINGS))
     inner = settings
     for key in path[:-1]:
@@ -195,27 +204,33 @@
     return settings
 
 
-BAD_INPUT = {
+MALFORMED_INPUT = {
     "a truncated header": b"\1\0\0",
-    "a truncated frame": frame(raw("01 0300"))[:-3],
+    "a truncated frame": frame(record("01 0300"))[:-3],
     "too few records": struct.pack("<IIQ", 2, 48, 1) + bytes(48),
-    "an unknown record": frame(raw("63 0300")),
-    "an offset outside the tail": frame(raw("02 0300 0100 10000000 10000000")),
-    "an unknown outcome": frame(raw("06 0300 c4913a5d 0000 0a124a07 2b23 0900")),
-    "a list never sent": frame(raw("09 0300 01 0400")),
-    "a gateway never started": frame(raw("01 0300")),
+    "an unknown record": frame(record("63 0300")),
+    "an offset outside the tail": frame(record("02 0300 0100 10000000 10000000")),
+    "an unknown outcome": frame(record("06 0300 c4913a5d 0000 0a124a07 2b23 0900")),
+    "a list that was not sent": frame(record("09 0300 01 0400")),
+    "a gateway that was not started": frame(record("01 0300")),
     "settings that are not JSON": frame(struct.pack("<BHQII", 7, 1, 1, 0, 3).ljust(48, b"\0"), tail=b"{x}"),
-    "settings that are no object": frame(struct.pack("<BHQII", 7, 1, 1, 0, 2).ljust(48, b"\0"), tail=b"[]"),
+    "settings that are not an object": frame(
+        struct.pack("<BHQII", 7, 1, 1, 0, 2).ljust(48, b"\0"), tail=b"[]"
+    ),
     "settings without a key": frame(
-        init(1, without("rules", "coldFrom"))[0], tail=init(1, without("rules"))[1]
+        start_record(1, without("rules", "coldFrom"))[0], tail=start_record(1, without("rules"))[1]
     ),
 }
 
 
-@pytest.mark.parametrize("bad", BAD_INPUT.values(), ids=BAD_INPUT.keys())
-def test_malformed_input_ends_with_one_plain_line(bad):
+@pytest.mark.parametrize("malformed", MALFORMED_INPUT.values(), ids=MALFORMED_INPUT.keys())
+def test_malformed_input_ends_the_process_with_a_one_line_message(malformed):
     done = subprocess.run(
-        [sys.executable, "-m", "orchidlane.wirehost"], input=bad, capture_output=True, cwd=ROOT, check=False
+        [sys.executable, "-m", "orchidlane.wirehost"],
+        input=malformed,
+        capture_output=True,
+        cwd=ROOT,
+        check=False,
     )
     assert done.returncode != 0
     assert done.stdout == b""
@@ -229,26 +244,26 @@
         wire.parse_settings(json.dumps(without(*path)).encode())
 
 
-def test_unknown_keys_are_passed_over():
-    more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
-    assert wire.parse_settings(json.dumps(more).encode()) == wire.parse_settings(
+def test_unknown_keys_are_ignored():
+    extended = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
+    assert wire.parse_settings(json.dumps(extended).encode()) == wire.parse_settings(
         json.dumps(SETTINGS).encode()
     )
 
 
-def test_a_failure_of_the_decisions_is_told_on_the_wire(monkeypatch):
-    start, text = init(1, SETTINGS)
+def test_an_error_of_a_gateway_is_reported_as_a_record(monkeypatch):
+    start, text = start_record(1, SETTINGS)
 
-    def broken(*_):
+    def failing_handle(*_):
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(wirehost.Gateway, "handle", broken)
-    reply = play(frame(start, tail=text), frame(raw("01 0100")))
+    monkeypatch.setattr(wirehost.Gateway, "handle", failing_handle)
+    reply = serve(frame(start, tail=text), frame(record("01 0100")))
     assert b"RuntimeError: no such thing" in reply
     assert reply[-24 - len("RuntimeError: no such thing")] == 74
 
 
-def test_a_stopped_gateway_may_start_again_in_the_same_batch():
-    start, text = init(1, SETTINGS)
-    reply = play(frame(start, raw("08 0100"), start, tail=text))
+def test_a_stopped_gateway_may_start_again_in_the_same_frame():
+    start, text = start_record(1, SETTINGS)
+    reply = serve(frame(start, record("08 0100"), start, tail=text))
     assert struct.unpack_from("<I", reply)[0] == 2
