--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -32,7 +32,7 @@
     """A discovery agent: keeps what it was asked, answers with the next of ``answers`` (None: silence)."""
 
     def __init__(self, answers: list) -> None:
-        self.answers, self.asked, self.connections = answers, [], 0
+        self.responses, self.requests, self.connections = answers, [], 0
         self.at: list[float] = []  # when it was asked
 
     def connection_made(self, transport) -> None:
@@ -40,8 +40,8 @@
         self.connections += 1
 
     def data_received(self, data: bytes) -> None:
-        self.asked.append(data.split()[1].decode())
-        answer = self.answers.pop(0) if self.answers else None
+        self.requests.append(data.split()[1].decode())
+        answer = self.responses.pop(0) if self.responses else None
         self.at.append(asyncio.get_running_loop().time())
         if isinstance(answer, int):
             self.transport.write(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % answer)
@@ -62,9 +62,9 @@
     whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
     change = {"seq": 6, "whole": False, "hosts": [line("a", health="DRAINING")]}
     agent, told = await watched([whole, change])
-    await until(lambda: len(agent.asked) == 3)
-    assert agent.asked[0] == "/registry/instances"
-    assert [asked.split("?")[1].split("&")[0] for asked in agent.asked[1:]] == ["index=5", "index=6"]
+    await until(lambda: len(agent.requests) == 3)
+    assert agent.requests[0] == "/registry/instances"
+    assert [asked.split("?")[1].split("&")[0] for asked in agent.requests[1:]] == ["index=5", "index=6"]
     assert [(listed.version, listed.whole) for listed in told] == [(5, True), (6, False)]
     assert agent.connections == 1
 
@@ -74,7 +74,7 @@
     whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
     agent, told = await watched([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
     await until(lambda: told)
-    assert agent.asked[:5] == ["/registry/instances"] * 5
+    assert agent.requests[:5] == ["/registry/instances"] * 5
 
 
 @asyncio_test
@@ -89,7 +89,7 @@
     with socket.create_server(("127.0.0.1", 0)) as closed:
         nobody = closed.getsockname()
     states = {
-        "watching": (await serving(old), lambda watch: len(old.asked) == 2),
+        "watching": (await serving(old), lambda watch: len(old.requests) == 2),
         "backing off": (
             nobody,
             lambda watch: watch.last_connect_succeeded is False and watch.exchange is None,
@@ -103,7 +103,7 @@
         await until(lambda watch=watch, state=state: state(watch))
         place = await serving(new)
         watch.set_address(place)
-        await until(lambda new=new: len(new.asked) == 2)
+        await until(lambda new=new: len(new.requests) == 2)
         assert told[-1].version == 5
         assert watch.exchange.transport.get_extra_info("peername") == place
         watch.exchange.transport.abort()
@@ -127,7 +127,7 @@
         env=os.environ | {"LB_CONFIG": str(file)},
         stderr=asyncio.subprocess.PIPE,
     )
-    await until(lambda: len(agents[0].asked) == 2, within=30)
+    await until(lambda: len(agents[0].requests) == 2, within=30)
     for unusable in (
         "{",
         json.dumps(text | {"settings": {}}),
@@ -144,7 +144,7 @@
     while b"config_read" not in (said := await process.stderr.readline()):
         assert process.returncode is None
     assert b"in_force=discovery,log_form needs_restart=settings.drain_grace" in said
-    await until(lambda: len(agents[1].asked) == 2)
+    await until(lambda: len(agents[1].requests) == 2)
     await until(lambda: agents[0].transport.is_closing())
     process.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(process.wait(), 10) == 0
@@ -167,13 +167,13 @@
     whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
     empty = {"seq": 5, "whole": False, "hosts": []}
     agent, told = await watched([503] * 5 + [whole] + [empty] * 9)
-    await until(lambda: len(agent.asked) >= 14)
+    await until(lambda: len(agent.requests) >= 14)
     gaps = [after - before for before, after in pairwise(agent.at)]
     # The loop's clock counts whole milliseconds.
     assert all(gap > span - 0.005 for gap, span in zip(gaps, (0.1, 0.2, 0.4, 0.8, 0.8), strict=False))
     assert len(told) == 1 and agent.connections == 1
     # From then on the next call comes at once, for only that goes on with the watch.
-    assert all("wait=2000" in asked for asked in agent.asked[6:])
+    assert all("wait=2000" in asked for asked in agent.requests[6:])
     assert all(gap < 0.1 for gap in gaps[5:])
 
 
@@ -183,11 +183,11 @@
     whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
     change = {"seq": 6, "whole": False, "hosts": [line("a", health="DRAINING")]}
     agent, told = await watched([whole, change, None])
-    await until(lambda: len(agent.asked) == 3)
-    agent.answers = [503, {"seq": 7, "whole": False, "hosts": [line("a")]}]
+    await until(lambda: len(agent.requests) == 3)
+    agent.responses = [503, {"seq": 7, "whole": False, "hosts": [line("a")]}]
     agent.transport.abort()
     await until(lambda: len(told) == 3)
-    assert [asked.partition("?")[2].split("&")[0] for asked in agent.asked[3:5]] == ["index=6", "index=6"]
+    assert [asked.partition("?")[2].split("&")[0] for asked in agent.requests[3:5]] == ["index=6", "index=6"]
     assert agent.connections == 2
 
 
@@ -195,7 +195,7 @@
 async def test_a_gateway_that_starts_where_lists_cost_asks_for_what_changed_since_the_one_it_is_given():
     agent, told = await watched([503, {"seq": 7, "whole": False, "hosts": [line("a")]}], version=3)
     await until(lambda: told)
-    assert [asked.split("&")[0] for asked in agent.asked[:2]] == ["/registry/instances?index=3"] * 2
+    assert [asked.split("&")[0] for asked in agent.requests[:2]] == ["/registry/instances?index=3"] * 2
 
 
 @asyncio_test
@@ -204,7 +204,7 @@
     whole = {"seq": 2, "whole": True, "hosts": [line("b")]}
     agent, told = await watched([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
     await until(lambda: told)
-    assert agent.asked[1] == "/registry/instances"
+    assert agent.requests[1] == "/registry/instances"
     assert told[0].whole
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -39,7 +39,7 @@
         service.text |= {"peers": [service.text["peer_listen"], *others], "known": whole(1)}
         process = await service.start()
         caller, longest, number = await service.caller(), 0.0, 0
-        while len(agent.asked) <= len(lists) or number < 40:
+        while len(agent.requests) <= len(lists) or number < 40:
             begun, number = loop.time(), number + 1
             caller.ask(b"PING")
             await caller.replied(2 * number - 1)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -284,7 +284,7 @@
         partial.transport.write(encoded[:40])
         service.text["discovery"] = where[1]
         await service.start(ready=False)
-        await until(lambda: len(agents[1].asked) >= 2, within=20)
+        await until(lambda: len(agents[1].requests) >= 2, within=20)
         while not (await service.say(b"HEALTH")).startswith("done"):
             await asyncio.sleep(0.02)
         partial.transport.write(encoded[40:])
