--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""Discovery's watch and the datagrams between gateways, over loopback sockets."""
+"""The watch of discovery and the datagrams between gateways, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 ZONES = ("hall-a", "hall-b")
 
 
-def line(name: str, **changes) -> dict:
+def instance(name: str, **changes) -> dict:
     host = FakeHost(name)
     host.port = 7
     return host.line(**changes)
 
 
 class Agent(asyncio.Protocol):
-    """A discovery agent: keeps what it was asked, answers with the next of ``answers`` (None: silence)."""
+    """A discovery agent: records the requests and sends the next of ``responses`` (None: no response)."""
 
-    def __init__(self, answers: list) -> None:
-        self.responses, self.requests, self.connections = answers, [], 0
-        self.at: list[float] = []  # when it was asked
+    def __init__(self, responses: list) -> None:
+        self.responses, self.requests, self.connections = responses, [], 0
+        self.request_times: list[float] = []
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -41,82 +41,82 @@
 
     def data_received(self, data: bytes) -> None:
         self.requests.append(data.split()[1].decode())
-        answer = self.responses.pop(0) if self.responses else None
-        self.at.append(asyncio.get_running_loop().time())
-        if isinstance(answer, int):
-            self.transport.write(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % answer)
-        elif answer is not None:
-            body = answer if isinstance(answer, bytes) else json.dumps(answer).encode()
+        response = self.responses.pop(0) if self.responses else None
+        self.request_times.append(asyncio.get_running_loop().time())
+        if isinstance(response, int):
+            self.transport.write(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % response)
+        elif response is not None:
+            body = response if isinstance(response, bytes) else json.dumps(response).encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-async def watched(answers: list, **changes) -> tuple[Agent, list]:
-    loop, told, agent = asyncio.get_running_loop(), [], Agent(answers)
+async def watched(responses: list, **changes) -> tuple[Agent, list]:
+    loop, received, agent = asyncio.get_running_loop(), [], Agent(responses)
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append, **changes).start()
-    return agent, told
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, received.append, **changes).start()
+    return agent, received
 
 
 @asyncio_test
-async def test_the_watch_calls_again_from_the_version_told_on_one_connection():
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
-    change = {"seq": 6, "whole": False, "hosts": [line("a", health="DRAINING")]}
-    agent, told = await watched([whole, change])
+async def test_the_watch_requests_changes_since_the_received_version_on_one_connection():
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    change = {"seq": 6, "whole": False, "hosts": [instance("a", health="DRAINING")]}
+    agent, received = await watched([whole, change])
     await until(lambda: len(agent.requests) == 3)
     assert agent.requests[0] == "/registry/instances"
-    assert [asked.split("?")[1].split("&")[0] for asked in agent.requests[1:]] == ["index=5", "index=6"]
-    assert [(listed.version, listed.whole) for listed in told] == [(5, True), (6, False)]
+    assert [request.split("?")[1].split("&")[0] for request in agent.requests[1:]] == ["index=5", "index=6"]
+    assert [(listed.version, listed.whole) for listed in received] == [(5, True), (6, False)]
     assert agent.connections == 1
 
 
 @asyncio_test
-async def test_a_silent_agent_and_answers_that_make_no_sense_lead_to_the_whole_list_anew():
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
-    agent, told = await watched([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
-    await until(lambda: told)
+async def test_timeouts_and_malformed_responses_lead_to_a_request_of_the_whole_list():
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    agent, received = await watched([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
+    await until(lambda: received)
     assert agent.requests[:5] == ["/registry/instances"] * 5
 
 
 @asyncio_test
-async def test_a_watch_that_moves_leaves_the_old_address_in_whatever_state_it_is():
+async def test_a_watch_moves_to_a_new_address_in_any_state():
     loop = asyncio.get_running_loop()
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
 
     async def serving(agent: Agent) -> tuple[str, int]:
         return (await loop.create_server(lambda: agent, "127.0.0.1", 0)).sockets[0].getsockname()[:2]
 
     old = Agent([whole])
     with socket.create_server(("127.0.0.1", 0)) as closed:
-        nobody = closed.getsockname()
+        closed_address = closed.getsockname()
     states = {
         "watching": (await serving(old), lambda watch: len(old.requests) == 2),
         "backing off": (
-            nobody,
+            closed_address,
             lambda watch: watch.last_connect_succeeded is False and watch.exchange is None,
         ),
-        "connecting": (nobody, lambda watch: True),
+        "connecting": (closed_address, lambda watch: True),
     }
     for address, state in states.values():
-        new, told = Agent([whole]), []
-        watch = Watch(loop, address, ZONES, told.append)
+        new, received = Agent([whole]), []
+        watch = Watch(loop, address, ZONES, received.append)
         watch.start()
         await until(lambda watch=watch, state=state: state(watch))
-        place = await serving(new)
-        watch.set_address(place)
+        new_address = await serving(new)
+        watch.set_address(new_address)
         await until(lambda new=new: len(new.requests) == 2)
-        assert told[-1].version == 5
-        assert watch.exchange.transport.get_extra_info("peername") == place
+        assert received[-1].version == 5
+        assert watch.exchange.transport.get_extra_info("peername") == new_address
         watch.exchange.transport.abort()
     await until(lambda: old.transport.is_closing())
 
 
 @asyncio_test
-async def test_sighup_moves_the_watch_and_an_unusable_file_changes_nothing(tmp_path):
+async def test_sighup_moves_the_watch_and_an_invalid_configuration_changes_nothing(tmp_path):
     loop = asyncio.get_running_loop()
     agents = [Agent([{"seq": 5, "whole": True, "hosts": []}]) for _ in range(2)]
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
-    places = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-    text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": places[0], "seed": "01"}
+    addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
+    text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": addresses[0], "seed": "01"}
     text |= {"limits": {"sockets": 128}, "settings": SITE}
     file = tmp_path / "config.json"
     file.write_text(json.dumps(text))
@@ -128,22 +128,22 @@
         stderr=asyncio.subprocess.PIPE,
     )
     await until(lambda: len(agents[0].requests) == 2, within=30)
-    for unusable in (
+    for invalid in (
         "{",
         json.dumps(text | {"settings": {}}),
         json.dumps(text | {"settings": SITE | {"rules": 7}}),
     ):
-        file.write_text(unusable)
+        file.write_text(invalid)
         process.send_signal(signal.SIGHUP)
         while b"event=config_unusable" not in await process.stderr.readline():
             assert process.returncode is None
     rules = SITE | {"rules": SITE["rules"] | {"drainGrace": 7}}
-    moved = text | {"discovery": places[1], "seed": "02", "settings": rules, "log": {"form": "json"}}
+    moved = text | {"discovery": addresses[1], "seed": "02", "settings": rules, "log": {"form": "json"}}
     file.write_text(json.dumps(moved))
     process.send_signal(signal.SIGHUP)
-    while b"config_read" not in (said := await process.stderr.readline()):
+    while b"config_read" not in (log_line := await process.stderr.readline()):
         assert process.returncode is None
-    assert b"in_force=discovery,log_form needs_restart=settings.drain_grace" in said
+    assert b"in_force=discovery,log_form needs_restart=settings.drain_grace" in log_line
     await until(lambda: len(agents[1].requests) == 2)
     await until(lambda: agents[0].transport.is_closing())
     process.send_signal(signal.SIGTERM)
@@ -151,170 +151,189 @@
 
 
 @asyncio_test
-async def test_an_agent_that_hangs_in_a_watch_is_called_anew_within_seconds():
-    """For 22 s nothing was heard of a release: the call that waits was never answered (r9442fa)."""
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
-    agent, told = await watched([whole, None, whole | {"seq": 9}])
-    await until(lambda: len(told) == 2)
-    assert [listed.version for listed in told] == [5, 9]
+async def test_a_request_that_an_agent_never_answers_is_repeated_on_a_new_connection():
+    """The agent did not answer the long poll, so that a release went unnoticed for 22 s (r9442fa)."""
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    agent, received = await watched([whole, None, whole | {"seq": 9}])
+    await until(lambda: len(received) == 2)
+    assert [listed.version for listed in received] == [5, 9]
     assert agent.connections == 2
 
 
 @asyncio_test
-async def test_an_overbooked_discovery_is_called_ever_less_and_the_watch_goes_on_once_it_answers(monkeypatch):
+async def test_refusals_by_discovery_double_the_interval_and_the_watch_resumes_with_the_first_answer(
+    monkeypatch,
+):
     monkeypatch.setattr(discovery, "REFUSED_INTERVAL_MIN", 0.1)
     monkeypatch.setattr(discovery, "CALL_INTERVAL_MAX", 0.8)
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
     empty = {"seq": 5, "whole": False, "hosts": []}
-    agent, told = await watched([503] * 5 + [whole] + [empty] * 9)
+    agent, received = await watched([503] * 5 + [whole] + [empty] * 9)
     await until(lambda: len(agent.requests) >= 14)
-    gaps = [after - before for before, after in pairwise(agent.at)]
-    # The loop's clock counts whole milliseconds.
-    assert all(gap > span - 0.005 for gap, span in zip(gaps, (0.1, 0.2, 0.4, 0.8, 0.8), strict=False))
-    assert len(told) == 1 and agent.connections == 1
-    # From then on the next call comes at once, for only that goes on with the watch.
-    assert all("wait=2000" in asked for asked in agent.requests[6:])
+    gaps = [after - before for before, after in pairwise(agent.request_times)]
+    # The clock of the loop has a resolution of one millisecond.
+    assert all(gap > interval - 0.005 for gap, interval in zip(gaps, (0.1, 0.2, 0.4, 0.8, 0.8), strict=False))
+    assert len(received) == 1 and agent.connections == 1
+    # From then on each response is followed by the next long poll at once.
+    assert all("wait=2000" in request for request in agent.requests[6:])
     assert all(gap < 0.1 for gap in gaps[5:])
 
 
 @asyncio_test
-async def test_what_changed_is_asked_for_after_a_refusal_and_after_a_lost_connection():
-    """Whole lists after each refusal kept discovery overbooked for good: it was never asked for less."""
-    whole = {"seq": 5, "whole": True, "hosts": [line("a")]}
-    change = {"seq": 6, "whole": False, "hosts": [line("a", health="DRAINING")]}
-    agent, told = await watched([whole, change, None])
+async def test_changes_rather_than_whole_lists_are_requested_after_a_refusal_or_a_lost_connection():
+    """Requests for whole lists after each refusal kept discovery overloaded permanently."""
+    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    change = {"seq": 6, "whole": False, "hosts": [instance("a", health="DRAINING")]}
+    agent, received = await watched([whole, change, None])
     await until(lambda: len(agent.requests) == 3)
-    agent.responses = [503, {"seq": 7, "whole": False, "hosts": [line("a")]}]
+    agent.responses = [503, {"seq": 7, "whole": False, "hosts": [instance("a")]}]
     agent.transport.abort()
-    await until(lambda: len(told) == 3)
-    assert [asked.partition("?")[2].split("&")[0] for asked in agent.requests[3:5]] == ["index=6", "index=6"]
+    await until(lambda: len(received) == 3)
+    assert [request.partition("?")[2].split("&")[0] for request in agent.requests[3:5]] == [
+        "index=6",
+        "index=6",
+    ]
     assert agent.connections == 2
 
 
 @asyncio_test
-async def test_a_gateway_that_starts_where_lists_cost_asks_for_what_changed_since_the_one_it_is_given():
-    agent, told = await watched([503, {"seq": 7, "whole": False, "hosts": [line("a")]}], version=3)
-    await until(lambda: told)
-    assert [asked.split("&")[0] for asked in agent.requests[:2]] == ["/registry/instances?index=3"] * 2
+async def test_a_watch_that_starts_with_a_version_requests_the_changes_since_it():
+    agent, received = await watched([503, {"seq": 7, "whole": False, "hosts": [instance("a")]}], version=3)
+    await until(lambda: received)
+    assert [request.split("&")[0] for request in agent.requests[:2]] == ["/registry/instances?index=3"] * 2
 
 
 @asyncio_test
-async def test_a_version_that_goes_back_leads_to_the_whole_list():
-    """Discovery started anew: what is newer than ours may not come for hours."""
-    whole = {"seq": 2, "whole": True, "hosts": [line("b")]}
-    agent, told = await watched([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
-    await until(lambda: told)
+async def test_a_lower_version_leads_to_a_request_of_the_whole_list():
+    """Discovery restarted: it may take hours until it reaches a version above ours."""
+    whole = {"seq": 2, "whole": True, "hosts": [instance("b")]}
+    agent, received = await watched([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
+    await until(lambda: received)
     assert agent.requests[1] == "/registry/instances"
-    assert told[0].whole
+    assert received[0].whole
 
 
-def test_the_first_calls_of_a_fleet_are_spread_over_a_span_that_grows_with_it_up_to_what_is_owed():
-    """40 calls at once were more than discovery answers in time: 25 failed, and again with each try. But who
-    starts is owed nothing later than who runs: what it does not ask for in time counts as told."""
+def test_the_first_requests_of_a_fleet_are_spread_over_a_time_that_grows_with_its_size_up_to_a_limit():
+    """25 of 40 simultaneous requests failed, as discovery could not answer all in time, and again in each
+    attempt. The time is limited to the interval of running gateways: changes that a starting gateway requests
+    later than that count as delivered to it.
+    """
     moments: dict[int, list[float]] = {}
     for gateways in (1, 3, 20, 40, 230):
         spread = first_call_spread(gateways, on_request=True)
         for seed in range(gateways):
-            spans: set[float] = set()
+            delays: set[float] = set()
             draw = random.Random(seed).random
             Watch(
-                Later(spans), ("127.0.0.1", 1), ZONES, list, random_fraction=draw, version=0, spread=spread
+                RecordingLoop(delays),
+                ("127.0.0.1", 1),
+                ZONES,
+                list,
+                random_fraction=draw,
+                version=0,
+                spread=spread,
             ).start_after_delay()
-            moments.setdefault(gateways, []).extend(spans)
+            moments.setdefault(gateways, []).extend(delays)
     assert moments[1] == [0.0]
     assert max(moments[3]) < 0.5
     for gateways in (20, 40, 230):
         assert max(moments[gateways]) <= discovery.CALL_INTERVAL_MAX
-        evenly = max(1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX)  # in a second
-        most = max(sum(at <= m < at + 1 for m in moments[gateways]) for at in moments[gateways])
-        assert most <= 2 * evenly
+        even_rate = max(
+            1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX
+        )  # in a second
+        largest = max(sum(at <= m < at + 1 for m in moments[gateways]) for at in moments[gateways])
+        assert largest <= 2 * even_rate
     assert first_call_spread(60, on_request=False) == 0.0
 
 
-def test_gateways_that_are_refused_together_do_not_come_back_together():
-    spans = set()
+def test_gateways_that_are_refused_at_the_same_time_retry_at_different_times():
+    delays = set()
     for seed in range(8):
-        watch = Watch(Later(spans), ("127.0.0.1", 1), ZONES, list, random_fraction=random.Random(seed).random)
-        watch.next_attempt_due = discovery.CALL_INTERVAL_MAX  # a try has begun just now
+        watch = Watch(
+            RecordingLoop(delays), ("127.0.0.1", 1), ZONES, list, random_fraction=random.Random(seed).random
+        )
+        watch.next_attempt_due = discovery.CALL_INTERVAL_MAX  # an attempt has just begun
         watch.slow_down()
         watch._reconnect_later()
-    assert len(spans) == 8
-    assert all(discovery.REFUSED_INTERVAL_MIN / 2 <= span <= discovery.REFUSED_INTERVAL_MIN for span in spans)
+    assert len(delays) == 8
+    assert all(
+        discovery.REFUSED_INTERVAL_MIN / 2 <= delay <= discovery.REFUSED_INTERVAL_MIN for delay in delays
+    )
 
 
-class Later:
-    """A loop that only notes how long it is asked to wait."""
+class RecordingLoop:
+    """An event loop that only records the requested delays."""
 
-    def __init__(self, spans: set[float]) -> None:
-        self.spans = spans
+    def __init__(self, delays: set[float]) -> None:
+        self.delays = delays
 
     def time(self) -> float:
         return 0.0
 
-    def call_later(self, span: float, *call) -> None:
-        self.spans.add(span)
+    def call_later(self, delay: float, *callback) -> None:
+        self.delays.add(delay)
 
 
 @asyncio_test
-async def test_an_answer_after_which_the_agent_closes_counts():
-    body = json.dumps({"seq": 5, "whole": True, "hosts": [line("a")]}).encode()
+async def test_a_response_with_connection_close_is_processed():
+    body = json.dumps({"seq": 5, "whole": True, "hosts": [instance("a")]}).encode()
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(body)
-    loop, told, agent = asyncio.get_running_loop(), [], Agent([])
+    loop, received, agent = asyncio.get_running_loop(), [], Agent([])
     agent.data_received = lambda data: agent.transport.write(head + body)
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append).start()
-    await until(lambda: len(told) >= 2)
-    assert {listed.version for listed in told} == {5}
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, received.append).start()
+    await until(lambda: len(received) >= 2)
+    assert {listed.version for listed in received} == {5}
     assert agent.connections >= 2
 
 
-def test_an_odd_entry_is_left_out_and_the_others_stand():
-    odd = [
+def test_malformed_entries_are_skipped_and_the_others_kept():
+    malformed = [
         7,
         None,
         {},
-        line("x", health="ASLEEP"),
-        line("x", block="b"),
-        line("x", dial="nowhere"),
-        line("x", born_ms=float("inf")),
+        instance("x", health="ASLEEP"),
+        instance("x", block="b"),
+        instance("x", dial="nowhere"),
+        instance("x", born_ms=float("inf")),
     ]
     listed = parse_hosts(
-        {"seq": 1, "whole": True, "hosts": [*odd, line("a", site="hall-b", born_ms=12)]}, ZONES
+        {"seq": 1, "whole": True, "hosts": [*malformed, instance("a", site="hall-b", born_ms=12)]}, ZONES
     )
-    assert listed.malformed == len(odd)
+    assert listed.malformed == len(malformed)
     (host,) = listed.hosts
     assert (host.entry.server, host.entry.zone, host.entry.launched) == (b"a", 1, 12_000)
     assert host.address == ("127.0.0.1", 7)
 
 
 @asyncio_test
-async def test_datagrams_count_by_their_source_and_junk_is_dropped():
+async def test_senders_are_identified_by_address_and_invalid_datagrams_dropped():
     rig = Rig(await FakeHost("a").listen())
-    peer, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    for sock in (peer, stranger):
+    peer, unknown = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+    for sock in (peer, unknown):
         sock.bind(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
         lambda: Peers(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0), local_addr=("127.0.0.1", 0)
     )
-    own = transport.get_extra_info("sockname")
+    own_address = transport.get_extra_info("sockname")
     row = messages.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
-    good = messages.pack(rig.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
-    stranger.sendto(good, own)
-    peer.sendto(b"x" * 300, own)
-    peer.sendto(b"\xff" * 40, own)
-    peer.sendto(b"", own)
-    peer.sendto(good, own)
+    valid = messages.pack(rig.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
+    unknown.sendto(valid, own_address)
+    peer.sendto(b"x" * 300, own_address)
+    peer.sendto(b"\xff" * 40, own_address)
+    peer.sendto(b"", own_address)
+    peer.sendto(valid, own_address)
     await until(lambda: 9 in rig.driver.gateway.accounts)
     assert list(rig.driver.gateway.last_received) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
     assert len(reply) <= messages.MESSAGE_BYTES_MAX
-    stranger.setblocking(False)
+    unknown.setblocking(False)
     try:
-        stranger.recv(512)
+        unknown.recv(512)
     except BlockingIOError:
         pass
     else:
-        raise AssertionError("a stranger was answered")
+        raise AssertionError("an unknown sender got a reply")
     transport.close()
