--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -52,16 +52,16 @@
     def __init__(self, driver: Driver, config: Config, peers: Peers, drain: Callable[[], None]) -> None:
         """``drain`` is called if another process runs under our rank."""
         settings = config.settings
-        draw = int.from_bytes(os.urandom(8), "big")
-        life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + draw % (1 << LIFE_RANDOM_BITS)
+        random_seed = int.from_bytes(os.urandom(8), "big")
+        life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + random_seed % (1 << LIFE_RANDOM_BITS)
         size, intake = min(settings.gateways, len(config.peers) or settings.gateways), settings.peer_intake
-        self.core = Membership(settings.rank, size, config.cluster, life, draw, clock(), intake)
-        own = config.advertise or config.peer_listen
+        self.core = Membership(settings.rank, size, config.cluster, life, random_seed, clock(), intake)
+        own_address = config.advertise or config.peer_listen
         self.address_book: places.AddressBook | None = None  # None: all addresses are configured
         self.rendezvous: RendezvousClient | None = None
         if not config.peers:
             self.address_book = places.AddressBook(
-                settings.rank, size, config.cluster, life, own, config.join, draw
+                settings.rank, size, config.cluster, life, own_address, config.join, random_seed
             )
         if self.address_book and config.meet:
             self.rendezvous = RendezvousClient(config.meet, config.cluster, self.address_book, clock)
