--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -54,8 +54,10 @@
         settings = config.settings
         random_seed = int.from_bytes(os.urandom(8), "big")
         life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + random_seed % (1 << LIFE_RANDOM_BITS)
-        size, intake = min(settings.gateways, len(config.peers) or settings.gateways), settings.peer_intake
-        self.core = Membership(settings.rank, size, config.cluster, life, random_seed, clock(), intake)
+        size = min(settings.gateways, len(config.peers) or settings.gateways)
+        self.core = Membership(
+            settings.rank, size, config.cluster, life, random_seed, clock(), settings.peer_intake
+        )
         own_address = config.advertise or config.peer_listen
         self.address_book: places.AddressBook | None = None  # None: all addresses are configured
         self.rendezvous: RendezvousClient | None = None
@@ -65,11 +67,15 @@
             )
         if self.address_book and config.meet:
             self.rendezvous = RendezvousClient(config.meet, config.cluster, self.address_book, clock)
-        self.driver, self.peers, self.drain, self.loop = driver, peers, drain, driver.loop
+        self.driver = driver
+        self.peers = peers
+        self.drain = drain
+        self.loop = driver.loop
         self.last_reported = None if self.address_book else self._members_changed()
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due = 0  # when the timer fires
-        peers.members, driver.pre_event_hook = self, self.check_pause
+        peers.members = self
+        driver.pre_event_hook = self.check_pause
 
     def start(self) -> None:
         """Start the protocol, once this process owns the socket."""
@@ -114,7 +120,8 @@
             self.rendezvous.stop()
 
     def _tick(self) -> None:
-        now, self.timer = clock(), None
+        now = clock()
+        self.timer = None
         self._process_and_feed(self.core.tick(now))
         if self.address_book:
             self.address_book.life = self.core.life  # raised if an earlier process had a greater one
@@ -130,11 +137,9 @@
     def check_pause(self) -> api.MembersChanged | None:
         """Called before each decision, which must take a pause of this process into account."""
         now = clock()
-        return (
-            self._process_actions(self.core.tick(now))
-            if now - self.core.last_called > PAUSE_THRESHOLD and self.timer
-            else None
-        )
+        if self.timer and now - self.core.last_called > PAUSE_THRESHOLD:
+            return self._process_actions(self.core.tick(now))
+        return None
 
     def receive(self, rank: int, body: bytes) -> None:
         """Process a membership message from the address of this rank."""
@@ -190,10 +195,10 @@
         """The view for the decision module; gateways without a known address are unavailable, too."""
         view = self.core.view
         isolated = view.cut_off or view.unheard or view.doubtful or self.core.yielded
-        return api.MembersChanged(
-            view.absent | self.address_book.ranks_without_address if self.address_book else view.absent,
-            isolated,
-        )
+        unavailable = view.absent
+        if self.address_book:
+            unavailable = view.absent | self.address_book.ranks_without_address
+        return api.MembersChanged(unavailable, isolated)
 
     def _log_event(self, event: state.LogEvent) -> None:
         fields = event.fields | {"boot_ms": clock() // MS}
@@ -216,27 +221,28 @@
                 self.driver.feed(api.MembersChanged(self._members_changed().unavailable, True))
                 self.drain()
                 self.stop()
-                self.loop.call_soon(
-                    self.peers.transport.close
-                )  # from here on all datagrams are for the other process
+                # From here on all datagrams are for the other process.
+                self.loop.call_soon(self.peers.transport.close)
 
     # -- for operators and metrics --------------------------------------------------------------------------
 
     def health_warnings(self) -> tuple[str, ...]:
         """Reasons why this process's view of the cluster may be wrong."""
-        view, core = self.core.view, self.core
-        others = f"{view.active_of_total[0] - 1} of {view.active_of_total[1] - 1} other gateways are active"
-        return (
-            *((f"it receives nothing from other gateways, {others}",) if view.cut_off else ()),
-            *(("most gateways that it receives from do not receive from it",) if view.unheard else ()),
-            *(("it was paused and has no recent information yet",) if view.doubtful else ()),
-            *(
-                (f"only {others}",)
-                if 2 * view.active_of_total[0] <= view.active_of_total[1] and not view.cut_off
-                else ()
-            ),
-            *((f"{len(down)} links are down",) if (down := core.links.down_links()) else ()),
-        )
+        view = self.core.view
+        active, total = view.active_of_total
+        others = f"{active - 1} of {total - 1} other gateways are active"
+        warnings = []
+        if view.cut_off:
+            warnings.append(f"it receives nothing from other gateways, {others}")
+        if view.unheard:
+            warnings.append("most gateways that it receives from do not receive from it")
+        if view.doubtful:
+            warnings.append("it was paused and has no recent information yet")
+        if 2 * active <= total and not view.cut_off:
+            warnings.append(f"only {others}")
+        if down := self.core.links.down_links():
+            warnings.append(f"{len(down)} links are down")
+        return tuple(warnings)
 
     def table(self) -> dict[str, object]:
         """The view for operators: each member's state, life, incarnation and the milliseconds since its last
