--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -82,6 +82,14 @@
                 "lease_ms": int(1000 * LEASE_TIME),
             }
         ).encode()
+        status, received = await self._post(body)
+        response = json.loads(received)
+        if status != 200:
+            raise ValueError(f"{status}: {response.get('error', '')}")
+        return list(response["gateways"])
+
+    async def _post(self, body: bytes) -> tuple[int, bytes]:
+        """POST a request on a new connection; returns status and body of the response."""
         reader, writer = await asyncio.open_connection(*self.service)
         try:
             http = h11.Connection(h11.CLIENT)
@@ -108,7 +116,4 @@
         finally:
             with contextlib.suppress(OSError):
                 writer.close()
-        response = json.loads(received)
-        if status != 200:
-            raise ValueError(f"{status}: {response.get('error', '')}")
-        return list(response["gateways"])
+        return status, received
