--- a/lab/defects.py
+++ b/lab/defects.py
@@ -16,7 +16,7 @@
 from orchidlane.membership import Membership
 from saffrongw import places
 from saffrongw.config import Address
-from saffrongw.places import Action, Moved, Place, Places
+from saffrongw.places import Action, AddressBook, AddressChanged, PeerAddress
 
 DEFECT_VARIABLE = "LAB_DEFECT"  # its prefix is not among those that lab/cluster removes from the environment
 
@@ -87,33 +87,33 @@
         super()._process(now, message)
 
 
-class DoesNotPassOn(Places):
+class DoesNotPassOn(AddressBook):
     """Does not pass on the addresses that it knows."""
 
-    def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
-        known, self.known = self.known, {}
-        actions = super().heard(now, source, data)
-        self.known = known | self.known
+    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        known, self.peers = self.peers, {}
+        actions = super().receive(now, source, data)
+        self.peers = known | self.peers
         return actions
 
 
-class TakesSource(Places):
+class TakesSource(AddressBook):
     """Binds a rank to the source address of any message of its current or a newer life."""
 
-    def heard(self, now: int, source: Address, data: bytes) -> list[Action]:
-        actions = super().heard(now, source, data)
+    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        actions = super().receive(now, source, data)
         with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
-            if rank != self.rank and life >= self.known.get(rank, Place(0, source)).life:
-                self.known[rank] = Place(life, source)
-                actions.append(Moved(rank, source))
+            if rank != self.rank and life >= self.peers.get(rank, PeerAddress(0, source)).life:
+                self.peers[rank] = PeerAddress(life, source)
+                actions.append(AddressChanged(rank, source))
         return actions
 
 
-class TakesHearsay(Places):
+class TakesHearsay(AddressBook):
     """Binds a rank to an address reported by others, without a greeting."""
 
-    def _hint(self, now: int, rank: int, place: Place) -> bool:
+    def _set_candidate(self, now: int, rank: int, place: PeerAddress) -> bool:
         self._bind(rank, place)
         return True
 
@@ -127,7 +127,7 @@
     "no-yielding": NoYielding,
     "old-lives-count": OldLivesCount,
 }
-ADDRESS_DEFECTS: dict[str, type[Places]] = {
+ADDRESS_DEFECTS: dict[str, type[AddressBook]] = {
     "does-not-pass-on": DoesNotPassOn,
     "takes-source": TakesSource,
     "takes-hearsay": TakesHearsay,
@@ -138,7 +138,7 @@
 def plant(name: str) -> None:
     """Install a defect in this process; to be called before the gateway's modules are imported."""
     if name in ADDRESS_DEFECTS:
-        places.Places = ADDRESS_DEFECTS[name]  # type: ignore[misc]
+        places.AddressBook = ADDRESS_DEFECTS[name]  # type: ignore[misc]
     else:
         membership.Membership = CORE_DEFECTS[name]  # type: ignore[misc]
 
--- a/lab/placing.py
+++ b/lab/placing.py
@@ -15,14 +15,14 @@
 NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
 
 # rank, number of ranks, cluster, life, own address, addresses to join by, seed
-Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.Places]
+Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.AddressBook]
 
 
 @dataclass(slots=True, eq=False)
 class Node:
     """One gateway process; ``peer_addresses`` is where it sends the messages for each rank."""
 
-    core: places.Places
+    core: places.AddressBook
     peer_addresses: dict[int, Address] = field(default_factory=dict)
     replaced_by: int = 0  # life of a newer process of the same rank, 0 if there is none
     dead: bool = False
@@ -31,7 +31,9 @@
 class Network:
     """A simulated network of gateways, deterministic for a given seed."""
 
-    def __init__(self, size: int, seed: int, factory: Factory = places.Places, loss: float = 0.0) -> None:
+    def __init__(
+        self, size: int, seed: int, factory: Factory = places.AddressBook, loss: float = 0.0
+    ) -> None:
         """``size``: the number of ranks in the settings."""
         self.kernel = Kernel()
         self.size = size
@@ -55,7 +57,7 @@
             )
         )
         self.nodes[address] = node
-        self.kernel.after(int(self.draw() * places.GREETING_INTERVAL), self._tick, address, node)
+        self.kernel.after(int(self.draw() * places.HELLO_INTERVAL), self._tick, address, node)
         return node
 
     @staticmethod
@@ -93,7 +95,7 @@
     def _tick(self, address: Address, node: Node) -> None:
         if not node.dead and self.nodes[address] is node:
             self._execute(address, node, node.core.tick(self.kernel.now))
-            self.kernel.after(places.GREETING_INTERVAL, self._tick, address, node)
+            self.kernel.after(places.HELLO_INTERVAL, self._tick, address, node)
 
     def send(self, source: Address, to: Address, body: bytes) -> None:
         """Send a datagram; tests also use it to forge or replay one."""
@@ -104,15 +106,15 @@
     def _deliver(self, source: Address, to: Address, body: bytes) -> None:
         node = self.nodes.get(to)
         if node and not node.dead:
-            self._execute(to, node, node.core.heard(self.kernel.now, source, body))
+            self._execute(to, node, node.core.receive(self.kernel.now, source, body))
 
     def _execute(self, address: Address, node: Node, actions: Iterable[places.Action]) -> None:
         for action in actions:
-            if isinstance(action, places.Greet):
+            if isinstance(action, places.SendDatagram):
                 self.greetings_sent[address] += 1
                 self.transmitted.append((address, action.address, action.body))
                 self.send(address, action.address, action.body)
-            elif isinstance(action, places.Moved):
+            elif isinstance(action, places.AddressChanged):
                 node.peer_addresses[action.rank] = action.address
             else:
                 node.replaced_by = action.life
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -41,7 +41,7 @@
         service.text |= {"peers": [service.text["peer_listen"], *peers], "known": full_list(1)}
         process = await service.start()
         client, longest, number = await service.caller(), 0.0, 0
-        while len(agent.asked) <= len(lists) or number < 40:
+        while len(agent.requests) <= len(lists) or number < 40:
             started, number = loop.time(), number + 1
             client.ask(b"PING")
             await client.replied(2 * number - 1)
@@ -78,9 +78,9 @@
             announcement = {"rank": rank, "life": 5, "dial": f"127.0.1.1:{2_000 + rank}", "lease_ms": 60_000}
             assert (await connection.call("POST", "/registry/gateways/valley", announcement)).status == 200
         connection.close()
-        state = places.Places(0, LARGE + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
-        rendezvous = meeting.Meeting(address(primary.listen), "valley", state, lambda: 0)
-        rendezvous.go_on()
-        await until(lambda: state.hints)
+        state = places.AddressBook(0, LARGE + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
+        rendezvous = meeting.RendezvousClient(address(primary.listen), "valley", state, lambda: 0)
+        rendezvous.start()
+        await until(lambda: state.candidates)
         rendezvous.stop()
-        assert set(state.hints) == set(range(1, LARGE + 1))
+        assert set(state.candidates) == set(range(1, LARGE + 1))
