--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, by one gateway alone."""
+"""Tests of a single gateway: final answers, retries, server choice, slow start and ceilings."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED)
 
 
-def finals(bench: Bench, request: int) -> list:
-    """Our final answers to one request."""
+def final_answers(bench: Bench, request: int) -> list:
+    """The final answers to one request."""
     return [a for a in bench.log if isinstance(a, (api.Refuse, api.Fail)) and a.request == request]
 
 
-# Rule 1
+# Every request gets exactly one final answer, within its deadline.
 
 
-def test_a_request_without_servers_is_held_and_then_ended_in_time():
+def test_a_request_without_servers_waits_and_is_refused_before_its_deadline():
     bench = Bench(servers=0)
     assert not of(bench.ask(1, left=SECOND), (api.Refuse, api.Fail))
     bench.run(SECOND - 1)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert final_answers(bench, 1) == [api.Refuse(1, 0)]
 
 
-def test_a_request_that_no_server_took_is_given_up_at_half_of_its_time():
-    """The client may still ask elsewhere; held to the end it could not (PROTOCOL, Figures)."""
+def test_an_unsent_request_is_refused_at_half_of_its_remaining_time():
+    """An early refusal leaves the client time to retry at another gateway (PROTOCOL, Figures)."""
     bench = Bench(servers=0)
     bench.ask(1, left=SECOND)
     bench.run(SECOND // 2 - 1)
-    assert finals(bench, 1) == []
+    assert final_answers(bench, 1) == []
     bench.run(1)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert final_answers(bench, 1) == [api.Refuse(1, 0)]
 
 
-def test_a_held_request_goes_out_when_a_server_comes():
+def test_a_waiting_request_is_sent_when_a_server_is_listed():
     bench = Bench(servers=0)
     bench.ask(1)
     bench.run(100_000)
@@ -49,16 +49,16 @@
     assert len(of(bench.run(100_000), api.Send)) == 1
 
 
-def test_a_timeout_at_the_deadline_is_answered_at_once(bench):
+def test_a_timeout_at_the_deadline_fails_the_request_immediately(bench):
     send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
     bench.now += 2 * SECOND
     bench.outcome(1, send.server, Outcome.TIMED_OUT, took=2 * SECOND)
-    assert finals(bench, 1) == [api.Fail(1)]
+    assert final_answers(bench, 1) == [api.Fail(1)]
     bench.run(5 * SECOND)
-    assert len(finals(bench, 1)) == 1
+    assert len(final_answers(bench, 1)) == 1
 
 
-def test_nothing_follows_an_answer_or_a_client_gone(bench):
+def test_no_action_follows_an_answer_or_a_client_disconnect(bench):
     send = of(bench.ask(1), api.Send)[0]
     bench.outcome(1, send.server, Outcome.SERVED)
     other = of(bench.ask(2), api.Send)[0]
@@ -67,17 +67,17 @@
     assert not of(bench.run(3 * SECOND), (api.Send, api.Refuse, api.Fail))
 
 
-def test_what_is_not_held_is_passed_over(bench):
+def test_events_of_unknown_requests_and_timers_are_ignored(bench):
     assert bench.outcome(99, entry(1).server, Outcome.SERVED) == []
     assert bench.feed(api.TimerFired(99)) == []
     assert bench.feed(api.ClientGone(99)) == []
 
 
-# Rule 2
+# A request is retried only where its class allows that.
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused(bench, outcome):
+def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(bench, outcome):
     send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
     bench.now += 10_000
     actions = bench.outcome(1, send.server, outcome)
@@ -86,29 +86,29 @@
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_an_unsafe_request_that_never_ran_goes_on(bench, outcome):
+def test_an_unsafe_request_that_never_ran_is_retried(bench, outcome):
     send = of(bench.ask(1, kind=UNSAFE_KIND), api.Send)[0]
     assert of(bench.outcome(1, send.server, outcome), api.Send)
 
 
-def test_an_unsafe_request_gets_no_second_copy(bench):
+def test_an_unsafe_request_gets_no_hedged_attempt(bench):
     bench.ask(1, kind=UNSAFE_KIND)
     assert not of(bench.run(3 * SECOND), api.Send)
 
 
-@pytest.mark.parametrize(("kind", "near"), [(CELL_KIND, "cell"), (ZONE_KIND, "zone")])
-def test_a_keyed_request_stays_in_its_group(kind, near):
+@pytest.mark.parametrize(("kind", "group_field"), [(CELL_KIND, "cell"), (ZONE_KIND, "zone")])
+def test_a_keyed_request_is_retried_within_its_deduplication_group(kind, group_field):
     for seed in range(12):
         bench = Bench(servers=0, seed=seed)
-        where = {entry(i).server: i % 2 for i in range(6)}
-        bench.feed(listed(*(entry(i, **{near: i % 2}) for i in range(6))))
+        groups = {entry(i).server: i % 2 for i in range(6)}
+        bench.feed(listed(*(entry(i, **{group_field: i % 2}) for i in range(6))))
         send = of(bench.ask(1, kind=kind), api.Send)[0]
         bench.now += 10_000
         again = of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
-        assert [where[a.server] for a in again] == [where[send.server]]
+        assert [groups[a.server] for a in again] == [groups[send.server]]
 
 
-def test_a_keyed_request_with_no_server_of_its_group_fails_in_the_end():
+def test_a_keyed_request_fails_if_its_group_has_no_server_left():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1, cell=1)))
     send = of(bench.ask(1, kind=CELL_KIND), api.Send)[0]
@@ -116,23 +116,23 @@
     bench.now += 10_000
     assert not of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
     bench.run(2 * SECOND)
-    assert finals(bench, 1) == [api.Fail(1)]
+    assert final_answers(bench, 1) == [api.Fail(1)]
 
 
-def test_a_keyed_request_is_not_repeated_after_its_window(bench):
+def test_a_keyed_request_is_not_retried_after_its_deduplication_window(bench):
     send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), api.Send)[0]
     bench.now += SECOND + 1
     assert not of(bench.outcome(1, send.server, Outcome.BROKEN), api.Send)
     bench.run(4 * SECOND)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert final_answers(bench, 1) == [api.Refuse(1, 0)]
 
 
-def test_an_attempt_that_nobody_waits_for_is_called_off(bench):
+def test_the_open_attempt_of_a_disconnected_client_is_cancelled(bench):
     bench.ask(1)
     assert of(bench.feed(api.ClientGone(1)), api.Cancel) == [api.Cancel(1, 0)]
 
 
-def test_attempts_stay_within_the_limit():
+def test_a_request_gets_at_most_max_attempts():
     bench = Bench(max_attempts=2)
     send = of(bench.ask(1), api.Send)[0]
     send = of(bench.outcome(1, send.server, Outcome.FULL), api.Send)[0]
@@ -140,11 +140,11 @@
     assert of(actions, (api.Send, api.Refuse)) == [api.Refuse(1, 0)]
 
 
-# Rule 3
+# Requests are sent only to servers that discovery lists as ready.
 
 
 @pytest.mark.parametrize("phase", [api.Phase.DRAINING, api.Phase.GONE])
-def test_nothing_new_goes_to_a_draining_or_gone_server(phase):
+def test_no_request_is_sent_to_a_draining_or_removed_server(phase):
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
     bench.feed(listed(entry(1, phase=phase), kind=api.ListKind.CHANGES))
@@ -155,23 +155,23 @@
                 assert again.server == entry(2).server
 
 
-def test_a_whole_list_ends_what_it_lacks_and_binds_held_requests():
+def test_a_full_list_removes_unlisted_servers():
     bench = Bench(servers=2)
     bench.feed(listed())
     assert not of(bench.ask(1), api.Send)
     assert not of(bench.run(2 * SECOND), api.Send)
-    assert finals(bench, 1) == [api.Refuse(1, 0)]
+    assert final_answers(bench, 1) == [api.Refuse(1, 0)]
 
 
-def test_a_failed_list_call_changes_nothing(bench):
+def test_a_failed_discovery_call_keeps_the_last_list(bench):
     bench.feed(api.ServerListed(api.ListKind.FAILED, 9, ()))
     assert of(bench.ask(1), api.Send)
 
 
-# Rule 4
+# A cold server gets only its slow-start share of the traffic.
 
 
-def test_a_cold_server_gets_no_more_than_its_part_of_a_warm_ones_share():
+def test_a_cold_server_gets_only_its_slow_start_share():
     bench = Bench(servers=0)
     cold = entry(9, launched=T0)
     bench.feed(listed(*(entry(i) for i in range(4)), cold))
@@ -186,20 +186,23 @@
     assert sent["cold"] <= ramp * sent["warm"] / 4 + 1
 
 
-def test_a_server_that_restarted_is_cold_again_and_gets_no_burst():
+def test_a_restarted_server_is_cold_again_and_gets_no_burst():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1, launched=T0 - 60 * SECOND)))
     assert len(of(bench.ask(1), api.Send)) == 1
     bench.feed(listed(entry(1, launched=T0), kind=api.ListKind.CHANGES))
     sends = [s for r in range(2, 402) for s in of(bench.ask(r, customer=r), api.Send)]
     assert 0 < len(sends) <= 0.25 * 400
-    for _ in range(50):  # what is held does not try its luck again and again
+    for _ in range(50):  # waiting requests do not draw for the cold server again and again
         bench.run(20_000)
     assert len(of(bench.log, api.Send)) <= 0.4 * 400
 
 
-def test_cold_servers_stay_safe_in_sum_of_many_gateways():
-    """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
+def test_slow_start_limits_the_total_traffic_of_many_gateways():
+    """A gateway of a large fleet sends a cold server less than one request during its slow start.
+
+    So each gateway has to decide at random, with a probability at which the total is right.
+    """
     cold, sent = entry(9, launched=T0), {True: 0, False: 0}
     for seed in range(200):
         bench = Bench(servers=0, seed=seed, gateways=200, now=T0 + 2 * SECOND)
@@ -211,12 +214,12 @@
     assert 0.2 * sent[False] / 4 < sent[True] < 0.4 * sent[False] / 4
 
 
-# Rule 5
+# All gateways together send no more than the ceiling of a customer.
 
 
-def test_a_ceiling_is_shared_out_and_starts_empty():
+def test_a_ceiling_is_divided_among_gateways_and_starts_without_tokens():
     sent = {0: 0, 1: 0, 2: 0}
-    for rank in sent:  # none hears of the others
+    for rank in sent:  # the gateways exchange no messages
         bench = Bench(servers=4, rank=rank)
         for request in range(1, 601):  # 6 s, far more than the ceiling lets pass
             for send in of(bench.ask(request, customer=1, plan=2), api.Send):
@@ -227,47 +230,47 @@
     assert sum(sent.values()) <= 8 * 6
 
 
-def ceiling_row(rights: float, total=0.0) -> Row:
-    """A word on a customer with a ceiling, with rights wanted or given."""
-    return Row(1, 2, 0, 3, 0, 8.0, total, rights, ())
+def ceiling_row(ceiling_tokens: float, total=0.0) -> Row:
+    """A message row of a customer with a ceiling, with the ceiling tokens requested or granted."""
+    return Row(1, 2, 0, 3, 0, 8.0, total, ceiling_tokens, ())
 
 
-def hear(bench: Bench, sender: int, row: Row, keep: bool) -> list:
-    """A peer's word, which asks for an answer where it wants rights."""
+def deliver(bench: Bench, sender: int, row: Row, to_owner: bool) -> list:
+    """Deliver a message from a peer; one to the owner expects an answer, as it may request tokens."""
     sent = bench.now // 1_000
-    body = messages.pack(sent, keep, keep, [messages.pack_row(row, sent, 3)])
+    body = messages.pack(sent, to_owner, to_owner, [messages.pack_row(row, sent, 3)])
     return bench.feed(api.PeerMessage(sender, body))
 
 
-def test_a_keeper_gives_rights_of_a_ceiling_only_once():
-    """What it gives is off its own part first; together no more than the ceiling's store goes out."""
-    keeper = next(r for r in range(3) if Bench(rank=r).gateway._owner(Account(1, (2, 0, 3), 8.0, T0)) == r)
-    bench = Bench(rank=keeper)
-    other = (keeper + 1) % 3
-    hear(bench, other, ceiling_row(0.0), keep=True)
-    bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
-    given = 0.0
+def test_an_owner_grants_each_ceiling_token_only_once():
+    """Grants are deducted from the owner's own part; together they don't exceed the ceiling's burst."""
+    owner = next(r for r in range(3) if Bench(rank=r).gateway._owner(Account(1, (2, 0, 3), 8.0, T0)) == r)
+    bench = Bench(rank=owner)
+    other = (owner + 1) % 3
+    deliver(bench, other, ceiling_row(0.0), to_owner=True)
+    bench.now += 30 * SECOND  # its token bucket of 16 x 2/3 is full
+    granted = 0.0
     for _ in range(5):
-        for tell in of(hear(bench, other, ceiling_row(5.0), keep=True), api.SendPeerMessage):
-            message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
-            given += message.rows[0].rights if not message.keep else 0.0
-    assert 10.0 < given <= 16 * 2 / 3
+        for action in of(deliver(bench, other, ceiling_row(5.0), to_owner=True), api.SendPeerMessage):
+            message = messages.unpack(action.body, bench.now // 1_000, 3, 4)
+            granted += message.rows[0].rights if not message.keep else 0.0
+    assert 10.0 < granted <= 16 * 2 / 3
 
 
-def test_rights_that_were_not_asked_for_are_not_taken():
-    """A repeated or made-up gift must not lift a ceiling."""
+def test_unrequested_ceiling_tokens_are_ignored():
+    """A duplicated or forged grant must not raise a ceiling."""
     bench = Bench(rank=1)
-    hear(bench, 0, ceiling_row(16.0), keep=False)
+    deliver(bench, 0, ceiling_row(16.0), to_owner=False)
     assert not of(bench.ask(1, customer=1, plan=2), api.Send)
-    hear(bench, 0, ceiling_row(2.0), keep=False)
-    hear(bench, 0, ceiling_row(2.0), keep=False)
+    deliver(bench, 0, ceiling_row(2.0), to_owner=False)
+    deliver(bench, 0, ceiling_row(2.0), to_owner=False)
     sends = [s for r in range(2, 30) for s in of(bench.ask(r, customer=1, plan=2), api.Send)]
-    assert 1 <= len(sends) <= 2  # once what was asked for
+    assert 1 <= len(sends) <= 2  # only the requested tokens, and only once
 
 
-def test_a_restart_gives_no_fresh_part_of_a_ceiling():
+def test_a_restart_yields_no_extra_ceiling_tokens():
     bench = Bench(now=T0 + 10 * SECOND)
     assert not of(bench.ask(1, plan=2), api.Send)
     bench.now += SECOND
     sends = [s for r in range(2, 9) for s in of(bench.ask(r, plan=2), api.Send)]
-    assert len(sends) <= 5  # its part of eight a second
+    assert len(sends) <= 5  # its part of the ceiling of 8 per second
