--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,8 @@
-"""What may be sent again, and where: random outcomes, lists and departures against a checker of its own."""
+"""Randomized tests of the retry rules: which requests may be sent again, and to which servers.
+
+Random outcomes, server lists, bans and disconnects are fed to a gateway; an independent checker verifies
+each action.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +16,15 @@
 from orchidlane.interface import Effect, Group, Outcome, Phase
 
 NEVER_RAN = {Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT}
-CLASSES = (SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE)  # by their numbers in conftest's settings
-SHORT = SECOND // 2  # a window that ends within the time of a request
-COUNTED = {"repeats": 0, "after_ran": 0}
+CLASSES = (SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE)  # in the order of conftest's settings
+DEDUP_WINDOW = SECOND // 2  # ends before the deadline of a request
+COUNTS = {"retries": 0, "retries_after_possible_run": 0}
 
 
 @dataclass
-class Sent:
+class AttemptRecord:
     server: bytes
-    at: int
+    sent_at: int
     outcome: Outcome | None = None
 
     @property
@@ -29,149 +33,168 @@
 
 
 @dataclass
-class Watched:
-    """A request as hosts and the client see it."""
+class RequestRecord:
+    """A request as servers and the client see it."""
 
-    cls: api.RequestClass
-    sent: list[Sent] = field(default_factory=list)
-    is_over: bool = False
+    request_class: api.RequestClass
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    is_finished: bool = False
 
 
-class Checker:
-    """Follows what a gateway does; knows nothing of how it decides."""
+class RetryChecker:
+    """Checks the actions of a gateway, independently of its implementation."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench, self.requests, self.entries = bench, {}, {}
         self.banned: set[bytes] = set()
-        self.seen = 0
+        self.checked_actions = 0
         feed = bench.feed
 
-        def followed(event: api.Event) -> list[api.Action]:
+        def feed_and_check(event: api.Event) -> list[api.Action]:
             actions = feed(event)
-            self.follow()  # at the time at which it acts, also while time passes
+            self.check_new_actions()  # at the time of the action, also for timers fired by Bench.run
             return actions
 
-        bench.feed = followed
+        bench.feed = feed_and_check
 
-    def list(self, *entries: api.ServerEntry) -> None:
+    def list_servers(self, *entries: api.ServerEntry) -> None:
         self.entries |= {e.server: e for e in entries}
         self.bench.feed(listed(*entries, kind=api.ListKind.CHANGES))
 
-    def ban(self, server: bytes, out: bool) -> None:
-        (self.banned.add if out else self.banned.discard)(server)
-        self.bench.feed(api.ServerBanned(server, out))
+    def ban(self, server: bytes, is_banned: bool) -> None:
+        (self.banned.add if is_banned else self.banned.discard)(server)
+        self.bench.feed(api.ServerBanned(server, is_banned))
 
-    def follow(self) -> None:
-        """Check each action that is new."""
-        while self.seen < len(self.bench.log):
-            action = self.bench.log[self.seen]
-            self.seen += 1
+    def check_new_actions(self) -> None:
+        """Check the actions since the last call."""
+        while self.checked_actions < len(self.bench.log):
+            action = self.bench.log[self.checked_actions]
+            self.checked_actions += 1
             if isinstance(action, api.Send):
-                self.check(self.requests[action.request], action)
+                self.check_send(self.requests[action.request], action)
             elif isinstance(action, api.Refuse | api.Fail):
                 request = self.requests[action.request]
-                assert not request.is_over, "answered twice"
-                request.is_over = True
-                if isinstance(action, api.Refuse) and any(sent.may_have_run for sent in request.sent):
-                    assert request.cls.effect is Effect.SAFE or request.cls.group is Group.ALL
-                    assert request.cls.effect is not Effect.UNSAFE, "told that it did not run"
+                assert not request.is_finished, "answered twice"
+                request.is_finished = True
+                if isinstance(action, api.Refuse) and any(
+                    attempt.may_have_run for attempt in request.attempts
+                ):
+                    assert (
+                        request.request_class.effect is Effect.SAFE
+                        or request.request_class.group is Group.ALL
+                    )
+                    assert request.request_class.effect is not Effect.UNSAFE, (
+                        "refused as not executed though it may have run"
+                    )
             elif isinstance(action, api.Cancel):
-                sent = self.requests[action.request].sent[action.attempt]
-                if sent.outcome is None:  # the wire tells at once, before anything else
-                    sent.outcome = Outcome.CANCELLED
-                    self.bench.outcome(action.request, sent.server, Outcome.CANCELLED, action.attempt)
-
-    def check(self, request: Watched, action: api.Send) -> None:
-        assert not request.is_over, "sent after its end"
+                attempt = self.requests[action.request].attempts[action.attempt]
+                if (
+                    attempt.outcome is None
+                ):  # the transport reports a cancelled attempt before any other event
+                    attempt.outcome = Outcome.CANCELLED
+                    self.bench.outcome(action.request, attempt.server, Outcome.CANCELLED, action.attempt)
+
+    def check_send(self, request: RequestRecord, action: api.Send) -> None:
+        assert not request.is_finished, "sent after its final answer"
         entry = self.entries[action.server]
-        assert entry.phase is Phase.READY, "sent to a host that leaves"
-        assert action.server not in self.banned, "sent to a host that operators took out"
-        ran = [sent for sent in request.sent if sent.may_have_run]
-        if request.cls.effect is Effect.UNSAFE:
-            assert not ran, "an unsafe request may run twice"
-        elif request.cls.effect is Effect.KEYED and ran:
-            first = ran[0]
-            ends = first.at + request.cls.dedup_window
-            assert self.bench.now < ends and 0 < action.send_by < ends, "after the window"
-            other = self.entries[first.server]
-            same = {
+        assert entry.phase is Phase.READY, "sent to a draining server"
+        assert action.server not in self.banned, "sent to a banned server"
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+        if request.request_class.effect is Effect.UNSAFE:
+            assert not possibly_run, "an unsafe request may run twice"
+        elif request.request_class.effect is Effect.KEYED and possibly_run:
+            first_attempt = possibly_run[0]
+            window_end = first_attempt.sent_at + request.request_class.dedup_window
+            assert self.bench.now < window_end and 0 < action.send_by < window_end, (
+                "retried after the deduplication window"
+            )
+            first_entry = self.entries[first_attempt.server]
+            in_group = {
                 Group.ALL: True,
-                Group.ZONE: entry.zone == other.zone,
-                Group.CELL: entry.cell == other.cell,
+                Group.ZONE: entry.zone == first_entry.zone,
+                Group.CELL: entry.cell == first_entry.cell,
             }
-            assert same[request.cls.group], "outside of its group"
-        assert request.cls.effect is Effect.SAFE or all(sent.outcome for sent in request.sent), "two are out"
-        COUNTED["repeats"] += bool(request.sent)
-        COUNTED["after_ran"] += bool(ran)
-        request.sent.append(Sent(action.server, self.bench.now))
+            assert in_group[request.request_class.group], "retried outside of its deduplication group"
+        assert request.request_class.effect is Effect.SAFE or all(
+            attempt.outcome for attempt in request.attempts
+        ), "two concurrent attempts"
+        COUNTS["retries"] += bool(request.attempts)
+        COUNTS["retries_after_possible_run"] += bool(possibly_run)
+        request.attempts.append(AttemptRecord(action.server, self.bench.now))
 
 
-def play(seed: int) -> None:
-    draw = random.Random(seed)
+def run_random_scenario(seed: int) -> None:
+    rng = random.Random(seed)
     classes = tuple(
         api.RequestClass(
-            c.target_latency,
-            c.deadline,
-            c.worth,
-            c.late_worth,
-            c.effect,
-            c.group,
-            SHORT if c.dedup_window else 0,
+            base.target_latency,
+            base.deadline,
+            base.worth,
+            base.late_worth,
+            base.effect,
+            base.group,
+            DEDUP_WINDOW if base.dedup_window else 0,
         )
-        for c in CLASSES
+        for base in CLASSES
     )
     bench = Bench(servers=0, seed=seed, classes=classes)
     bench.gateway._latency_limit = lambda request: float("inf")
-    checker = Checker(bench)
-    checker.list(*(entry(n, cell=n % 3, zone=n % 2) for n in range(8)))
+    checker = RetryChecker(bench)
+    checker.list_servers(*(entry(index, cell=index % 3, zone=index % 2) for index in range(8)))
     for number in range(1, 150):
-        kind = draw.randrange(len(classes))
-        checker.requests[number] = Watched(classes[kind])
-        bench.gateway.retry_budget = 5.0  # what the rules allow is at stake, not how much of it
-        bench.ask(number, kind=kind, customer=draw.randrange(40))
-        for _ in range(draw.randrange(5)):
-            out = [
-                (request, place, sent)
-                for request, watched in checker.requests.items()
-                for place, sent in enumerate(watched.sent)
-                if sent.outcome is None
+        kind = rng.randrange(len(classes))
+        checker.requests[number] = RequestRecord(classes[kind])
+        bench.gateway.retry_budget = 5.0  # the retry budget must not limit what is tested
+        bench.ask(number, kind=kind, customer=rng.randrange(40))
+        for _ in range(rng.randrange(5)):
+            open_attempts = [
+                (request, attempt_number, attempt)
+                for request, record in checker.requests.items()
+                for attempt_number, attempt in enumerate(record.attempts)
+                if attempt.outcome is None
             ]
-            event = draw.choice(("outcome",) * 6 + ("list", "ban", "time", "time", "gone"))
-            if event == "outcome" and out:
-                request, place, sent = draw.choice(out)
-                sent.outcome = draw.choice([o for o in Outcome if o is not Outcome.CANCELLED])
-                served = sent.outcome is Outcome.SERVED or checker.requests[request].is_over
-                checker.requests[request].is_over |= served
-                bench.outcome(request, sent.server, sent.outcome, place, answered=served)
+            event = rng.choice(("outcome",) * 6 + ("list", "ban", "time", "time", "gone"))
+            if event == "outcome" and open_attempts:
+                request, attempt_number, attempt = rng.choice(open_attempts)
+                attempt.outcome = rng.choice(
+                    [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
+                )
+                served = attempt.outcome is Outcome.SERVED or checker.requests[request].is_finished
+                checker.requests[request].is_finished |= served
+                bench.outcome(request, attempt.server, attempt.outcome, attempt_number, answered=served)
             elif event == "list":
-                n = draw.randrange(8)
-                phase = draw.choice((Phase.READY, Phase.READY, Phase.DRAINING))
-                launched = draw.choice((0, bench.now))  # long ago, or it started anew
-                checker.list(entry(n, phase, cell=n % 3, zone=n % 2, launched=launched))
+                index = rng.randrange(8)
+                phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING))
+                launched = rng.choice((0, bench.now))  # long ago, or restarted now
+                checker.list_servers(entry(index, phase, cell=index % 3, zone=index % 2, launched=launched))
             elif event == "ban":
-                checker.ban(entry(draw.randrange(8)).server, draw.random() < 0.4)
+                checker.ban(entry(rng.randrange(8)).server, rng.random() < 0.4)
             elif event == "time":
-                bench.run(draw.choice((1_000, 100_000, SHORT - 30_000, SHORT)))
+                bench.run(rng.choice((1_000, 100_000, DEDUP_WINDOW - 30_000, DEDUP_WINDOW)))
             elif event == "gone":
-                request = draw.randrange(1, number + 1)
-                if not checker.requests[request].is_over:
-                    checker.requests[request].is_over = True
+                request = rng.randrange(1, number + 1)
+                if not checker.requests[request].is_finished:
+                    checker.requests[request].is_finished = True
                     bench.feed(api.ClientGone(request))
     bench.run(20 * SECOND)
-    # What is out has its outcome by now; then every request has its one end.
-    for number, watched in checker.requests.items():
-        for place, sent in enumerate(watched.sent):
-            if sent.outcome is None:
-                sent.outcome = Outcome.TIMED_OUT
-                bench.outcome(number, sent.server, Outcome.TIMED_OUT, place, answered=watched.is_over)
-    assert all(watched.is_over for watched in checker.requests.values())
+    # Open attempts time out; then every request must have had its final answer.
+    for number, record in checker.requests.items():
+        for attempt_number, attempt in enumerate(record.attempts):
+            if attempt.outcome is None:
+                attempt.outcome = Outcome.TIMED_OUT
+                bench.outcome(
+                    number, attempt.server, Outcome.TIMED_OUT, attempt_number, answered=record.is_finished
+                )
+    assert all(record.is_finished for record in checker.requests.values())
     assert bench.gateway.requests == bench.gateway.attempts == {}
     assert all(host.open_attempts == 0 for host in bench.gateway.hosts.values())
 
 
-@pytest.mark.parametrize("first", range(0, 200, 50))
-def test_no_request_may_run_where_its_class_does_not_allow_it(first):
-    COUNTED.update(repeats=0, after_ran=0)
-    for seed in range(first, first + 50):
-        play(seed)
-    assert COUNTED["repeats"] > 500 and COUNTED["after_ran"] > 200  # it was put to the test
+@pytest.mark.parametrize("first_seed", range(0, 200, 50))
+def test_requests_are_retried_only_where_their_class_allows_it(first_seed):
+    COUNTS.update(retries=0, retries_after_possible_run=0)
+    for seed in range(first_seed, first_seed + 50):
+        run_random_scenario(seed)
+    assert (
+        COUNTS["retries"] > 500 and COUNTS["retries_after_possible_run"] > 200
+    )  # else too little was tested
