--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""The limits that the operators set for the module, and the example of the decisions."""
+"""Tests of the source itself: rules for policy files, dependencies, imports and the documented example."""
 
 from __future__ import annotations
 
@@ -21,24 +21,27 @@
     assert "orchidlane/rules.py" in POLICY
 
 
-def test_lines_are_short():
-    long = [(p.name, n) for p in SOURCES for n, x in enumerate(p.read_text().splitlines(), 1) if len(x) > 110]
+def test_lines_of_the_decision_package_have_at_most_110_characters():
+    long_lines = [
+        (p.name, n) for p in SOURCES for n, x in enumerate(p.read_text().splitlines(), 1) if len(x) > 110
+    ]
     assert SOURCES
-    assert long == []
+    assert long_lines == []
 
 
-def test_the_module_names_its_interface_first():
+def test_the_first_line_of_the_decision_module_names_its_interface():
     assert "orchidlane/interface.py" in (ROOT / "orchidlane" / "rules.py").read_text().splitlines()[0]
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_the_module_reads_no_clock_and_no_shared_randomness(name):
+def test_policy_files_use_no_clock_and_no_global_random_generator(name):
     text = (ROOT / name).read_text().replace("self.random.", "")
     assert not re.search(r"\bimport (time|datetime|os)\b|\brandom\.(random|choice|sample)\(|\bglobal\b", text)
 
 
-# Who may import whom: imports run one way, the list service and the gateway know nothing of each other.
-MAY_IMPORT = {
+# The packages that each package may import. There are no cycles, and the list service and the gateway don't
+# depend on each other.
+ALLOWED_IMPORTS = {
     "orchidlane": set(),
     "ops": set(),
     "saffrongw": {"orchidlane", "ops"},
@@ -48,65 +51,66 @@
 }
 
 
-@pytest.mark.parametrize("package", MAY_IMPORT)
-def test_imports_run_one_way(package):
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_packages_import_only_allowed_packages(package):
     files = sorted((ROOT / package).glob("**/*.py"))
     assert len(files) > 3
-    found = {
+    imports = {
         (file.name, name)
         for file in files
         for name in re.findall(r"^\s*(?:from|import) (\w+)", file.read_text(), re.M)
-        if name in MAY_IMPORT and name != package
+        if name in ALLOWED_IMPORTS and name != package
     }
-    assert {(file, name) for file, name in found if name not in MAY_IMPORT[package]} == set()
+    assert {(file, name) for file, name in imports if name not in ALLOWED_IMPORTS[package]} == set()
 
 
-# What run must do without: 200 gateways share machines. Measured: msgspec 1.7 MB, prometheus-client 4.4 MB;
-# secrets loads a cryptographic library, 0.8 MB. (rich comes with structlog where it is installed.)
-HEAVY = {"msgspec", "prometheus_client", "click", "numpy", "tomlkit", "tomllib", "secrets"}
+# Modules that the running programs must not import, as 200 gateways share machines: msgspec takes 1.7 MB,
+# prometheus-client 4.4 MB, and secrets loads a cryptographic library of 0.8 MB. structlog imports rich where
+# it is installed, which is accepted.
+HEAVY_MODULES = {"msgspec", "prometheus_client", "click", "numpy", "tomlkit", "tomllib", "secrets"}
 
 
-def cycle(imports: dict[str, set[str]]) -> list[str]:
-    """Modules that import each other in a circle; none: empty."""
+def find_import_cycle(imports: dict[str, set[str]]) -> list[str]:
+    """The modules of an import cycle; empty if there is none."""
 
     def walk(name: str, path: list[str]) -> list[str]:
         if name in path:
             return path[path.index(name) :]
-        return next((found for other in sorted(imports[name]) if (found := walk(other, [*path, name]))), [])
+        return next((cycle for other in sorted(imports[name]) if (cycle := walk(other, [*path, name]))), [])
 
-    return next((found for name in sorted(imports) if (found := walk(name, []))), [])
+    return next((cycle for name in sorted(imports) if (cycle := walk(name, []))), [])
 
 
 @pytest.mark.parametrize("package", ["saffrongw", "orchidlane", "registry", "ops"])
-def test_no_modules_of_a_package_import_each_other(package):
-    """But for their types, in what only a type checker reads."""
+def test_packages_have_no_import_cycles(package):
+    """Imports under TYPE_CHECKING are exempt."""
     imports: dict[str, set[str]] = {}
     for file in (ROOT / package).glob("*.py"):
         text = re.sub(r"^if TYPE_CHECKING:\n(?:    .*\n|\n)+", "", file.read_text(), flags=re.M)
         names = re.findall(r"^from \.(\w+) import", text, re.M)
-        for several in re.findall(r"^from \. import (\([^)]*\)|.*)", text, re.M):
-            names += re.findall(r"\w+", several)
+        for imported_names in re.findall(r"^from \. import (\([^)]*\)|.*)", text, re.M):
+            names += re.findall(r"\w+", imported_names)
         imports[file.stem] = {name for name in names if (ROOT / package / f"{name}.py").exists()}
     assert sum(map(len, imports.values())) > 0
-    assert cycle(imports) == []
-    assert cycle(imports | {"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c"]
+    assert find_import_cycle(imports) == []
+    assert find_import_cycle(imports | {"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c"]
 
 
 @pytest.mark.parametrize("program", ["saffrongw.__main__", "registry.__main__", "orchidlane.wirehost"])
-def test_run_imports_nothing_heavy(program):
+def test_running_programs_import_no_heavy_modules(program):
     code = f"import sys, {program}; print(*sys.modules)"
-    plain = {"PATH": "/usr/bin:/bin"}
-    done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, env=plain, capture_output=True, text=True, check=True
+    environment = {"PATH": "/usr/bin:/bin"}
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, env=environment, capture_output=True, text=True, check=True
     )
-    loaded = set(done.stdout.split())
+    loaded = set(result.stdout.split())
     assert program in loaded
-    assert loaded & HEAVY == set()
-    assert "orchidlane.membership" not in loaded  # off unless it is configured
+    assert loaded & HEAVY_MODULES == set()
+    assert "orchidlane.membership" not in loaded  # imported only where it is configured
     assert not any(name.startswith(("birchdrum", "lab")) for name in loaded)
 
 
-def test_the_example_of_the_decisions_runs():
+def test_the_documented_example_of_the_decisions_runs():
     code = re.search(r"```python\n(.*?)```", (ROOT / "docs" / "decisions.md").read_text(), re.S).group(1)
     scope: dict = {}
     exec(code, scope)
