--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -115,9 +115,8 @@
 def test_a_restart_of_a_peer_yields_no_extra_quota():
     bench = bench_with_account()
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 90, 6.0)], total=6.0))
-    deliver(
-        bench, 1, customer_row([(1, NOW_TICKS - 1, 1.0)], total=1.0), to_owner=True
-    )  # the peer has restarted
+    # The peer has restarted and counts from zero.
+    deliver(bench, 1, customer_row([(1, NOW_TICKS - 1, 1.0)], total=1.0), to_owner=True)
     assert bench.gateway.accounts[7].counts[1] == (NOW_TICKS - 1, 1.0)
     assert bench.gateway.accounts[7].total == 7.0
 
@@ -230,9 +229,8 @@
     for i in range(1, 20):
         bench.ask(i, customer=i, size=50)
     bench.now += 2 * SECOND  # no event in between, so that its own timers fire late
-    assert not [
-        m for _, m in decoded_messages(bench.run(1)) if m.keep
-    ]  # no other candidate is notified instead
+    # No other candidate is notified instead.
+    assert not [m for _, m in decoded_messages(bench.run(1)) if m.keep]
 
 
 def test_a_customer_with_only_unresponsive_owners_gets_more_than_its_first_share():
@@ -424,14 +422,16 @@
 
 
 @pytest.mark.parametrize("plan", [0, 2])  # the quota of a large set, the tokens of a ceiling
-@pytest.mark.parametrize("left", [40, 60, 90, 150, 250])
-def test_a_request_that_waits_for_the_owner_is_answered_before_its_deadline(left, plan):
-    """Its deadline came before the wait of 100 ms ended: it was not refused in time and failed."""
+@pytest.mark.parametrize("time_left_ms", [40, 60, 90, 150, 250])
+def test_a_request_that_waits_for_the_owner_is_answered_before_its_deadline(time_left_ms, plan):
+    """With a deadline before the end of the 100 ms wait, it was not refused in time and failed."""
     bench, waited = Bench(gateways=60), 0
     for request in range(1, 9):
-        actions = bench.ask(request, customer=request, plan=plan, units=3.0, left=left * 1_000, size=50)
+        actions = bench.ask(
+            request, customer=request, plan=plan, units=3.0, left=time_left_ms * 1_000, size=50
+        )
         waited += not of(actions, api.Send | api.Refuse)
-        answers = actions + bench.run(left * 1_000 - DEADLINE_MARGIN)
+        answers = actions + bench.run(time_left_ms * 1_000 - DEADLINE_MARGIN)
         assert [a.request for a in of(answers, api.Send | api.Refuse)] == [request]
     assert waited
 
@@ -471,7 +471,7 @@
 
 
 def test_a_count_received_late_is_taken_as_part_of_the_total():
-    """A candidate that replaced the owner received a count that had grown, and added all of it again."""
+    """A stand-in owner first received a count when it was already large, and added all of it again."""
     bench = bench_with_account(gateways=60)
     deliver(bench, 1, customer_row([], remaining=0.0, total=30.0))
     deliver(bench, 2, customer_row([(2, NOW_TICKS - 900, 12.0)], remaining=0.0, total=30.0), to_owner=True)
@@ -487,19 +487,16 @@
     account = bench.gateway.accounts[7]
     before = dict(account.counts), account.total
     row = messages.pack_row(customer_row([(1, NOW_TICKS - 9, 3.0)]), NOW_MS, 3)
-    good = messages.pack(NOW_MS, False, False, [row])
-    for cut in range(7, len(good)):
-        bench.feed(api.PeerMessage(1, good[:cut]))
+    valid_message = messages.pack(NOW_MS, False, False, [row])
+    for length in range(7, len(valid_message)):
+        bench.feed(api.PeerMessage(1, valid_message[:length]))
     bench.feed(api.PeerMessage(1, b"\xff" * 256))
-    bench.feed(api.PeerMessage(77, good))
-    bench.feed(api.PeerMessage(1, good))  # duplicated and outdated
+    bench.feed(api.PeerMessage(77, valid_message))
+    bench.feed(api.PeerMessage(1, valid_message))  # outdated: the count is already higher
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0), sent_ms=NOW_MS + 3_600_000)
-    deliver(
-        bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, size=9)
-    )  # a set larger than the fleet
-    deliver(
-        bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, forward_count=3)
-    )  # to be forwarded beyond the set
+    # A set larger than the fleet, a row to be forwarded beyond the set, and an unknown plan.
+    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, size=9))
+    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, forward_count=3))
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, plan=99))
     assert (dict(account.counts), account.total) == before
     assert list(bench.gateway.accounts) == [7]
@@ -628,9 +625,8 @@
 
     before, isolated = fleet_under_load(24, lose_all_messages)
     assert before <= 1.2 * PLAIN.rate
-    assert (
-        isolated <= 1.6 * PLAIN.rate
-    )  # isolated gateways without a limit admitted everything, three times the quota
+    # Without a limit for isolated gateways, each admitted everything, three times the quota.
+    assert isolated <= 1.6 * PLAIN.rate
 
 
 def test_the_remaining_gateways_of_a_reduced_fleet_admit_the_whole_quota():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -193,7 +193,7 @@
     bench.feed(listed(entry(1, launched=T0), kind=api.ListKind.CHANGES))
     sends = [s for r in range(2, 402) for s in of(bench.ask(r, customer=r), api.Send)]
     assert 0 < len(sends) <= 0.25 * 400
-    for _ in range(50):  # waiting requests do not draw for the cold server again and again
+    for _ in range(50):  # the random draw for the cold server is not repeated while requests wait
         bench.run(20_000)
     assert len(of(bench.log, api.Send)) <= 0.4 * 400
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -89,7 +89,7 @@
 
 
 def test_an_unreachable_zone_is_avoided_before_each_of_its_servers_has_failed():
-    """In a network partition every server of the other zone was tried (ctva-kathmandu-later big-1)."""
+    """In a network partition every server of the other zone got attempts (ctva-kathmandu-later big-1)."""
     bench, failed_connects = Bench(servers=0), 0
     unreachable = {entry(i).server for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
