--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -580,9 +580,8 @@
     bench = Bench(gateways=1)
     for request in range(1, 60):
         bench.ask(request, size=1)
-        bench.outcome(request, bench.log[-1].server, api.Outcome.SERVED) if of(
-            bench.log[-1:], api.Send
-        ) else None
+        for send in of(bench.log[-1:], api.Send):
+            bench.outcome(request, send.server, api.Outcome.SERVED)
     (refused, *_) = of(bench.log, api.Refuse)
     assert refused.retry_after == 0  # the refill takes seconds
     for request in range(60, 200):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import random
 from dataclasses import dataclass, field
 
@@ -123,20 +124,72 @@
         request.attempts.append(AttemptRecord(action.server, self.bench.now))
 
 
+def with_short_window(request_class: api.RequestClass) -> api.RequestClass:
+    """The class with the short deduplication window, if it has one at all."""
+    return dataclasses.replace(request_class, dedup_window=DEDUP_WINDOW if request_class.dedup_window else 0)
+
+
+def end_random_attempt(checker: RetryChecker, rng: random.Random) -> None:
+    """End one of the open attempts, if any, with a random outcome."""
+    open_attempts = [
+        (request, attempt_number, attempt)
+        for request, record in checker.requests.items()
+        for attempt_number, attempt in enumerate(record.attempts)
+        if attempt.outcome is None
+    ]
+    if not open_attempts:
+        return
+    request, attempt_number, attempt = rng.choice(open_attempts)
+    attempt.outcome = rng.choice([outcome for outcome in Outcome if outcome is not Outcome.CANCELLED])
+    served = attempt.outcome is Outcome.SERVED or checker.requests[request].is_finished
+    checker.requests[request].is_finished |= served
+    checker.bench.outcome(request, attempt.server, attempt.outcome, attempt_number, answered=served)
+
+
+def list_random_server(checker: RetryChecker, rng: random.Random) -> None:
+    """List a server as ready or draining, either unchanged or restarted."""
+    index = rng.randrange(8)
+    phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING))
+    launched = rng.choice((0, checker.bench.now))  # long ago, or restarted now
+    checker.list_servers(entry(index, phase, cell=index % 3, zone=index % 2, launched=launched))
+
+
+def disconnect_random_client(checker: RetryChecker, rng: random.Random, last_request: int) -> None:
+    """Disconnect the client of a random request, unless it has its final answer."""
+    request = rng.randrange(1, last_request + 1)
+    if not checker.requests[request].is_finished:
+        checker.requests[request].is_finished = True
+        checker.bench.feed(api.ClientGone(request))
+
+
+def feed_random_event(checker: RetryChecker, rng: random.Random, last_request: int) -> None:
+    """Feed one random event, or let time pass."""
+    event = rng.choice(("outcome",) * 6 + ("list", "ban", "time", "time", "gone"))
+    if event == "outcome":
+        end_random_attempt(checker, rng)
+    elif event == "list":
+        list_random_server(checker, rng)
+    elif event == "ban":
+        checker.ban(entry(rng.randrange(8)).server, rng.random() < 0.4)
+    elif event == "time":
+        checker.bench.run(rng.choice((1_000, 100_000, DEDUP_WINDOW - 30_000, DEDUP_WINDOW)))
+    elif event == "gone":
+        disconnect_random_client(checker, rng, last_request)
+
+
+def time_out_open_attempts(checker: RetryChecker) -> None:
+    for number, record in checker.requests.items():
+        for attempt_number, attempt in enumerate(record.attempts):
+            if attempt.outcome is None:
+                attempt.outcome = Outcome.TIMED_OUT
+                checker.bench.outcome(
+                    number, attempt.server, Outcome.TIMED_OUT, attempt_number, answered=record.is_finished
+                )
+
+
 def run_random_scenario(seed: int) -> None:
     rng = random.Random(seed)
-    classes = tuple(
-        api.RequestClass(
-            base.target_latency,
-            base.deadline,
-            base.worth,
-            base.late_worth,
-            base.effect,
-            base.group,
-            DEDUP_WINDOW if base.dedup_window else 0,
-        )
-        for base in CLASSES
-    )
+    classes = tuple(with_short_window(request_class) for request_class in CLASSES)
     bench = Bench(servers=0, seed=seed, classes=classes)
     bench.gateway._latency_limit = lambda request: float("inf")
     checker = RetryChecker(bench)
@@ -147,44 +200,10 @@
         bench.gateway.retry_budget = 5.0  # the retry budget must not limit what is tested
         bench.ask(number, kind=kind, customer=rng.randrange(40))
         for _ in range(rng.randrange(5)):
-            open_attempts = [
-                (request, attempt_number, attempt)
-                for request, record in checker.requests.items()
-                for attempt_number, attempt in enumerate(record.attempts)
-                if attempt.outcome is None
-            ]
-            event = rng.choice(("outcome",) * 6 + ("list", "ban", "time", "time", "gone"))
-            if event == "outcome" and open_attempts:
-                request, attempt_number, attempt = rng.choice(open_attempts)
-                attempt.outcome = rng.choice(
-                    [outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]
-                )
-                served = attempt.outcome is Outcome.SERVED or checker.requests[request].is_finished
-                checker.requests[request].is_finished |= served
-                bench.outcome(request, attempt.server, attempt.outcome, attempt_number, answered=served)
-            elif event == "list":
-                index = rng.randrange(8)
-                phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING))
-                launched = rng.choice((0, bench.now))  # long ago, or restarted now
-                checker.list_servers(entry(index, phase, cell=index % 3, zone=index % 2, launched=launched))
-            elif event == "ban":
-                checker.ban(entry(rng.randrange(8)).server, rng.random() < 0.4)
-            elif event == "time":
-                bench.run(rng.choice((1_000, 100_000, DEDUP_WINDOW - 30_000, DEDUP_WINDOW)))
-            elif event == "gone":
-                request = rng.randrange(1, number + 1)
-                if not checker.requests[request].is_finished:
-                    checker.requests[request].is_finished = True
-                    bench.feed(api.ClientGone(request))
+            feed_random_event(checker, rng, last_request=number)
     bench.run(20 * SECOND)
-    # Open attempts time out; then every request must have had its final answer.
-    for number, record in checker.requests.items():
-        for attempt_number, attempt in enumerate(record.attempts):
-            if attempt.outcome is None:
-                attempt.outcome = Outcome.TIMED_OUT
-                bench.outcome(
-                    number, attempt.server, Outcome.TIMED_OUT, attempt_number, answered=record.is_finished
-                )
+    time_out_open_attempts(checker)
+    # Every request must have had its final answer.
     assert all(record.is_finished for record in checker.requests.values())
     assert bench.gateway.requests == bench.gateway.attempts == {}
     assert all(host.open_attempts == 0 for host in bench.gateway.hosts.values())
