--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -19,7 +19,9 @@
 
 from orchidlane import interface as api
 
-OLD_SERVERS, NEW_SERVERS, RESTARTED_SERVERS = 24, 4, 3
+OLD_SERVERS = 24
+NEW_SERVERS = 4
+RESTARTED_SERVERS = 3
 CAPACITY = 20.0  # requests per second of a warm server
 BURST_FACTOR = 1.5  # of the capacity of all warm servers, from 1 s before the start
 RESPONSE_TIME = 80_000  # microseconds, on average
@@ -33,7 +35,9 @@
     """A fleet under uneven traffic, whose gateways exchange no messages and share only the servers."""
 
     def __init__(self, gateways: int, seed: int, were_banned: bool) -> None:
-        self.random, self.were_banned, self.sequence = random.Random(seed), were_banned, itertools.count()
+        self.random = random.Random(seed)
+        self.were_banned = were_banned
+        self.sequence = itertools.count()
         self.events: list[tuple] = []
         self.benches = [
             Bench(0, seed=seed * 1_000 + n, rank=n, gateways=gateways, **SLOW_START) for n in range(gateways)
@@ -59,7 +63,8 @@
         bench = self.benches[rank]
         for send in (action for action in actions if isinstance(action, api.Send)):
             self.sends[send.server].append((bench.now, rank in self.notified_gateways))
-            attempt = self.attempts[send.request] = self.attempts.get(send.request, -1) + 1
+            attempt = self.attempts.get(send.request, -1) + 1
+            self.attempts[send.request] = attempt
             took = int(self.random.expovariate(1 / RESPONSE_TIME))
             self.schedule(bench.now + took, self.end_attempt, rank, send.request, send.server, attempt)
         for time, token in bench.timers:
@@ -112,7 +117,8 @@
 
         Only windows count in which more than two thirds of the sends came from gateways that were notified.
         """
-        window, peak = SLOW_START["overload_for"], 0.0
+        window = SLOW_START["overload_for"]
+        peak = 0.0
         sends = [(time, notified) for time, notified in self.sends[server] if time >= STARTED_AT]
         for last_index, (time, _) in enumerate(sends):
             notified_in_window = [
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -169,7 +169,8 @@
 
 def test_the_gateway_set_is_notified_when_a_quota_is_nearly_exhausted():
     """A broadcast with a limited fan-out is forwarded to each gateway of a large set exactly once."""
-    set_size, notified_ranks = 60, []
+    set_size = 60
+    notified_ranks = []
     slow_plan = dataclasses.replace(PLAIN, rate=0.5)  # gossip is fast enough: the burst takes 20 s to refill
     bench = Bench(gateways=80, peer_intake=1_000.0, plans=(slow_plan,))
     deliver(
@@ -283,7 +284,8 @@
     for i in range(1, 301):
         count_admitted(bench, 1, start=i, customer=1_000 + i, size=1)
         bench.run(100_000)
-    bench.gateway._latency_limit, bench.gateway.next_trial_at = (lambda request: 0.0), float("inf")
+    bench.gateway._latency_limit = lambda request: 0.0
+    bench.gateway.next_trial_at = float("inf")
     for i in range(301, 601):
         assert count_admitted(bench, 1, start=i, customer=1_000 + i) == 0
         bench.run(100_000)
@@ -345,7 +347,8 @@
 
 def ask_random_gateways(fleet: Fleet, number: int, every: int, size: int) -> list[int]:
     """Send requests of one customer, each to a random gateway; returns those admitted so far."""
-    before, live_ranks = len(fleet.answers), [rank for rank in range(size) if rank not in fleet.dead]
+    before = len(fleet.answers)
+    live_ranks = [rank for rank in range(size) if rank not in fleet.dead]
     for _ in range(number):
         fleet.ask(fleet.random.choice(live_ranks), size=size)
         fleet.run(every)
@@ -425,7 +428,8 @@
 @pytest.mark.parametrize("time_left_ms", [40, 60, 90, 150, 250])
 def test_a_request_that_waits_for_the_owner_is_answered_before_its_deadline(time_left_ms, plan):
     """With a deadline before the end of the 100 ms wait, it was not refused in time and failed."""
-    bench, waited = Bench(gateways=60), 0
+    bench = Bench(gateways=60)
+    waited = 0
     for request in range(1, 9):
         actions = bench.ask(
             request, customer=request, plan=plan, units=3.0, left=time_left_ms * 1_000, size=50
@@ -601,7 +605,8 @@
     Returns the admitted rate per customer before, and after, once the quota that each gateway still knew of
     is spent.
     """
-    fleet, rng = Fleet(gateways, seed=4), random.Random(9)
+    fleet = Fleet(gateways, seed=4)
+    rng = random.Random(9)
 
     def load(seconds: int) -> float:
         before = len(fleet.sent())
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -46,7 +46,9 @@
     """Checks the actions of a gateway, independently of its implementation."""
 
     def __init__(self, bench: Bench) -> None:
-        self.bench, self.requests, self.entries = bench, {}, {}
+        self.bench = bench
+        self.requests: dict[int, RequestRecord] = {}
+        self.entries: dict[bytes, api.ServerEntry] = {}
         self.banned: set[bytes] = set()
         self.checked_actions = 0
         feed = bench.feed
@@ -63,7 +65,10 @@
         self.bench.feed(listed(*entries, kind=api.ListKind.CHANGES))
 
     def ban(self, server: bytes, is_banned: bool) -> None:
-        (self.banned.add if is_banned else self.banned.discard)(server)
+        if is_banned:
+            self.banned.add(server)
+        else:
+            self.banned.discard(server)
         self.bench.feed(api.ServerBanned(server, is_banned))
 
     def check_new_actions(self) -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -73,7 +73,8 @@
 
 def test_a_server_that_refuses_connections_is_avoided():
     bench = Bench(servers=4)
-    unreachable_server, failed_connects = entry(0).server, 0
+    unreachable_server = entry(0).server
+    failed_connects = 0
     for request in range(1, 101):
         send = of(bench.ask(request, customer=request), api.Send)[0]
         attempt = 0
@@ -90,7 +91,8 @@
 
 def test_an_unreachable_zone_is_avoided_before_each_of_its_servers_has_failed():
     """In a network partition every server of the other zone got attempts (ctva-kathmandu-later big-1)."""
-    bench, failed_connects = Bench(servers=0), 0
+    bench = Bench(servers=0)
+    failed_connects = 0
     unreachable = {entry(i).server for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
@@ -223,13 +225,16 @@
 def run_low_traffic(servers: int, seed: int = 1, rank: int = 0) -> tuple[int, set[bytes]]:
     """Run 20 s: sends to servers unused for 5 s, which need a handshake; servers used in the last 10 s."""
     bench = Bench(servers=servers, seed=seed, rank=rank, gateways=40)
-    last_sent, handshakes, used_servers = {}, 0, set()
+    last_sent: dict[bytes, int] = {}
+    handshakes = 0
+    used_servers: set[bytes] = set()
     for i in range(1, 101):
         bench.now += 200_000
         for send in of(bench.ask(i, customer=i, size=1, first=rank), api.Send):
             handshakes += bench.now - last_sent.get(send.server, 0) >= 5 * SECOND
             last_sent[send.server] = bench.now
-            used_servers |= {send.server} if i > 50 else set()
+            if i > 50:
+                used_servers.add(send.server)
             bench.outcome(i, send.server, Outcome.SERVED, took=50_000)
     return handshakes, used_servers
 
