--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -141,9 +141,8 @@
         ask_and_serve(bench, request, lambda _: 60_000)
     sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), api.Send)]
     assert 0 < len(sends) < 50
-    assert not [
-        a for a in bench.run(SECOND // 10) if isinstance(a, api.Refuse)
-    ]  # none waited before it was refused
+    # No request waited before it was refused.
+    assert not [a for a in bench.run(SECOND // 10) if isinstance(a, api.Refuse)]
 
 
 def test_an_idle_server_is_not_assumed_to_be_as_slow_as_loaded_ones():
