--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -383,14 +383,14 @@
         self.text |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
-    async def start(self, ready=True, patient=False) -> asyncio.subprocess.Process:
+    async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
         """One more process, with an address for operators of its own; it says yes once this returns. A
         patient one waits a minute for the rest of a command: the next process may be slow to start."""
         self.control = free_address()
         file = self.folder / f"config{len(self.processes)}.json"
         file.write_text(json.dumps(self.text | {"control": self.control}))
         environment = os.environ | {"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}
-        program = ("-c", PATIENT) if patient else ("-m", "saffrongw")
+        program = ("-c", PATIENT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
         self.processes.append(process)
         while ready and not (await self.say(b"HEALTH")).startswith("done"):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -94,7 +94,7 @@
     for host in hosts:
         host.script = lambda command: None
     async with Service(tmp_path, *hosts) as service:
-        old = await service.start(patient=True)
+        old = await service.start(long_command_timeout=True)
         holding, partial, idle = [await service.caller() for _ in range(3)]
         holding.call("put", wait=10_000, number=b"held")
         await until(lambda: any(host.commands for host in hosts))
@@ -267,7 +267,7 @@
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
     where = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
     async with Service(tmp_path, *hosts, discovery=where[0]) as service:
-        await service.start(patient=True)
+        await service.start(long_command_timeout=True)
         predecessor_control = service.control
         holding, partial = await service.caller(), await service.caller()
         for host in hosts:
@@ -313,7 +313,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     async with Service(tmp_path, host) as service:
-        await service.start(patient=True)
+        await service.start(long_command_timeout=True)
         holding, partial = await service.caller(), await service.caller()
         holding.call("put", wait=9_000, number=b"held")  # keeps the predecessor running
         await until(lambda: host.commands)
