--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -33,16 +33,16 @@
 KEYED_ALL = dataclasses.replace(KEYED_CELL, group=api.Group.ALL)
 KEYED_ZONE = dataclasses.replace(KEYED_CELL, group=api.Group.ZONE)
 PLAIN = api.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CAPPED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CEILED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
-IDLE_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
+OPEN_LIMITED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CEILING_LIMITED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
+BEYOND_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
 
 SETTINGS = api.Settings(
     rank=0,
     gateways=3,
     zone=0,
     classes=(SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE),
-    plans=(PLAIN, CAPPED, CEILED, IDLE_EARNS),
+    plans=(PLAIN, OPEN_LIMITED, CEILING_LIMITED, BEYOND_EARNS),
     may_tell_peers=True,
     may_probe=True,
     may_cancel=True,
@@ -86,11 +86,11 @@
         self.gateway = Gateway(self.settings, seed, now)
         self.log: list[api.Action] = list(self.gateway.start())
         self.timers: list[tuple[int, int]] = []
-        self._note(self.log)
+        self._record_timers(self.log)
         if servers:
             self.feed(listed(*(entry(i) for i in range(servers))))
 
-    def _note(self, actions) -> None:
+    def _record_timers(self, actions) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
@@ -98,7 +98,7 @@
     def feed(self, event: api.Event) -> list[api.Action]:
         """One event now; the actions that it led to."""
         actions = list(self.gateway.handle(self.now, event))
-        self._note(actions)
+        self._record_timers(actions)
         self.log += actions
         return actions
 
@@ -129,28 +129,28 @@
 class Fleet:
     """Gateways that hear each other a while later; hosts answer each request at once."""
 
-    LATER = 10_000  # microseconds until a message arrives
+    MESSAGE_DELAY = 10_000  # microseconds until a message arrives
     STEP = 1_000
 
     def __init__(self, gateways: int, seed=1, loss=0.0, servers=4, **changes) -> None:
-        self.random, self.loss, self.asked, self.messages = random.Random(seed), loss, 0, 0
+        self.random, self.loss, self.request_count, self.messages = random.Random(seed), loss, 0, 0
         changes |= {"gateways": gateways}
         self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
         self.now, self.dead = T0, set()
-        self.on_way: list[tuple[int, int, int, bytes]] = []  # when, from, to, what
+        self.in_flight: list[tuple[int, int, int, bytes]] = []  # when, from, to, what
         self.answers: dict[int, api.Action] = {}  # by request: sent, or refused
         for rank, bench in enumerate(self.benches):
-            self._carry(rank, bench.log)
+            self._execute(rank, bench.log)
 
-    def _carry(self, rank: int, actions) -> None:
+    def _execute(self, rank: int, actions) -> None:
         for action in actions:
             if isinstance(action, api.SendPeerMessage):
                 self.messages += 1
                 if self.random.random() >= self.loss:
-                    self.on_way.append((self.now + self.LATER, rank, action.peer, action.body))
+                    self.in_flight.append((self.now + self.MESSAGE_DELAY, rank, action.peer, action.body))
             elif isinstance(action, api.Send):
                 self.answers[action.request] = action
-                self._carry(
+                self._execute(
                     rank, self.benches[rank].outcome(action.request, action.server, api.Outcome.SERVED)
                 )
             elif isinstance(action, api.Refuse | api.Fail):
@@ -158,9 +158,9 @@
 
     def ask(self, rank: int, **request) -> int:
         """A request at one gateway; its number."""
-        self.asked += 1
-        self._carry(rank, self.benches[rank].ask(self.asked, **request))
-        return self.asked
+        self.request_count += 1
+        self._execute(rank, self.benches[rank].ask(self.request_count, **request))
+        return self.request_count
 
     def run(self, span: int) -> None:
         """Let time pass everywhere."""
@@ -170,14 +170,14 @@
             for rank, bench in enumerate(self.benches):
                 bench.now = bench.now if rank in self.dead else self.now
                 if rank not in self.dead and bench.timers and min(bench.timers)[0] <= self.now:
-                    self._carry(rank, bench.run(0))
-            due, self.on_way = (
-                [m for m in self.on_way if m[0] <= self.now],
-                [m for m in self.on_way if m[0] > self.now],
+                    self._execute(rank, bench.run(0))
+            due, self.in_flight = (
+                [m for m in self.in_flight if m[0] <= self.now],
+                [m for m in self.in_flight if m[0] > self.now],
             )
             for _, sender, rank, body in due:
                 if rank not in self.dead:
-                    self._carry(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
+                    self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
         """The requests that were sent on."""
@@ -243,7 +243,7 @@
             await asyncio.sleep(0.005)
 
 
-class HostPeer(asyncio.Protocol):
+class HostConnection(asyncio.Protocol):
     """A host on loopback: keeps the commands it got, answers by ``script`` (None: not at all)."""
 
     def __init__(self, host: FakeHost) -> None:
@@ -277,7 +277,7 @@
 
     async def listen(self) -> FakeHost:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: HostPeer(self), "127.0.0.1", 0)
+        self.server = await loop.create_server(lambda: HostConnection(self), "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -364,7 +364,7 @@
     return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
-PATIENT = """
+PROGRAM_WITH_LONG_COMMAND_TIMEOUT = """
 from saffrongw import __main__, client
 client.COMMAND_TIMEOUT = 60.0
 raise SystemExit(__main__.main())
@@ -390,7 +390,7 @@
         file = self.folder / f"config{len(self.processes)}.json"
         file.write_text(json.dumps(self.text | {"control": self.control}))
         environment = os.environ | {"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}
-        program = ("-c", PATIENT) if long_command_timeout else ("-m", "saffrongw")
+        program = ("-c", PROGRAM_WITH_LONG_COMMAND_TIMEOUT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
         self.processes.append(process)
         while ready and not (await self.say(b"HEALTH")).startswith("done"):
