--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,9 @@
-"""Settings and shorthands for the tests: all figures here are made up."""
+"""Settings and helpers that the tests share.
+
+``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
+simulated network. ``Rig`` runs one gateway on loopback sockets within the test's process, ``Service``
+starts it as separate processes. The settings are examples.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +30,7 @@
 pytest_plugins = ["known_red"]
 
 SECOND = 1_000_000
-T0 = 1_000 * SECOND  # a clock time well after any start
+T0 = 1_000 * SECOND  # initial clock time; hosts with ``launched=0`` are long warm by then
 
 SAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.SAFE, api.Group.ALL, 0)
 KEYED_CELL = api.RequestClass(500_000, 4 * SECOND, 1.0, 0.0, api.Effect.KEYED, api.Group.CELL, SECOND)
@@ -68,17 +73,17 @@
 
 
 def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
-    """A line of a server list."""
+    """Returns an entry of a server list."""
     return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
 def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
-    """News of discovery."""
+    """Returns an update of the server list, as discovery sends it."""
     return api.ServerListed(kind, 1, tuple(entries))
 
 
 class Bench:
-    """One gateway with a clock, its requests numbered from 1."""
+    """The decision core of one gateway with a simulated clock; records its actions and runs its timers."""
 
     def __init__(self, servers=4, now=T0, seed=1, **changes) -> None:
         self.now = now
@@ -96,14 +101,14 @@
                 self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """One event now; the actions that it led to."""
+        """Handles an event at the current time; returns the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
         self._record_timers(actions)
         self.log += actions
         return actions
 
     def run(self, span: int) -> list[api.Action]:
-        """Let time pass and the timers fire."""
+        """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
         end, done = self.now + span, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
@@ -114,31 +119,31 @@
         return done
 
     def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
-        """A client's request."""
+        """Handles the arrival of a request from a client."""
         return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
 
     def outcome(
         self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
     ):
-        """How an attempt ended."""
+        """Handles the end of an attempt; by default only a served one has been answered."""
         if answered is None:
             answered = outcome is api.Outcome.SERVED
         return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
 
 
 class Fleet:
-    """Gateways that hear each other a while later; hosts answer each request at once."""
+    """Gateways that exchange delayed messages; hosts answer each request immediately."""
 
-    MESSAGE_DELAY = 10_000  # microseconds until a message arrives
-    STEP = 1_000
+    MESSAGE_DELAY = 10_000  # microseconds
+    STEP = 1_000  # microseconds by which the clock advances
 
     def __init__(self, gateways: int, seed=1, loss=0.0, servers=4, **changes) -> None:
         self.random, self.loss, self.request_count, self.messages = random.Random(seed), loss, 0, 0
         changes |= {"gateways": gateways}
         self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
         self.now, self.dead = T0, set()
-        self.in_flight: list[tuple[int, int, int, bytes]] = []  # when, from, to, what
-        self.answers: dict[int, api.Action] = {}  # by request: sent, or refused
+        self.in_flight: list[tuple[int, int, int, bytes]] = []  # arrival, sender, receiver, body
+        self.answers: dict[int, api.Action] = {}  # by request: Send, Refuse or Fail
         for rank, bench in enumerate(self.benches):
             self._execute(rank, bench.log)
 
@@ -157,13 +162,13 @@
                 self.answers[action.request] = action
 
     def ask(self, rank: int, **request) -> int:
-        """A request at one gateway; its number."""
+        """Sends a request to one gateway; returns its number."""
         self.request_count += 1
         self._execute(rank, self.benches[rank].ask(self.request_count, **request))
         return self.request_count
 
     def run(self, span: int) -> None:
-        """Let time pass everywhere."""
+        """Advances the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
         end = self.now + span
         while self.now < end:
             self.now += self.STEP
@@ -180,18 +185,18 @@
                     self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
-        """The requests that were sent on."""
+        """Returns the requests that were forwarded to a host."""
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
 def of(actions, kind) -> list:
-    """The actions of one kind."""
+    """Returns the actions of the given type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 @pytest.fixture
 def bench() -> Bench:
-    """A gateway with four warm servers."""
+    """Returns a gateway with four warm servers."""
     return Bench()
 
 
@@ -227,7 +232,7 @@
 
 
 def asyncio_test(function):
-    """Run a test on the loop that the program uses; none may take longer than a minute."""
+    """Runs a test on uvloop, as the gateway runs, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
@@ -237,14 +242,17 @@
 
 
 async def until(condition, within: float = 10.0) -> None:
-    """Wait for a condition; the limit only ends a test that would hang."""
+    """Waits for a condition; the timeout only ends a test that would hang."""
     async with asyncio.timeout(within):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 class HostConnection(asyncio.Protocol):
-    """A host on loopback: keeps the commands it got, answers by ``script`` (None: not at all)."""
+    """A gateway's connection to a fake host: records the commands and answers them by the host's ``script``.
+
+    The script returns the reply, ``b"reset"`` to reset the connection or None for no reply.
+    """
 
     def __init__(self, host: FakeHost) -> None:
         self.host, self.reader = host, hiredis.Reader()
@@ -269,7 +277,7 @@
 
 
 class FakeHost:
-    """One listening host."""
+    """A host that listens on loopback and records the commands of all its connections."""
 
     def __init__(self, name: str) -> None:
         self.name, self.commands, self.connections = name, [], []
@@ -282,13 +290,13 @@
         return self
 
     def line(self, health="SERVING", **changes) -> dict:
-        """Its line in discovery's list."""
+        """Returns its entry in discovery's list."""
         line = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
         return line | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
 
 class Caller(asyncio.Protocol):
-    """A client's connection: what came back, as parsed values."""
+    """A client's connection to the gateway; collects the parsed replies."""
 
     def __init__(self) -> None:
         self.reader, self.replies, self.closed = hiredis.Reader(), [], False
@@ -305,11 +313,11 @@
         self.closed = True
 
     def ask(self, *words: bytes) -> None:
-        """Send one command."""
+        """Sends one command."""
         self.transport.write(hiredis.pack_command(words))
 
     def call(self, kind="read", wait=2000, number=b"id1", more="") -> None:
-        """Send a request of one class."""
+        """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
         terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{more}".encode()
         if kind == "read":
             self.ask(b"CALL.GET", b"0000000000000007", number, terms)
@@ -317,13 +325,13 @@
             self.ask(b"CALL.POST", b"0000000000000007", number, terms + b",k=key7", b"BODY")
 
     async def replied(self, count=1) -> list:
-        """Wait for so many replies."""
+        """Waits until at least ``count`` replies have arrived; returns all."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
 
 
 class Rig:
-    """One gateway, its parts wired as in the program, with hosts that it has been told of."""
+    """One gateway with its components connected as in the program, and a list of hosts from discovery."""
 
     def __init__(self, *hosts: FakeHost, lines=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
@@ -333,7 +341,7 @@
         text |= {"limits": {"sockets": sockets}, "known": known, "settings": site}
         self.config = config.parse(json.dumps(text))
         self.driver = Driver(self.config.settings, self.config.seed, self.loop)
-        # With one host or two the policy would refuse most of what these tests hold at once.
+        # With one or two hosts the latency limit would refuse most requests that these tests keep open.
         self.driver.gateway._latency_limit = lambda request: float("inf")
         self.hosts = self.driver.hosts = Hosts(
             self.driver,
@@ -346,7 +354,7 @@
         self.clients = Clients(self.driver, self.config, sockets)
 
     async def caller(self) -> Caller:
-        """A client's connection to it."""
+        """Opens a client's connection to the gateway."""
         if self.clients.server is None:
             await self.clients.listen()
         port = self.clients.server.sockets[0].getsockname()[1]
@@ -354,13 +362,13 @@
         return caller
 
     def told(self, *lines: dict, whole=False) -> None:
-        """News of discovery."""
+        """Applies an update of the host list from discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
         self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
 def free_address() -> str:
-    """One that nobody listens at."""
+    """Returns a loopback address on which nothing listens."""
     return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
@@ -372,7 +380,7 @@
 
 
 class Service:
-    """Real processes that serve one address after each other, in one $TMPDIR."""
+    """Gateway processes that take over one address from each other and share one $TMPDIR."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
         self.folder, self.processes = folder, []
@@ -384,8 +392,11 @@
         self.control = ""
 
     async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
-        """One more process, with an address for operators of its own; it says yes once this returns. A
-        patient one waits a minute for the rest of a command: the next process may be slow to start."""
+        """Starts another process with its own control address; waits until it is healthy if ``ready``.
+
+        With ``long_command_timeout`` a client has a minute to send the rest of a command, so that it isn't
+        disconnected while the successor is slow to start.
+        """
         self.control = free_address()
         file = self.folder / f"config{len(self.processes)}.json"
         file.write_text(json.dumps(self.text | {"control": self.control}))
@@ -399,7 +410,7 @@
         return process
 
     async def say(self, line: bytes, control: str = "") -> str:
-        """Call as an operator; nobody there is no yes."""
+        """Sends a control call and returns the answer, or "nobody" if the connection fails."""
         try:
             reader, writer = await asyncio.open_connection(*config.address(control or self.control))
         except OSError:
@@ -410,7 +421,7 @@
         return answer.decode()
 
     async def caller(self) -> Caller:
-        """A client's connection."""
+        """Opens a client's connection."""
         where = config.address(self.text["listen"])
         return (await asyncio.get_running_loop().create_connection(Caller, *where))[1]
 
