--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -386,9 +386,9 @@
         self.folder, self.processes = folder, []
         known = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
         peers = [free_address(), free_address()]
-        self.text = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
-        self.text |= {"limits": {"sockets": 256}, "known": known, "settings": SITE | changes}
-        self.text |= {"peer_listen": peers[0], "peers": peers}
+        self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
+        self.configuration |= {"limits": {"sockets": 256}, "known": known, "settings": SITE | changes}
+        self.configuration |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
     async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
@@ -399,7 +399,7 @@
         """
         self.control = free_address()
         file = self.folder / f"config{len(self.processes)}.json"
-        file.write_text(json.dumps(self.text | {"control": self.control}))
+        file.write_text(json.dumps(self.configuration | {"control": self.control}))
         environment = os.environ | {"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}
         program = ("-c", PROGRAM_WITH_LONG_COMMAND_TIMEOUT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
@@ -422,7 +422,7 @@
 
     async def caller(self) -> Caller:
         """Opens a client's connection."""
-        where = config.address(self.text["listen"])
+        where = config.address(self.configuration["listen"])
         return (await asyncio.get_running_loop().create_connection(Caller, *where))[1]
 
     async def __aenter__(self) -> Service:
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -521,7 +521,7 @@
     async with Service(tmp_path, host) as service:
         process = await service.start()
         loop = asyncio.get_running_loop()
-        where = service.text["listen"].split(":")
+        where = service.configuration["listen"].split(":")
         where = (where[0], int(where[1]))
         descriptors, replies, over = [], [], asyncio.Event()
         folder = f"/proc/{process.pid}/fd"
@@ -556,7 +556,7 @@
         took = await asyncio.wait_for(asyncio.gather(*(rest(kinds[n % 4]) for n in range(1_000))), 50)
         over.set()
         await asking
-        assert len(took) == 1_000 and max(descriptors) <= service.text["limits"]["sockets"]
+        assert len(took) == 1_000 and max(descriptors) <= service.configuration["limits"]["sockets"]
         assert sum(span > 3.5 for span in took) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
         assert b"ok" in kinds and kinds <= {
@@ -573,7 +573,7 @@
     host = await FakeHost("a").listen()
     async with Service(tmp_path, host) as service:
         process = await service.start()
-        where = tuple(service.text["listen"].split(":"))
+        where = tuple(service.configuration["listen"].split(":"))
         where = (where[0], int(where[1]))
         loop = asyncio.get_running_loop()
         rig = type("Loop", (), {"loop": loop})
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -63,7 +63,7 @@
     async with Registry(tmp_path) as registry, Service(tmp_path, await FakeHost("a").listen()) as service:
         node = await registry.service().start("--new", "--metrics")
         assert (await node.put("s-1")).status == 200
-        service.text["metrics"] = metrics_address
+        service.configuration["metrics"] = metrics_address
         await service.start()
         client = await service.caller()
         client.call()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -33,8 +33,8 @@
     plan = SITE["packages"][0]
     low_quota = [plan | {"perSecond": 0.1, "peakUnits": 4.0}]
     async with Service(tmp_path, hosts[0], packages=low_quota) as service:
-        service.text["metrics"] = address
-        service.text["known"]["hosts"].append(hosts[1].line(site="nowhere"))
+        service.configuration["metrics"] = address
+        service.configuration["known"]["hosts"].append(hosts[1].line(site="nowhere"))
         await service.start()
         before = await scrape(address)
         caller = await service.caller()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -38,7 +38,10 @@
     discovery = "{}:{}".format(*server.sockets[0].getsockname())
     async with Service(folder, discovery=discovery, balancers=size) as service:
         peers = [f"127.0.1.{1 + i % 200}:{20_000 + i // 200}" for i in range(size - 1)]
-        service.text |= {"peers": [service.text["peer_listen"], *peers], "known": full_list(1)}
+        service.configuration |= {
+            "peers": [service.configuration["peer_listen"], *peers],
+            "known": full_list(1),
+        }
         process = await service.start()
         client, longest, number = await service.caller(), 0.0, 0
         while len(agent.asked) <= len(lists) or number < 40:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,7 @@
 
 
 def handover_socket_path(service: Service):
-    return service.folder / "saffrongw-{}-{}.sock".format(*service.text["listen"].split(":"))
+    return service.folder / "saffrongw-{}-{}.sock".format(*service.configuration["listen"].split(":"))
 
 
 async def send_request(service: Service, number: bytes = b"id1"):
@@ -151,7 +151,7 @@
     sock = socket.socket(socket.AF_UNIX)
     sock.settimeout(5)
     sock.connect(str(handover_socket_path(service)))
-    host, port = service.text["listen"].split(":")
+    host, port = service.configuration["listen"].split(":")
     sock.sendall(json.dumps({"version": version, "listen": [host, int(port)]}).encode() + b"\n")
     return sock
 
@@ -282,7 +282,7 @@
         )
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
-        service.text["discovery"] = where[1]
+        service.configuration["discovery"] = where[1]
         await service.start(ready=False)
         await until(lambda: len(agents[1].asked) >= 2, within=20)
         while not (await service.say(b"HEALTH")).startswith("done"):
