--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -109,14 +109,14 @@
 
     def run(self, span: int) -> list[api.Action]:
         """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
-        end, done = self.now + span, []
+        end, actions = self.now + span, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.feed(api.TimerFired(first[1]))
+            actions += self.feed(api.TimerFired(first[1]))
         self.now = end
-        return done
+        return actions
 
     def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
         """Handles the arrival of a request from a client."""
@@ -316,9 +316,9 @@
         """Sends one command."""
         self.transport.write(hiredis.pack_command(words))
 
-    def call(self, kind="read", wait=2000, number=b"id1", more="") -> None:
+    def call(self, kind="read", wait=2000, number=b"id1", extra_terms="") -> None:
         """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
-        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{more}".encode()
+        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{extra_terms}".encode()
         if kind == "read":
             self.ask(b"CALL.GET", b"0000000000000007", number, terms)
         else:
@@ -335,11 +335,11 @@
 
     def __init__(self, *hosts: FakeHost, lines=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
-        known = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
+        host_list = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
         site = SITE | changes
-        text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
-        text |= {"limits": {"sockets": sockets}, "known": known, "settings": site}
-        self.config = config.parse(json.dumps(text))
+        configuration = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
+        configuration |= {"limits": {"sockets": sockets}, "known": host_list, "settings": site}
+        self.config = config.parse(json.dumps(configuration))
         self.driver = Driver(self.config.settings, self.config.seed, self.loop)
         # With one or two hosts the latency limit would refuse most requests that these tests keep open.
         self.driver.gateway._latency_limit = lambda request: float("inf")
@@ -384,10 +384,10 @@
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
         self.folder, self.processes = folder, []
-        known = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
+        host_list = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
         peers = [free_address(), free_address()]
         self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
-        self.configuration |= {"limits": {"sockets": 256}, "known": known, "settings": SITE | changes}
+        self.configuration |= {"limits": {"sockets": 256}, "known": host_list, "settings": SITE | changes}
         self.configuration |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
@@ -422,8 +422,8 @@
 
     async def caller(self) -> Caller:
         """Opens a client's connection."""
-        where = config.address(self.configuration["listen"])
-        return (await asyncio.get_running_loop().create_connection(Caller, *where))[1]
+        address = config.address(self.configuration["listen"])
+        return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
 
     async def __aenter__(self) -> Service:
         return self
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -35,7 +35,7 @@
 async def test_host_receives_the_command_with_only_the_timeout_changed():
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
-    caller.call("put", wait=1500, number=b"id9", more=",r=1")
+    caller.call("put", wait=1500, number=b"id9", extra_terms=",r=1")
     assert await caller.replied() == [b"ok"]
     command, customer, number, terms, body = host.commands[0]
     assert (command, customer, number, body) == (b"CALL.POST", b"0000000000000007", b"id9", b"BODY")
