--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -109,7 +109,8 @@
 
     def run(self, span: int) -> list[api.Action]:
         """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
-        end, actions = self.now + span, []
+        end = self.now + span
+        actions: list[api.Action] = []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
@@ -138,10 +139,14 @@
     STEP = 1_000  # microseconds by which the clock advances
 
     def __init__(self, gateways: int, seed=1, loss=0.0, servers=4, **changes) -> None:
-        self.random, self.loss, self.request_count, self.messages = random.Random(seed), loss, 0, 0
+        self.random = random.Random(seed)
+        self.loss = loss
+        self.request_count = 0
+        self.messages = 0
         changes |= {"gateways": gateways}
         self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
-        self.now, self.dead = T0, set()
+        self.now = T0
+        self.dead: set[int] = set()
         self.in_flight: list[tuple[int, int, int, bytes]] = []  # arrival, sender, receiver, body
         self.answers: dict[int, api.Action] = {}  # by request: Send, Refuse or Fail
         for rank, bench in enumerate(self.benches):
@@ -176,10 +181,8 @@
                 bench.now = bench.now if rank in self.dead else self.now
                 if rank not in self.dead and bench.timers and min(bench.timers)[0] <= self.now:
                     self._execute(rank, bench.run(0))
-            due, self.in_flight = (
-                [m for m in self.in_flight if m[0] <= self.now],
-                [m for m in self.in_flight if m[0] > self.now],
-            )
+            due = [message for message in self.in_flight if message[0] <= self.now]
+            self.in_flight = [message for message in self.in_flight if message[0] > self.now]
             for _, sender, rank, body in due:
                 if rank not in self.dead:
                     self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
@@ -255,7 +258,8 @@
     """
 
     def __init__(self, host: FakeHost) -> None:
-        self.host, self.reader = host, hiredis.Reader()
+        self.host = host
+        self.reader = hiredis.Reader()
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -280,7 +284,9 @@
     """A host that listens on loopback and records the commands of all its connections."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.commands, self.connections = name, [], []
+        self.name = name
+        self.commands = []
+        self.connections = []
         self.script = lambda command: b"*3\r\n$2\r\nok\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
 
     async def listen(self) -> FakeHost:
@@ -299,7 +305,9 @@
     """A client's connection to the gateway; collects the parsed replies."""
 
     def __init__(self) -> None:
-        self.reader, self.replies, self.closed = hiredis.Reader(), [], False
+        self.reader = hiredis.Reader()
+        self.replies = []
+        self.closed = False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -383,7 +391,8 @@
     """Gateway processes that take over one address from each other and share one $TMPDIR."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
-        self.folder, self.processes = folder, []
+        self.folder = folder
+        self.processes = []
         host_list = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
         peers = [free_address(), free_address()]
         self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
