--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -28,90 +28,90 @@
     """A clock that jumps to what is due next."""
 
     def __init__(self) -> None:
-        self.time, self.heap, self.number = 0.0, [], itertools.count()
+        self.time, self.queue, self.sequence = 0.0, [], itertools.count()
 
     def now(self) -> float:
         return self.time
 
-    def later(self, span, call, *args) -> None:
-        heapq.heappush(self.heap, (self.time + span, next(self.number), call, args))
+    def call_later(self, delay, callback, *args) -> None:
+        heapq.heappush(self.queue, (self.time + delay, next(self.sequence), callback, args))
 
     def run(self) -> None:
-        while self.heap:
-            self.time, _, call, args = heapq.heappop(self.heap)
-            call(*args)
+        while self.queue:
+            self.time, _, callback, args = heapq.heappop(self.queue)
+            callback(*args)
 
 
 def erlang_c(servers: int, load: float) -> float:
     """The chance to wait in M/M/c at an offered load in erlangs (Erlang's C formula)."""
     terms = [load**k / math.factorial(k) for k in range(servers)]
-    last = load**servers / math.factorial(servers) * servers / (servers - load)
-    return last / (sum(terms) + last)
+    last_term = load**servers / math.factorial(servers) * servers / (servers - load)
+    return last_term / (sum(terms) + last_term)
 
 
-@pytest.mark.parametrize(("servers", "use"), [(1, 0.5), (1, 0.8), (4, 0.7), (4, 0.9), (16, 0.85)])
-def test_waits_are_those_of_m_m_c_and_littles_law_holds(servers, use):
+@pytest.mark.parametrize(("servers", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.7), (4, 0.9), (16, 0.85)])
+def test_waiting_times_follow_m_m_c_and_littles_law(servers, utilization):
     """Mean wait within 6% and five standard errors of the formula, over 120,000 requests."""
-    clock, draw, mean = Clock(), np.random.default_rng(7), 0.05
-    machine = Machine(slots=servers, waiting=10**9, usual_work=mean, exponential=True)
-    station = Station(machine, np.random.default_rng(8), clock.now, clock.later)
-    rate, waits, area, last = servers * use / mean, [], 0.0, 0.0
-
-    def arrive(left: int) -> None:
-        nonlocal area, last
-        area += len(station.queue) * (clock.time - last)
-        last = clock.time
-        came = clock.time
-
-        def begun() -> None:
-            nonlocal area, last
-            area += (len(station.queue) + (clock.time > came)) * (clock.time - last)
-            last = clock.time
-            waits.append(clock.time - came)
-
-        station.offer(Ticket(b"x", b"%d" % left, math.inf, lambda how: None, begun))
-        if left:
-            clock.later(float(draw.exponential(1 / rate)), arrive, left - 1)
+    clock, generator, mean_work = Clock(), np.random.default_rng(7), 0.05
+    machine = Machine(slots=servers, waiting=10**9, usual_work=mean_work, exponential=True)
+    station = Station(machine, np.random.default_rng(8), clock.now, clock.call_later)
+    rate, waits, queue_area, last_change = servers * utilization / mean_work, [], 0.0, 0.0
+
+    def arrive(remaining: int) -> None:
+        nonlocal queue_area, last_change
+        queue_area += len(station.queue) * (clock.time - last_change)
+        last_change = clock.time
+        arrived_at = clock.time
+
+        def on_begun() -> None:
+            nonlocal queue_area, last_change
+            queue_area += (len(station.queue) + (clock.time > arrived_at)) * (clock.time - last_change)
+            last_change = clock.time
+            waits.append(clock.time - arrived_at)
+
+        station.offer(Ticket(b"x", b"%d" % remaining, math.inf, lambda outcome: None, on_begun))
+        if remaining:
+            clock.call_later(float(generator.exponential(1 / rate)), arrive, remaining - 1)
 
     arrive(120_000)
     clock.run()
-    expected = erlang_c(servers, servers * use) * mean / (servers * (1 - use))
-    assert np.mean(waits) == pytest.approx(expected, rel=0.06 if use < 0.9 else 0.15)
-    assert area / clock.time == pytest.approx(np.mean(waits) * len(waits) / clock.time, rel=0.01)
+    expected = erlang_c(servers, servers * utilization) * mean_work / (servers * (1 - utilization))
+    assert np.mean(waits) == pytest.approx(expected, rel=0.06 if utilization < 0.9 else 0.15)
+    assert queue_area / clock.time == pytest.approx(np.mean(waits) * len(waits) / clock.time, rel=0.01)
     assert station.seen.begun == station.seen.served == len(waits) == 120_001
 
 
-def test_every_request_is_told_once_how_it_ended():
-    clock, told = Clock(), []
+def test_each_ticket_reports_its_outcome_exactly_once():
+    clock, outcomes = Clock(), []
     machine = Machine(slots=2, waiting=5, usual_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
-    station = Station(machine, np.random.default_rng(1), clock.now, clock.later)
-    tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, told.append) for i in range(100)]
+    station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
+    tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, outcomes.append) for i in range(100)]
     for i, ticket in enumerate(tickets):
-        clock.later(0.02 * i, station.offer, ticket)
-    clock.later(1.0, lambda: given.append(station.give_up(station.queue[0])))
-    given: list[bool] = []
+        clock.call_later(0.02 * i, station.offer, ticket)
+    clock.call_later(1.0, lambda: removed.append(station.give_up(station.queue[0])))
+    removed: list[bool] = []
     clock.run()
-    ends = {how: told.count(how) for how in (SERVED, FAILED, FULL, LATE)}
-    assert given == [True] and sum(ends.values()) == 99
-    assert all(ends.values())
+    counts = {outcome: outcomes.count(outcome) for outcome in (SERVED, FAILED, FULL, LATE)}
+    assert removed == [True] and sum(counts.values()) == 99
+    assert all(counts.values())
     seen = station.seen
-    assert (seen.served, seen.failed) == (ends[SERVED], ends[FAILED])
+    assert (seen.served, seen.failed) == (counts[SERVED], counts[FAILED])
     assert seen.begun == seen.served + seen.failed and station.running == 0
     assert 0 < seen.ran_twice < 10
 
 
-def test_a_restart_loses_what_ran_and_is_cold_again():
-    clock, told = Clock(), []
+def test_restarted_station_is_cold_and_drops_running_requests():
+    clock, outcomes = Clock(), []
     machine = Machine(slots=1, usual_work=1.0, spread=0.0, cold_from=0.5, warm_within=10.0)
-    station = Station(machine, np.random.default_rng(1), clock.now, clock.later)
+    station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     clock.time = 20.0
     assert station.speed() == 1.0
-    station.offer(Ticket(b"x", b"1", math.inf, told.append))
+    station.offer(Ticket(b"x", b"1", math.inf, outcomes.append))
     station.restart()
     assert station.speed() == 0.5
-    station.offer(Ticket(b"x", b"1", math.inf, lambda how: told.append((how, clock.time))))
+    station.offer(Ticket(b"x", b"1", math.inf, lambda outcome: outcomes.append((outcome, clock.time))))
     clock.run()
-    assert told == [(SERVED, 22.0)]
+    assert outcomes == [(SERVED, 22.0)]
 
 
 # -- the virtual world --------------------------------------------------------------------------------------
@@ -126,9 +126,9 @@
 )
 
 
-def trouble(what: str, **more) -> scenario.Trouble:
+def trouble(what: str, **fields) -> scenario.Trouble:
     """One in the middle of a small run."""
-    return scenario.Trouble(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **more)
+    return scenario.Trouble(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **fields)
 
 
 TROUBLES = [
@@ -147,20 +147,20 @@
 
 
 @pytest.mark.parametrize("troubles", TROUBLES, ids=lambda rows: rows[0].what)
-def test_a_run_is_the_same_to_the_byte_breaks_no_rule_and_conserves_requests(troubles):
+def test_run_is_deterministic_breaks_no_rule_and_conserves_requests(troubles):
     first = play(troubles)
     assert json.dumps(first) == json.dumps(play(troubles))
     assert json.dumps(first) != json.dumps(play(troubles, seed=2))
     assert first["broken"] == {} and first["counts"].get("unanswered_by_decider", 0) == 0
     total = first["total"]
-    ends = ("served", "refused", "failed", "gateway_died", "gateway_down", "open_at_the_end")
-    assert sum(total.get(name, 0) for name in ends) == total["sent"]
+    outcomes = ("served", "refused", "failed", "gateway_died", "gateway_down", "open_at_the_end")
+    assert sum(total.get(name, 0) for name in outcomes) == total["sent"]
     assert sum(first["attempts_by_outcome"].values()) <= first["counts"]["attempts"]
     assert total["served"] <= first["hosts"]["begun"]
     assert play(troubles, variant="oracle")["total"]["first_tries"] == total["first_tries"]  # paired by seed
 
 
-def test_the_troubles_do_what_they_say():
+def test_troubles_have_their_intended_effects():
     calm = play()
     died = play(TROUBLES[0])["total"]
     assert died["gateway_died"] > 0 and died["gateway_down"] > 0 and "gateway_died" not in calm["total"]
@@ -174,28 +174,28 @@
     assert cut["counts"]["messages_heard"] < 0.85 * cut["counts"]["messages"]
 
 
-def test_the_gateway_beats_each_baseline_where_that_is_weak_and_the_oracle_is_the_ceiling():
+def test_gateway_beats_each_baseline_in_its_weak_case_and_oracle_is_the_upper_bound():
     """Even splits refuse customers whose requests come unevenly, whole quotas let greedy ones through."""
-    plain = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
-    greedy = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
+    normal = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
+    greedy_customers = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
     names = ("birchdrum", "whole-quota", "oracle")
-    pressed = {name: play(variant=name, lasts=Duration("12s"), customers=greedy) for name in names}
+    greedy = {name: play(variant=name, lasts=Duration("12s"), customers=greedy_customers) for name in names}
     for name in ("even-split", "round-robin", "two-choices"):
-        assert plain["birchdrum"]["score"] > plain[name]["score"]
-    assert pressed["birchdrum"]["score"] > pressed["whole-quota"]["score"] + 0.05
-    for results in (plain, pressed):
+        assert normal["birchdrum"]["score"] > normal[name]["score"]
+    assert greedy["birchdrum"]["score"] > greedy["whole-quota"]["score"] + 0.05
+    for results in (normal, greedy):
         assert results["oracle"]["score"] + 0.01 > results["birchdrum"]["score"]
-        beyond = {
+        beyond_parts = {
             name: result["units"]["beyond"] / result["units"]["sent"] for name, result in results.items()
         }
-        assert beyond["oracle"] == 0 and beyond["birchdrum"] < 0.5 * beyond["whole-quota"]
+        assert beyond_parts["oracle"] == 0 and beyond_parts["birchdrum"] < 0.5 * beyond_parts["whole-quota"]
 
 
-class Faulty:
+class FaultyGateway:
     """A decider that breaks one rule on purpose."""
 
-    def __init__(self, settings, world, how: str) -> None:
-        self.settings, self.world, self.how = settings, world, how
+    def __init__(self, settings, world, rule: str) -> None:
+        self.settings, self.world, self.rule = settings, world, rule
         self.hosts: list[bytes] = []
 
     def start(self):
@@ -206,21 +206,21 @@
             self.hosts += [entry.server for entry in event.entries if entry.server not in self.hosts]
         if not isinstance(event, api.RequestArrived):
             return []
-        number = event.request
-        sends = [api.Send(number, host, 0) for host in self.hosts[:2]]
-        if self.how == "ran twice":
+        request = event.request
+        sends = [api.Send(request, host, 0) for host in self.hosts[:2]]
+        if self.rule == "ran twice":
             return sends
-        if self.how == "served by no host":
-            self.world.nodes[self.settings.rank].calls.pop(number)
-            self.world.answer(number, "served", 0)
+        if self.rule == "served by no host":
+            self.world.nodes[self.settings.rank].calls.pop(request)
+            self.world.answer(request, "served", 0)
             return []
-        if self.how == "answered twice":
-            self.world.answer(number, "refused", 0)
-            return [api.Refuse(number, 0)]
-        if self.how == "lost":
-            self.world.nodes[self.settings.rank].calls.pop(number)
+        if self.rule == "answered twice":
+            self.world.answer(request, "refused", 0)
+            return [api.Refuse(request, 0)]
+        if self.rule == "lost":
+            self.world.nodes[self.settings.rank].calls.pop(request)
             return []
-        if self.how == "datagram too long":
+        if self.rule == "datagram too long":
             return [api.SendPeerMessage(0, bytes(257)), *sends[:1]]
         return sends[:1]  # to the first host, drained or not
 
@@ -236,11 +236,11 @@
 
 
 @pytest.mark.parametrize("rule", BREACHES)
-def test_the_judge_finds_each_breach_with_its_time_request_and_gateway(rule):
-    once = [replace(kind, effect="once") for kind in SMALL.kinds]
-    drained = [trouble("drain-hosts", share=1.0)] if rule == "sent after a drain" else []
-    small = replace(SMALL, kinds=once, troubles=drained)
-    world = virtual.World(small, 1, lambda settings, seed, now, world: Faulty(settings, world, rule))
+def test_judge_reports_each_breach_with_time_request_and_gateway(rule):
+    once_kinds = [replace(kind, effect="once") for kind in SMALL.kinds]
+    troubles = [trouble("drain-hosts", share=1.0)] if rule == "sent after a drain" else []
+    small = replace(SMALL, kinds=once_kinds, troubles=troubles)
+    world = virtual.World(small, 1, lambda settings, seed, now, world: FaultyGateway(settings, world, rule))
     result = world.run()
     assert set(result["broken"]) == {rule}
     breach = result["breaches"][0]
@@ -248,7 +248,7 @@
     assert rule == "datagram too long" or breach["request"] > 0
 
 
-def test_beyond_a_quota_is_counted_by_the_judges_own_store():
+def test_judge_counts_units_beyond_quota_with_its_own_token_bucket():
     """One customer, five units at once, a store of two: three are beyond."""
     plan = scenario.Plan(name="p", rate=0.001, burst=2.0)
     judged = judge.Judge(replace(SMALL, plans=[plan]))
@@ -260,7 +260,7 @@
     assert judged.total["more_attempts"] == 5
 
 
-IMPOSSIBLE = [
+INVALID_SCENARIOS = [
     ('name = "Z z"', "1 to 48 small letters"),
     ("[hosts]\ncount = 0", "hosts.count = 0"),
     ('[[troubles]]\nwhat = "flood"\nat = "1s"\nlasts = "1s"', "expected one of kill-gateways"),
@@ -274,23 +274,23 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "said"), IMPOSSIBLE)
-def test_an_impossible_scenario_is_told_in_one_line(tmp_path, change, said):
-    raw = tomllib.loads(scenario.shipped()["calm"].read_text()) | {"troubles": []}
+@pytest.mark.parametrize(("change", "message"), INVALID_SCENARIOS)
+def test_invalid_scenario_is_reported_in_one_line(tmp_path, change, message):
+    fields = tomllib.loads(scenario.shipped()["calm"].read_text()) | {"troubles": []}
     for key, value in tomllib.loads(change).items():
-        raw[key] = raw.get(key, {}) | value if isinstance(value, dict) else value
+        fields[key] = fields.get(key, {}) | value if isinstance(value, dict) else value
     file = tmp_path / "s.toml"
-    file.write_text(tomlkit.dumps(raw))
+    file.write_text(tomlkit.dumps(fields))
     [line] = refused("lab", "run", file)
-    assert line.startswith(f"{file}: ") and said in line
+    assert line.startswith(f"{file}: ") and message in line
 
 
-def test_scenarios_that_ship_can_be_played_and_the_command_tells_a_line_each():
+def test_shipped_scenarios_are_valid_and_listed():
     listed = run("lab", "list").stdout
     assert len(scenario.shipped()) >= 7 and all(name in listed for name in scenario.shipped())
     for file in scenario.shipped().values():
-        found = scenario.load(file)
-        assert found.name == file.stem and 0.3 < scenario.use(found) < 0.9
+        loaded = scenario.load(file)
+        assert loaded.name == file.stem and 0.3 < scenario.use(loaded) < 0.9
     assert refused("lab", "run", "calm", "--variant", "x")[0].startswith("no variant 'x'")
     assert "set" in refused("lab", "run", "calm", "--gateways", "2")[0]
 
@@ -298,75 +298,89 @@
 # -- experiments --------------------------------------------------------------------------------------------
 
 
-def tiny(tmp_path, name="tiny") -> Path:
+def short_scenario(tmp_path, name="tiny") -> Path:
     """A scenario that takes a moment."""
-    small = replace(SMALL, name=name, lasts=Duration("2s"), troubles=[])
+    short = replace(SMALL, name=name, lasts=Duration("2s"), troubles=[])
     file = tmp_path / f"{name}.toml"
-    file.write_text(tomlkit.dumps(to_plain(small)))
+    file.write_text(tomlkit.dumps(to_plain(short)))
     return file
 
 
-def test_an_experiment_is_paired_kept_resumed_and_played_again_from_a_file(tmp_path):
+def test_experiment_is_paired_stored_resumed_and_replayed_from_a_file(tmp_path):
     out = tmp_path / "out"
-    words = ("lab", "compare", tiny(tmp_path), "--seeds", "1-2", "--variant", "birchdrum", "--out", out)
-    first = run(*words, "--variant", "oracle", "--against", "HEAD")
+    command = (
+        "lab",
+        "compare",
+        short_scenario(tmp_path),
+        "--seeds",
+        "1-2",
+        "--variant",
+        "birchdrum",
+        "--out",
+        out,
+    )
+    first = run(*command, "--variant", "oracle", "--against", "HEAD")
     assert first.returncode == 0, first.stderr
     rows = first.stdout.splitlines()
     assert [" over 2 pairs" in row for row in rows] == [False, True, True]
     assert (
-        "+0.0000 [+0.0000, +0.0000]" in rows[2] or GIT_ALTERED
+        "+0.0000 [+0.0000, +0.0000]" in rows[2] or NO_EXACT_REVISION
     )  # the same decisions, from a checkout of HEAD
     files = sorted(out.glob("*.json"))
     assert len(files) == 6
     against = json.loads(next(file for file in files if "against" in file.name).read_text())
     assert "path0" in against["decisions_from"] and against["versions"]["numpy"]
     files[0].write_text(files[0].read_text()[:100])  # half written
-    second = run(*words, "--variant", "oracle", "--against", "HEAD")
+    second = run(*command, "--variant", "oracle", "--against", "HEAD")
     assert second.returncode == 0 and second.stdout.splitlines()[:3] == rows
-    if not GIT_ALTERED:  # results of an altered program are never taken for another's
+    if not NO_EXACT_REVISION:  # results of an altered program are never taken for another's
         assert "5 of 6 plays were kept" in second.stdout
-    same = run("lab", "again", files[0])
-    assert same.returncode == 0 and ": the same, score " in same.stdout
-    whole = json.loads(files[0].read_text())
-    whole["result"]["score"] = 0.5
-    files[0].write_text(json.dumps(whole))
+    replayed = run("lab", "again", files[0])
+    assert replayed.returncode == 0 and ": the same, score " in replayed.stdout
+    stored = json.loads(files[0].read_text())
+    stored["result"]["score"] = 0.5
+    files[0].write_text(json.dumps(stored))
     assert run("lab", "again", files[0]).returncode == 1
     files[0].write_text("{}")
     assert refused("lab", "again", files[0]) == [f"{files[0]}: is no whole result"]
 
 
-GIT_ALTERED = experiment.revision().endswith("-altered") or not experiment.revision()
+NO_EXACT_REVISION = experiment.revision().endswith("-altered") or not experiment.revision()
 
 
-def test_a_play_that_breaks_is_told_and_the_others_go_on(tmp_path):
+def test_failed_play_is_reported_and_the_others_continue(tmp_path):
     """The decisions of the revision before there were any: its plays fail, ours are kept."""
     out = tmp_path / "out"
-    first = subprocess.run(
+    root_commit = subprocess.run(
         ["git", "rev-list", "--max-parents=0", "HEAD"], cwd=experiment.ROOT, capture_output=True, text=True
     ).stdout.split()[0]
-    broken = run("lab", "compare", tiny(tmp_path), "--seeds", "1", "--against", first, "--out", out)
-    lines = broken.stderr.splitlines()
-    if broken.returncode:  # where that revision's interface is not today's
-        assert len(lines) == 1 and f"against:{first[:12]}" in lines[0] and "Traceback" not in lines[0]
-    assert len(list(out.glob("*.json"))) >= 1 and "score" in broken.stdout
-    nothing = refused("lab", "compare", tiny(tmp_path), "--against", "no-such-revision", "--out", out)
-    assert nothing == ["--against no-such-revision: no such revision here"]
-    assert "expected numbers" in refused("lab", "compare", tiny(tmp_path), "--seeds", "a")[0]
-
-
-def test_intervals_cover_the_median_they_are_of():
+    compared = run(
+        "lab", "compare", short_scenario(tmp_path), "--seeds", "1", "--against", root_commit, "--out", out
+    )
+    lines = compared.stderr.splitlines()
+    if compared.returncode:  # where that revision's interface is not today's
+        assert len(lines) == 1 and f"against:{root_commit[:12]}" in lines[0] and "Traceback" not in lines[0]
+    assert len(list(out.glob("*.json"))) >= 1 and "score" in compared.stdout
+    errors = refused(
+        "lab", "compare", short_scenario(tmp_path), "--against", "no-such-revision", "--out", out
+    )
+    assert errors == ["--against no-such-revision: no such revision here"]
+    assert "expected numbers" in refused("lab", "compare", short_scenario(tmp_path), "--seeds", "a")[0]
+
+
+def test_confidence_intervals_cover_the_median():
     """Of 200 samples of a skewed law 95% intervals should cover its median in about 95%."""
-    draw, covered = np.random.default_rng(5), 0
+    generator, covered = np.random.default_rng(5), 0
     for _ in range(200):
-        low, high = experiment.interval(draw.exponential(1.0, 12).tolist())
+        low, high = experiment.interval(generator.exponential(1.0, 12).tolist())
         covered += low <= math.log(2) <= high
     assert 170 <= covered <= 200
     assert experiment.interval([0.1, 0.3]) == (0.1, 0.3) and experiment.interval([]) == (0.0, 0.0)
 
 
-def test_programs_that_choose_ports_at_once_never_choose_the_same():
+def test_concurrent_processes_never_allocate_the_same_port():
     code = "from lab import ports; print(*[p for _ in range(60) for p in ports.allocate(3)])"
-    words = [sys.executable, "-c", code]
-    choosers = [subprocess.Popen(words, cwd=experiment.ROOT, stdout=subprocess.PIPE) for _ in range(6)]
-    chosen = [int(word) for chooser in choosers for word in chooser.communicate(timeout=60)[0].split()]
-    assert len(chosen) == len(set(chosen)) == 6 * 180
+    command = [sys.executable, "-c", code]
+    processes = [subprocess.Popen(command, cwd=experiment.ROOT, stdout=subprocess.PIPE) for _ in range(6)]
+    allocated = [int(word) for process in processes for word in process.communicate(timeout=60)[0].split()]
+    assert len(allocated) == len(set(allocated)) == 6 * 180
