--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -28,7 +28,9 @@
     """A clock that jumps to what is due next."""
 
     def __init__(self) -> None:
-        self.time, self.queue, self.sequence = 0.0, [], itertools.count()
+        self.time = 0.0
+        self.queue = []
+        self.sequence = itertools.count()
 
     def now(self) -> float:
         return self.time
@@ -52,10 +54,15 @@
 @pytest.mark.parametrize(("servers", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.7), (4, 0.9), (16, 0.85)])
 def test_waiting_times_follow_m_m_c_and_littles_law(servers, utilization):
     """Mean wait within 6% and five standard errors of the formula, over 120,000 requests."""
-    clock, generator, mean_work = Clock(), np.random.default_rng(7), 0.05
+    clock = Clock()
+    generator = np.random.default_rng(7)
+    mean_work = 0.05
     machine = Machine(slots=servers, waiting=10**9, usual_work=mean_work, exponential=True)
     station = Station(machine, np.random.default_rng(8), clock.now, clock.call_later)
-    rate, waits, queue_area, last_change = servers * utilization / mean_work, [], 0.0, 0.0
+    rate = servers * utilization / mean_work
+    waits = []
+    queue_area = 0.0
+    last_change = 0.0
 
     def arrive(remaining: int) -> None:
         nonlocal queue_area, last_change
@@ -82,7 +89,8 @@
 
 
 def test_each_ticket_reports_its_outcome_exactly_once():
-    clock, outcomes = Clock(), []
+    clock = Clock()
+    outcomes = []
     machine = Machine(slots=2, waiting=5, usual_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, outcomes.append) for i in range(100)]
@@ -101,7 +109,8 @@
 
 
 def test_restarted_station_is_cold_and_drops_running_requests():
-    clock, outcomes = Clock(), []
+    clock = Clock()
+    outcomes = []
     machine = Machine(slots=1, usual_work=1.0, spread=0.0, cold_from=0.5, warm_within=10.0)
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     clock.time = 20.0
@@ -195,7 +204,9 @@
     """A decider that breaks one rule on purpose."""
 
     def __init__(self, settings, world, rule: str) -> None:
-        self.settings, self.world, self.rule = settings, world, rule
+        self.settings = settings
+        self.world = world
+        self.rule = rule
         self.hosts: list[bytes] = []
 
     def start(self):
@@ -370,7 +381,8 @@
 
 def test_confidence_intervals_cover_the_median():
     """Of 200 samples of a skewed law 95% intervals should cover its median in about 95%."""
-    generator, covered = np.random.default_rng(5), 0
+    generator = np.random.default_rng(5)
+    covered = 0
     for _ in range(200):
         low, high = experiment.interval(generator.exponential(1.0, 12).tolist())
         covered += low <= math.log(2) <= high
