--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,7 @@
-"""Stand-ins: queueing laws hold in a station, and requests are conserved."""
+"""Tests of the simulator: simulated hosts, whole runs, the judge, and experiments.
+
+Simulated hosts must follow the laws of queueing theory, and runs must conserve requests.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 class Clock:
-    """A clock that jumps to what is due next."""
+    """A simulated clock that jumps to the next scheduled callback."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -45,7 +48,7 @@
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The chance to wait in M/M/c at an offered load in erlangs (Erlang's C formula)."""
+    """Returns the probability of waiting in M/M/c at an offered load in erlangs (Erlang C formula)."""
     terms = [load**k / math.factorial(k) for k in range(servers)]
     last_term = load**servers / math.factorial(servers) * servers / (servers - load)
     return last_term / (sum(terms) + last_term)
@@ -53,7 +56,7 @@
 
 @pytest.mark.parametrize(("servers", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.7), (4, 0.9), (16, 0.85)])
 def test_waiting_times_follow_m_m_c_and_littles_law(servers, utilization):
-    """Mean wait within 6% and five standard errors of the formula, over 120,000 requests."""
+    """Over 120,000 requests the mean wait is within 6% and five standard errors of the Erlang C formula."""
     clock = Clock()
     generator = np.random.default_rng(7)
     mean_work = 0.05
@@ -123,7 +126,7 @@
     assert outcomes == [(SERVED, 22.0)]
 
 
-# -- the virtual world --------------------------------------------------------------------------------------
+# -- simulated runs --------------------------------------------------------------------------------------
 
 SMALL = scenario.load(scenario.shipped()["calm"])
 SMALL = replace(
@@ -136,7 +139,7 @@
 
 
 def trouble(what: str, **fields) -> scenario.Trouble:
-    """One in the middle of a small run."""
+    """Returns a trouble (an injected fault or load change) in the middle of a small run."""
     return scenario.Trouble(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **fields)
 
 
@@ -151,7 +154,7 @@
 
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
-    """One run's result."""
+    """Runs the small scenario with changes; returns the result."""
     return runs.Play(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
@@ -184,7 +187,11 @@
 
 
 def test_gateway_beats_each_baseline_in_its_weak_case_and_oracle_is_the_upper_bound():
-    """Even splits refuse customers whose requests come unevenly, whole quotas let greedy ones through."""
+    """Baselines fail in opposite ways.
+
+    Splitting quotas evenly refuses customers whose requests are uneven across gateways; whole quotas at each
+    gateway let customers exceed theirs.
+    """
     normal = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
     greedy_customers = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
     names = ("birchdrum", "whole-quota", "oracle")
@@ -201,7 +208,7 @@
 
 
 class FaultyGateway:
-    """A decider that breaks one rule on purpose."""
+    """A decision core that deliberately violates one of the judge's rules."""
 
     def __init__(self, settings, world, rule: str) -> None:
         self.settings = settings
@@ -233,7 +240,7 @@
             return []
         if self.rule == "datagram too long":
             return [api.SendPeerMessage(0, bytes(257)), *sends[:1]]
-        return sends[:1]  # to the first host, drained or not
+        return sends[:1]  # to the first host, even while it drains
 
 
 BREACHES = [
@@ -260,13 +267,13 @@
 
 
 def test_judge_counts_units_beyond_quota_with_its_own_token_bucket():
-    """One customer, five units at once, a store of two: three are beyond."""
+    """A customer sends five units at once with a burst of two: three exceed the quota."""
     plan = scenario.Plan(name="p", rate=0.001, burst=2.0)
     judged = judge.Judge(replace(SMALL, plans=[plan]))
     for number in range(5):
         judged.sent(0, number, judge.Try(7, 0, 0, 1.0, 0, 0), first=True)
         judged.reached(10, number, 0, "host-000")
-        judged.reached(20, number, 0, "host-001")  # a second attempt takes nothing more
+        judged.reached(20, number, 0, "host-001")  # a second attempt takes no further units
     assert judged.units["beyond"] == pytest.approx(3.0, abs=1e-6)
     assert judged.total["more_attempts"] == 5
 
@@ -310,7 +317,7 @@
 
 
 def short_scenario(tmp_path, name="tiny") -> Path:
-    """A scenario that takes a moment."""
+    """Writes a scenario of two seconds without troubles; returns its file."""
     short = replace(SMALL, name=name, lasts=Duration("2s"), troubles=[])
     file = tmp_path / f"{name}.toml"
     file.write_text(tomlkit.dumps(to_plain(short)))
@@ -336,15 +343,15 @@
     assert [" over 2 pairs" in row for row in rows] == [False, True, True]
     assert (
         "+0.0000 [+0.0000, +0.0000]" in rows[2] or NO_EXACT_REVISION
-    )  # the same decisions, from a checkout of HEAD
+    )  # unmodified code decides as HEAD does
     files = sorted(out.glob("*.json"))
     assert len(files) == 6
     against = json.loads(next(file for file in files if "against" in file.name).read_text())
     assert "path0" in against["decisions_from"] and against["versions"]["numpy"]
-    files[0].write_text(files[0].read_text()[:100])  # half written
+    files[0].write_text(files[0].read_text()[:100])  # truncated
     second = run(*command, "--variant", "oracle", "--against", "HEAD")
     assert second.returncode == 0 and second.stdout.splitlines()[:3] == rows
-    if not NO_EXACT_REVISION:  # results of an altered program are never taken for another's
+    if not NO_EXACT_REVISION:  # results of uncommitted code are never reused
         assert "5 of 6 plays were kept" in second.stdout
     replayed = run("lab", "again", files[0])
     assert replayed.returncode == 0 and ": the same, score " in replayed.stdout
@@ -360,7 +367,10 @@
 
 
 def test_failed_play_is_reported_and_the_others_continue(tmp_path):
-    """The decisions of the revision before there were any: its plays fail, ours are kept."""
+    """Compares with the repository's first revision.
+
+    Where its interface is incompatible, its plays fail and are reported; the other plays are stored.
+    """
     out = tmp_path / "out"
     root_commit = subprocess.run(
         ["git", "rev-list", "--max-parents=0", "HEAD"], cwd=experiment.ROOT, capture_output=True, text=True
@@ -369,7 +379,7 @@
         "lab", "compare", short_scenario(tmp_path), "--seeds", "1", "--against", root_commit, "--out", out
     )
     lines = compared.stderr.splitlines()
-    if compared.returncode:  # where that revision's interface is not today's
+    if compared.returncode:
         assert len(lines) == 1 and f"against:{root_commit[:12]}" in lines[0] and "Traceback" not in lines[0]
     assert len(list(out.glob("*.json"))) >= 1 and "score" in compared.stdout
     errors = refused(
@@ -380,7 +390,7 @@
 
 
 def test_confidence_intervals_cover_the_median():
-    """Of 200 samples of a skewed law 95% intervals should cover its median in about 95%."""
+    """Over 200 samples of a skewed distribution, about 95% of the 95% intervals must cover its median."""
     generator = np.random.default_rng(5)
     covered = 0
     for _ in range(200):
