--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -235,7 +235,7 @@
 
 
 def asyncio_test(function):
-    """Runs a test on uvloop, as the gateway runs, with a timeout of one minute."""
+    """Runs a test on uvloop, the gateway's event loop, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -56,7 +56,10 @@
 
 @pytest.mark.parametrize(("servers", "utilization"), [(1, 0.5), (1, 0.8), (4, 0.7), (4, 0.9), (16, 0.85)])
 def test_waiting_times_follow_m_m_c_and_littles_law(servers, utilization):
-    """Over 120,000 requests the mean wait is within 6% and five standard errors of the Erlang C formula."""
+    """Over 120,000 requests the mean wait is within 6% and five standard errors of the Erlang C formula.
+
+    At a utilization of 0.9 the tolerance is 15%.
+    """
     clock = Clock()
     generator = np.random.default_rng(7)
     mean_work = 0.05
@@ -189,8 +192,8 @@
 def test_gateway_beats_each_baseline_in_its_weak_case_and_oracle_is_the_upper_bound():
     """Baselines fail in opposite ways.
 
-    Splitting quotas evenly refuses customers whose requests are uneven across gateways; whole quotas at each
-    gateway let customers exceed theirs.
+    Splitting quotas evenly refuses customers whose requests arrive unevenly; the whole quota at each gateway
+    lets greedy customers exceed it.
     """
     normal = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
     greedy_customers = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
@@ -341,9 +344,8 @@
     assert first.returncode == 0, first.stderr
     rows = first.stdout.splitlines()
     assert [" over 2 pairs" in row for row in rows] == [False, True, True]
-    assert (
-        "+0.0000 [+0.0000, +0.0000]" in rows[2] or NO_EXACT_REVISION
-    )  # unmodified code decides as HEAD does
+    # Unmodified code decides as the checkout of HEAD does.
+    assert "+0.0000 [+0.0000, +0.0000]" in rows[2] or NO_EXACT_REVISION
     files = sorted(out.glob("*.json"))
     assert len(files) == 6
     against = json.loads(next(file for file in files if "against" in file.name).read_text())
@@ -363,6 +365,7 @@
     assert refused("lab", "again", files[0]) == [f"{files[0]}: is no whole result"]
 
 
+# No commit identifies this code: it is modified, or there is no repository.
 NO_EXACT_REVISION = experiment.revision().endswith("-altered") or not experiment.revision()
 
 
