--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,9 @@
-"""Settings and shorthands for the tests: all figures here are made up."""
+"""Settings and helpers that the tests share.
+
+``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
+simulated network. ``Rig`` runs one gateway on loopback sockets within the test's process, ``Service``
+starts it as separate processes. The settings are examples.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +30,7 @@
 pytest_plugins = ["known_red"]
 
 SECOND = 1_000_000
-T0 = 1_000 * SECOND  # a clock time well after any start
+T0 = 1_000 * SECOND  # initial clock time; hosts with ``launched=0`` are long warm by then
 
 SAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.SAFE, api.Group.ALL, 0)
 KEYED_CELL = api.RequestClass(500_000, 4 * SECOND, 1.0, 0.0, api.Effect.KEYED, api.Group.CELL, SECOND)
@@ -33,16 +38,16 @@
 KEYED_ALL = dataclasses.replace(KEYED_CELL, group=api.Group.ALL)
 KEYED_ZONE = dataclasses.replace(KEYED_CELL, group=api.Group.ZONE)
 PLAIN = api.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CAPPED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CEILED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
-IDLE_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
+OPEN_LIMITED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CEILING_LIMITED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
+BEYOND_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
 
 SETTINGS = api.Settings(
     rank=0,
     gateways=3,
     zone=0,
     classes=(SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE),
-    plans=(PLAIN, CAPPED, CEILED, IDLE_EARNS),
+    plans=(PLAIN, OPEN_LIMITED, CEILING_LIMITED, BEYOND_EARNS),
     may_tell_peers=True,
     may_probe=True,
     may_cancel=True,
@@ -68,17 +73,17 @@
 
 
 def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
-    """A line of a server list."""
+    """Returns an entry of a server list."""
     return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
 def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
-    """News of discovery."""
+    """Returns an update of the server list, as discovery sends it."""
     return api.ServerListed(kind, 1, tuple(entries))
 
 
 class Bench:
-    """One gateway with a clock, its requests numbered from 1."""
+    """The decision core of one gateway with a simulated clock; records its actions and runs its timers."""
 
     def __init__(self, servers=4, now=T0, seed=1, **changes) -> None:
         self.now = now
@@ -86,112 +91,115 @@
         self.gateway = Gateway(self.settings, seed, now)
         self.log: list[api.Action] = list(self.gateway.start())
         self.timers: list[tuple[int, int]] = []
-        self._note(self.log)
+        self._record_timers(self.log)
         if servers:
             self.feed(listed(*(entry(i) for i in range(servers))))
 
-    def _note(self, actions) -> None:
+    def _record_timers(self, actions) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """One event now; the actions that it led to."""
+        """Handles an event at the current time; returns the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
-        self._note(actions)
+        self._record_timers(actions)
         self.log += actions
         return actions
 
     def run(self, span: int) -> list[api.Action]:
-        """Let time pass and the timers fire."""
-        end, done = self.now + span, []
+        """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
+        end = self.now + span
+        actions: list[api.Action] = []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.feed(api.TimerFired(first[1]))
+            actions += self.feed(api.TimerFired(first[1]))
         self.now = end
-        return done
+        return actions
 
     def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
-        """A client's request."""
+        """Handles the arrival of a request from a client."""
         return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
 
     def outcome(
         self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
     ):
-        """How an attempt ended."""
+        """Handles the end of an attempt; by default only a served one has been answered."""
         if answered is None:
             answered = outcome is api.Outcome.SERVED
         return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
 
 
 class Fleet:
-    """Gateways that hear each other a while later; hosts answer each request at once."""
+    """Gateways that exchange delayed messages; hosts answer each request immediately."""
 
-    LATER = 10_000  # microseconds until a message arrives
-    STEP = 1_000
+    MESSAGE_DELAY = 10_000  # microseconds
+    STEP = 1_000  # microseconds by which the clock advances
 
     def __init__(self, gateways: int, seed=1, loss=0.0, servers=4, **changes) -> None:
-        self.random, self.loss, self.asked, self.messages = random.Random(seed), loss, 0, 0
+        self.random = random.Random(seed)
+        self.loss = loss
+        self.request_count = 0
+        self.messages = 0
         changes |= {"gateways": gateways}
         self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
-        self.now, self.dead = T0, set()
-        self.on_way: list[tuple[int, int, int, bytes]] = []  # when, from, to, what
-        self.answers: dict[int, api.Action] = {}  # by request: sent, or refused
+        self.now = T0
+        self.dead: set[int] = set()
+        self.in_flight: list[tuple[int, int, int, bytes]] = []  # arrival, sender, receiver, body
+        self.answers: dict[int, api.Action] = {}  # by request: Send, Refuse or Fail
         for rank, bench in enumerate(self.benches):
-            self._carry(rank, bench.log)
+            self._execute(rank, bench.log)
 
-    def _carry(self, rank: int, actions) -> None:
+    def _execute(self, rank: int, actions) -> None:
         for action in actions:
             if isinstance(action, api.SendPeerMessage):
                 self.messages += 1
                 if self.random.random() >= self.loss:
-                    self.on_way.append((self.now + self.LATER, rank, action.peer, action.body))
+                    self.in_flight.append((self.now + self.MESSAGE_DELAY, rank, action.peer, action.body))
             elif isinstance(action, api.Send):
                 self.answers[action.request] = action
-                self._carry(
+                self._execute(
                     rank, self.benches[rank].outcome(action.request, action.server, api.Outcome.SERVED)
                 )
             elif isinstance(action, api.Refuse | api.Fail):
                 self.answers[action.request] = action
 
     def ask(self, rank: int, **request) -> int:
-        """A request at one gateway; its number."""
-        self.asked += 1
-        self._carry(rank, self.benches[rank].ask(self.asked, **request))
-        return self.asked
+        """Sends a request to one gateway; returns its number."""
+        self.request_count += 1
+        self._execute(rank, self.benches[rank].ask(self.request_count, **request))
+        return self.request_count
 
     def run(self, span: int) -> None:
-        """Let time pass everywhere."""
+        """Advances the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
         end = self.now + span
         while self.now < end:
             self.now += self.STEP
             for rank, bench in enumerate(self.benches):
                 bench.now = bench.now if rank in self.dead else self.now
                 if rank not in self.dead and bench.timers and min(bench.timers)[0] <= self.now:
-                    self._carry(rank, bench.run(0))
-            due, self.on_way = (
-                [m for m in self.on_way if m[0] <= self.now],
-                [m for m in self.on_way if m[0] > self.now],
-            )
+                    self._execute(rank, bench.run(0))
+            due = [message for message in self.in_flight if message[0] <= self.now]
+            self.in_flight = [message for message in self.in_flight if message[0] > self.now]
             for _, sender, rank, body in due:
                 if rank not in self.dead:
-                    self._carry(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
+                    self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
-        """The requests that were sent on."""
+        """Returns the requests that were forwarded to a host."""
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
 def of(actions, kind) -> list:
-    """The actions of one kind."""
+    """Returns the actions of the given type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 @pytest.fixture
 def bench() -> Bench:
-    """A gateway with four warm servers."""
+    """Returns a gateway with four warm servers."""
     return Bench()
 
 
@@ -227,7 +235,7 @@
 
 
 def asyncio_test(function):
-    """Run a test on the loop that the program uses; none may take longer than a minute."""
+    """Runs a test on uvloop, the gateway's event loop, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
@@ -237,17 +245,21 @@
 
 
 async def until(condition, within: float = 10.0) -> None:
-    """Wait for a condition; the limit only ends a test that would hang."""
+    """Waits for a condition; the timeout only ends a test that would hang."""
     async with asyncio.timeout(within):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-class HostPeer(asyncio.Protocol):
-    """A host on loopback: keeps the commands it got, answers by ``script`` (None: not at all)."""
+class HostConnection(asyncio.Protocol):
+    """A gateway's connection to a fake host: records the commands and answers them by the host's ``script``.
+
+    The script returns the reply, ``b"reset"`` to reset the connection or None for no reply.
+    """
 
     def __init__(self, host: FakeHost) -> None:
-        self.host, self.reader = host, hiredis.Reader()
+        self.host = host
+        self.reader = hiredis.Reader()
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -269,29 +281,33 @@
 
 
 class FakeHost:
-    """One listening host."""
+    """A host that listens on loopback and records the commands of all its connections."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.commands, self.connections = name, [], []
+        self.name = name
+        self.commands = []
+        self.connections = []
         self.script = lambda command: b"*3\r\n$2\r\nok\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
 
     async def listen(self) -> FakeHost:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: HostPeer(self), "127.0.0.1", 0)
+        self.server = await loop.create_server(lambda: HostConnection(self), "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def line(self, health="SERVING", **changes) -> dict:
-        """Its line in discovery's list."""
+        """Returns its entry in discovery's list."""
         line = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
         return line | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
 
 class Caller(asyncio.Protocol):
-    """A client's connection: what came back, as parsed values."""
+    """A client's connection to the gateway; collects the parsed replies."""
 
     def __init__(self) -> None:
-        self.reader, self.replies, self.closed = hiredis.Reader(), [], False
+        self.reader = hiredis.Reader()
+        self.replies = []
+        self.closed = False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -305,35 +321,35 @@
         self.closed = True
 
     def ask(self, *words: bytes) -> None:
-        """Send one command."""
+        """Sends one command."""
         self.transport.write(hiredis.pack_command(words))
 
-    def call(self, kind="read", wait=2000, number=b"id1", more="") -> None:
-        """Send a request of one class."""
-        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{more}".encode()
+    def call(self, kind="read", wait=2000, number=b"id1", extra_terms="") -> None:
+        """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
+        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{extra_terms}".encode()
         if kind == "read":
             self.ask(b"CALL.GET", b"0000000000000007", number, terms)
         else:
             self.ask(b"CALL.POST", b"0000000000000007", number, terms + b",k=key7", b"BODY")
 
     async def replied(self, count=1) -> list:
-        """Wait for so many replies."""
+        """Waits until at least ``count`` replies have arrived; returns all."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
 
 
 class Rig:
-    """One gateway, its parts wired as in the program, with hosts that it has been told of."""
+    """One gateway with its components connected as in the program, and a list of hosts from discovery."""
 
     def __init__(self, *hosts: FakeHost, lines=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
-        known = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
+        host_list = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
         site = SITE | changes
-        text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
-        text |= {"limits": {"sockets": sockets}, "known": known, "settings": site}
-        self.config = config.parse(json.dumps(text))
+        configuration = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
+        configuration |= {"limits": {"sockets": sockets}, "known": host_list, "settings": site}
+        self.config = config.parse(json.dumps(configuration))
         self.driver = Driver(self.config.settings, self.config.seed, self.loop)
-        # With one host or two the policy would refuse most of what these tests hold at once.
+        # With one or two hosts the latency limit would refuse most requests that these tests keep open.
         self.driver.gateway._latency_limit = lambda request: float("inf")
         self.hosts = self.driver.hosts = Hosts(
             self.driver,
@@ -346,7 +362,7 @@
         self.clients = Clients(self.driver, self.config, sockets)
 
     async def caller(self) -> Caller:
-        """A client's connection to it."""
+        """Opens a client's connection to the gateway."""
         if self.clients.server is None:
             await self.clients.listen()
         port = self.clients.server.sockets[0].getsockname()[1]
@@ -354,17 +370,17 @@
         return caller
 
     def told(self, *lines: dict, whole=False) -> None:
-        """News of discovery."""
+        """Applies an update of the host list from discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
         self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
 def free_address() -> str:
-    """One that nobody listens at."""
+    """Returns a loopback address on which nothing listens."""
     return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
-PATIENT = """
+PROGRAM_WITH_LONG_COMMAND_TIMEOUT = """
 from saffrongw import __main__, client
 client.COMMAND_TIMEOUT = 60.0
 raise SystemExit(__main__.main())
@@ -372,25 +388,29 @@
 
 
 class Service:
-    """Real processes that serve one address after each other, in one $TMPDIR."""
+    """Gateway processes that take over one address from each other and share one $TMPDIR."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
-        self.folder, self.processes = folder, []
-        known = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
+        self.folder = folder
+        self.processes = []
+        host_list = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
         peers = [free_address(), free_address()]
-        self.text = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
-        self.text |= {"limits": {"sockets": 256}, "known": known, "settings": SITE | changes}
-        self.text |= {"peer_listen": peers[0], "peers": peers}
+        self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
+        self.configuration |= {"limits": {"sockets": 256}, "known": host_list, "settings": SITE | changes}
+        self.configuration |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
-    async def start(self, ready=True, patient=False) -> asyncio.subprocess.Process:
-        """One more process, with an address for operators of its own; it says yes once this returns. A
-        patient one waits a minute for the rest of a command: the next process may be slow to start."""
+    async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
+        """Starts another process with its own control address; waits until it is healthy if ``ready``.
+
+        With ``long_command_timeout`` a client has a minute to send the rest of a command, so that it isn't
+        disconnected while the successor is slow to start.
+        """
         self.control = free_address()
         file = self.folder / f"config{len(self.processes)}.json"
-        file.write_text(json.dumps(self.text | {"control": self.control}))
+        file.write_text(json.dumps(self.configuration | {"control": self.control}))
         environment = os.environ | {"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}
-        program = ("-c", PATIENT) if patient else ("-m", "saffrongw")
+        program = ("-c", PROGRAM_WITH_LONG_COMMAND_TIMEOUT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
         self.processes.append(process)
         while ready and not (await self.say(b"HEALTH")).startswith("done"):
@@ -399,7 +419,7 @@
         return process
 
     async def say(self, line: bytes, control: str = "") -> str:
-        """Call as an operator; nobody there is no yes."""
+        """Sends a control call and returns the answer, or "nobody" if the connection fails."""
         try:
             reader, writer = await asyncio.open_connection(*config.address(control or self.control))
         except OSError:
@@ -410,9 +430,9 @@
         return answer.decode()
 
     async def caller(self) -> Caller:
-        """A client's connection."""
-        where = config.address(self.text["listen"])
-        return (await asyncio.get_running_loop().create_connection(Caller, *where))[1]
+        """Opens a client's connection."""
+        address = config.address(self.configuration["listen"])
+        return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
 
     async def __aenter__(self) -> Service:
         return self
