--- a/lab/worker.py
+++ b/lab/worker.py
@@ -14,6 +14,7 @@
 from ops.checking import validate
 
 from . import runs
+from .earlier_decisions import provide_current_names
 from .scenario import Scenario, relations
 
 
@@ -34,6 +35,7 @@
 def main() -> int:
     """One line of JSON; where the play breaks, its last line on standard error and 1."""
     try:
+        provide_current_names()
         done = play(json.load(sys.stdin))
     except Exception:  # whatever a variant or another revision does wrong belongs to this play alone
         print(traceback.format_exc().strip(), file=sys.stderr)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -392,6 +392,24 @@
     assert "expected numbers" in refused("lab", "compare", short_scenario(tmp_path), "--seeds", "a")[0]
 
 
+def test_decisions_with_earlier_names_give_the_same_result(tmp_path):
+    """Compares with revision 627e78d, whose decisions differ from the current ones only in their names.
+
+    Guards against ``TypeError: RequestClass.__init__() got an unexpected keyword argument 'target_latency'``.
+    """
+    out = tmp_path / "out"
+    scenario_file = short_scenario(tmp_path)
+    compared = run("lab", "compare", scenario_file, "--seeds", "1", "--against", "627e78d", "--out", out)
+    assert compared.returncode == 0, compared.stderr
+    stored = [json.loads(file.read_text()) for file in out.glob("*.json")]
+    by_variant = {play["of"].partition(":")[0]: play for play in stored}
+    assert sorted(by_variant) == ["against", "birchdrum"]
+    current, earlier = by_variant["birchdrum"], by_variant["against"]
+    assert current["decisions_from"] != earlier["decisions_from"]
+    assert current["result"]["counts"]["attempts"] > 0 and current["result"]["counts"]["messages_heard"] > 0
+    assert earlier["result"] == current["result"]
+
+
 def test_confidence_intervals_cover_the_median():
     """Over 200 samples of a skewed distribution, about 95% of the 95% intervals must cover its median."""
     generator = np.random.default_rng(5)
