--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -15,7 +15,7 @@
 from orchidlane.agreed import Holder
 from registry.agreement import DRIFT, NEVER, WITHIN, Conflict, PersistedState, Source, max_overlap_us
 
-from .kernel import T0, Kernel, Uniform, draws
+from .kernel import START_TIME, Kernel, UniformStream, random_generator
 
 SECOND, MS = 1_000_000, 1_000  # microseconds
 NETWORK_DELAY = (200, 2_000)  # microseconds, minimum and maximum
@@ -92,8 +92,8 @@
         self.kernel = Kernel()
         self.faults = faults
         self.lease_ms = lease_ms
-        self.kernel.now = T0
-        self.draw = Uniform(draws(seed, "agreement"))
+        self.kernel.now = START_TIME
+        self.draw = UniformStream(random_generator(seed, "agreement"))
         self.holder_factory = holder
         self.source_factory = source
         self.change_interval = change_interval
@@ -114,11 +114,11 @@
         self.proposed_at: dict[int, int] = {}  # by version
         self.last_applied: dict[int, int] = {}  # by version: when the last holder applied it
         for node in self.nodes:
-            self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node)
-            self.kernel.after(int(self.draw() * DECISION_INTERVAL), self._decide, node)
-        self.kernel.after(FIRST_CHANGE_DELAY, self._propose_change)
-        self.kernel.after(TICK_INTERVAL, self._inject_faults)
-        self.kernel.after(TICK_INTERVAL, self._poll_source)
+            self.kernel.call_after(int(self.draw() * TICK_INTERVAL), self._tick, node)
+            self.kernel.call_after(int(self.draw() * DECISION_INTERVAL), self._decide, node)
+        self.kernel.call_after(FIRST_CHANGE_DELAY, self._propose_change)
+        self.kernel.call_after(TICK_INTERVAL, self._inject_faults)
+        self.kernel.call_after(TICK_INTERVAL, self._poll_source)
 
     def _draw_clock_rate(self) -> float:
         return 1 + DRIFT * (2 * self.draw() - 1)
@@ -142,7 +142,7 @@
     def _tick(self, node: Node) -> None:
         if node.paused_until <= self.kernel.now and node.core.due(self._now(node)):
             self._send(node, node.core.make_request(self._now(node)), to_source=True)
-        self.kernel.after(TICK_INTERVAL, self._tick, node)
+        self.kernel.call_after(TICK_INTERVAL, self._tick, node)
 
     def _send(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
         faults = self.faults
@@ -153,7 +153,7 @@
             delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
             if self.draw() < faults.late:
                 delay = int(self.draw() * LATE_DELAY_MAX)
-            self.kernel.after(delay, self._deliver, node, body, to_source)
+            self.kernel.call_after(delay, self._deliver, node, body, to_source)
 
     def _deliver(self, node: Node, body: dict[str, Any], to_source: bool) -> None:
         if to_source:
@@ -183,7 +183,9 @@
     def _decide(self, node: Node) -> None:
         """Simulate a decision of this holder, and record the value of each key that it used."""
         now = self.kernel.now
-        self.kernel.after(DECISION_INTERVAL // 2 + int(self.draw() * DECISION_INTERVAL), self._decide, node)
+        self.kernel.call_after(
+            DECISION_INTERVAL // 2 + int(self.draw() * DECISION_INTERVAL), self._decide, node
+        )
         if node.paused_until > now:
             return
         effective = node.core.effective(self._now(node))
@@ -204,7 +206,7 @@
 
     def _poll_source(self) -> None:
         """Send the answers to parked queries that are due."""
-        self.kernel.after(TICK_INTERVAL // 5, self._poll_source)
+        self.kernel.call_after(TICK_INTERVAL // 5, self._poll_source)
         if self.kernel.now >= self.source_down_until:
             answers = self.source.due_answers(self._source_now())
             self._persist()
@@ -219,7 +221,7 @@
 
     def _propose_change(self) -> None:
         """Propose the next version, unless an earlier one is still pending."""
-        self.kernel.after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._propose_change)
+        self.kernel.call_after(int((0.5 + self.draw()) * self.change_interval * SECOND), self._propose_change)
         if self.kernel.now < self.source_down_until:
             return
         version = max(self.values) + 1
@@ -239,7 +241,7 @@
         self._persist()
 
     def _inject_faults(self) -> None:
-        self.kernel.after(TICK_INTERVAL, self._inject_faults)
+        self.kernel.call_after(TICK_INTERVAL, self._inject_faults)
         faults, now = self.faults, self.kernel.now
 
         def is_due(rate: float) -> bool:
@@ -258,7 +260,7 @@
         if is_due(faults.pauses) and node.paused_until <= now:
             duration = draw_duration()
             node.paused_until = now + duration
-            self.kernel.after(duration, self._resume, node)
+            self.kernel.call_after(duration, self._resume, node)
         if is_due(faults.restarts):
             node.core = self._start_core(node.name)
             node.socket_buffer = []
@@ -266,7 +268,7 @@
         if is_due(faults.source_restarts) and now >= self.source_down_until:
             duration = draw_duration() // 4
             self.source_down_until = now + duration
-            self.kernel.after(duration, self._restart_source)
+            self.kernel.call_after(duration, self._restart_source)
 
     def _resume(self, node: Node) -> None:
         """Process the buffered answers after a pause, before the next decision."""
--- a/lab/kernel.py
+++ b/lab/kernel.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-T0 = 1_000_000_000  # microseconds of Unix time at which every run begins
+START_TIME = 1_000_000_000  # microseconds of Unix time at which every run begins
 DRAWS = 4_096
 
 
@@ -24,14 +24,14 @@
         self.heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
         self.scheduled = self.events = 0
 
-    def at(self, when: int, call: Callable[..., Any], *args: Any) -> None:
+    def call_at(self, when: int, call: Callable[..., Any], *args: Any) -> None:
         """Call at this moment, or now if it is over."""
         self.scheduled += 1
         heapq.heappush(self.heap, (max(when, self.now), self.scheduled, call, args))
 
-    def after(self, span: int, call: Callable[..., Any], *args: Any) -> None:
+    def call_after(self, span: int, call: Callable[..., Any], *args: Any) -> None:
         """Call after a span of microseconds."""
-        self.at(self.now + span, call, *args)
+        self.call_at(self.now + span, call, *args)
 
     def run(self, until: int) -> None:
         """Everything that is due before then."""
@@ -43,12 +43,12 @@
         self.now = until
 
 
-def draws(seed: int, name: str) -> np.random.Generator:
+def random_generator(seed: int, name: str) -> np.random.Generator:
     """A part's own generator: one part more does not shift the others."""
     return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(name.encode())]))
 
 
-class Uniform:
+class UniformStream:
     """Numbers from 0 to 1, drawn many at once."""
 
     def __init__(self, draw: np.random.Generator) -> None:
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -14,7 +14,7 @@
 from orchidlane import member_state as state
 from orchidlane.membership import TICK_INTERVAL, Membership
 
-from .kernel import T0, Kernel, Uniform, draws
+from .kernel import START_TIME, Kernel, UniformStream, random_generator
 
 SECOND = 1_000_000  # microseconds
 NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
@@ -86,9 +86,9 @@
         self.size = size
         self.factory = factory
         self.loss = loss
-        self.kernel.now = T0
-        self.draw = Uniform(draws(seed, "network"))
-        self.seeds = draws(seed, "members")
+        self.kernel.now = START_TIME
+        self.draw = UniformStream(random_generator(seed, "network"))
+        self.seeds = random_generator(seed, "members")
         self.blocked_links: set[tuple[int, int]] = set()  # (from, to)
         self.events: list[LoggedEvent] = []
         self.traffic: Counter[str] = Counter()  # messages, bytes
@@ -97,7 +97,7 @@
         for rank in range(size):
             node = Node(rank, self._start_core(rank), self.lives)
             self.nodes.append(node)
-            self.kernel.after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
+            self.kernel.call_after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
 
     def _start_core(self, rank: int) -> Core:
         self.lives += 1
@@ -125,7 +125,7 @@
             return
         if not node.paused:
             self._execute(node, node.core.tick(self.kernel.now))
-        self.kernel.after(TICK_INTERVAL, self._tick, node, life)
+        self.kernel.call_after(TICK_INTERVAL, self._tick, node, life)
 
     def _execute(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
@@ -137,7 +137,7 @@
             if (node.rank, action.rank) in self.blocked_links or self.draw() < self.loss:
                 continue
             delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
-            self.kernel.after(delay, self._deliver, self.nodes[action.rank], node.rank, action.body)
+            self.kernel.call_after(delay, self._deliver, self.nodes[action.rank], node.rank, action.body)
 
     def _deliver(self, node: Node, sender: int, body: bytes) -> None:
         if node.dead:
@@ -167,14 +167,14 @@
         node.paused = False
         node.socket_buffer = []
         node.life = self.lives
-        self.kernel.after(0, self._tick, node, node.life)
+        self.kernel.call_after(0, self._tick, node, node.life)
 
     def pause(self, rank: int, duration: float) -> None:
         """Pause a process for some seconds, as SIGSTOP and SIGCONT do; datagrams are buffered meanwhile."""
         node = self.nodes[rank]
         if not node.paused and not node.dead:
             node.paused = True
-            self.kernel.after(int(duration * SECOND), self._resume, node, node.life)
+            self.kernel.call_after(int(duration * SECOND), self._resume, node, node.life)
 
     def _resume(self, node: Node, life: int) -> None:
         if node.life != life or node.dead:
--- a/lab/node.py
+++ b/lab/node.py
@@ -12,7 +12,7 @@
 
 from orchidlane import interface as api
 
-from .kernel import T0
+from .kernel import START_TIME
 from .station import Station, Ticket
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
         self.life, self.up = self.life + 1, True
         self.calls, self.idle, self.pending, self.seen = {}, {}, deque(), {}
         seed = zlib.crc32(f"{world.seed}/{self.rank}/{self.life}".encode())
-        self.decider = world.factory(world.settings(self.rank), seed, T0 + world.kernel.now, world)
+        self.decider = world.factory(world.settings(self.rank), seed, START_TIME + world.kernel.now, world)
         world.judge.restarted(self.rank)
         self._carry_out(self.decider.start())
         self.told([host for host in world.hosts if host.health is not api.Phase.GONE], whole=True)
@@ -139,7 +139,7 @@
     def arrived(self, number: int, event: api.RequestArrived, until: int) -> None:
         """A client's request, its last byte just read."""
         call = self.calls[number] = Call(number, event, until)
-        self.world.kernel.at(until, self._time_up, self.life, call)
+        self.world.kernel.call_at(until, self._time_up, self.life, call)
         self.feed(event)
 
     def heard(self, sender: int, body: bytes) -> None:
@@ -163,7 +163,7 @@
         try:
             while self.pending:
                 began = time.perf_counter_ns()
-                actions = self.decider.handle(T0 + kernel.now, self.pending.popleft())
+                actions = self.decider.handle(START_TIME + kernel.now, self.pending.popleft())
                 self.world.decision_ns += time.perf_counter_ns() - began
                 self.world.decisions += 1
                 self._carry_out(actions)
@@ -179,7 +179,7 @@
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.world.kernel.after(action.delay, self._timer, self.life, action.token)
+                self.world.kernel.call_after(action.delay, self._timer, self.life, action.token)
             elif isinstance(action, api.Send):
                 self._send(action)
             elif isinstance(action, api.SendPeerMessage):
@@ -237,12 +237,12 @@
             return
         kernel, host = world.kernel, world.by_name[action.server]
         now = kernel.now
-        give_up_at = min(action.deadline - T0 if action.deadline else call.until, call.until)
+        give_up_at = min(action.deadline - START_TIME if action.deadline else call.until, call.until)
         attempt = Attempt(self, self.life, call, len(call.attempts), host, now, give_up_at)
         call.attempts.append(attempt)
         world.counts["attempts"] += 1
         if give_up_at < call.until:
-            kernel.at(give_up_at, self._timed_out, attempt)
+            kernel.call_at(give_up_at, self._timed_out, attempt)
         idle, kept_since = self.idle.get(host.number), now - int(IDLE_PART * world.idle_close)
         while idle and idle[0] < kept_since:
             idle.pop(0)
@@ -256,11 +256,11 @@
         world.counts["connects"] += 1
         way = world.way(self.zone, host.zone)
         if world.cut(self.zone, host.zone) or host.silent:
-            kernel.after(CONNECT_WITHIN, self._not_connected, attempt)
+            kernel.call_after(CONNECT_WITHIN, self._not_connected, attempt)
         elif not host.up:
-            kernel.after(2 * way, self._not_connected, attempt)
+            kernel.call_after(2 * way, self._not_connected, attempt)
         else:
-            kernel.after(2 * way + world.handshake, self._connected, attempt)
+            kernel.call_after(2 * way + world.handshake, self._connected, attempt)
 
     def _not_connected(self, attempt: Attempt) -> None:
         if not attempt.ended and attempt.life == self.life:
@@ -287,7 +287,7 @@
         world, host = self.world, attempt.host
         if world.cut(self.zone, host.zone):
             return  # it goes nowhere, without a sign
-        world.kernel.after(world.way(self.zone, host.zone), world.reached, attempt)
+        world.kernel.call_after(world.way(self.zone, host.zone), world.reached, attempt)
 
     def _leave(self, attempt: Attempt) -> None:
         """Close its connection: the host is told a little later."""
@@ -296,7 +296,7 @@
             attempt.host.links -= 1
             world = self.world
             if not world.cut(self.zone, attempt.host.zone):
-                world.kernel.after(world.way(self.zone, attempt.host.zone), world.left, attempt)
+                world.kernel.call_after(world.way(self.zone, attempt.host.zone), world.left, attempt)
 
     def replied(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """The host's answer, or that the connection broke."""
--- a/lab/placing.py
+++ b/lab/placing.py
@@ -9,7 +9,7 @@
 from saffrongw import places
 from saffrongw.config import Address
 
-from .kernel import T0, Kernel, Uniform, draws
+from .kernel import START_TIME, Kernel, UniformStream, random_generator
 
 SECOND = 1_000_000  # microseconds
 NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
@@ -37,9 +37,9 @@
         self.size = size
         self.factory = factory
         self.loss = loss
-        self.kernel.now = T0
-        self.draw = Uniform(draws(seed, "network"))
-        self.seeds = draws(seed, "places")
+        self.kernel.now = START_TIME
+        self.draw = UniformStream(random_generator(seed, "network"))
+        self.seeds = random_generator(seed, "places")
         self.nodes: dict[Address, Node] = {}
         self.transmitted: list[tuple[Address, Address, bytes]] = []  # source, destination, body
         self.greetings_sent: Counter[Address] = Counter()
@@ -55,7 +55,7 @@
             )
         )
         self.nodes[address] = node
-        self.kernel.after(int(self.draw() * places.GREETING_INTERVAL), self._tick, address, node)
+        self.kernel.call_after(int(self.draw() * places.GREETING_INTERVAL), self._tick, address, node)
         return node
 
     @staticmethod
@@ -93,13 +93,13 @@
     def _tick(self, address: Address, node: Node) -> None:
         if not node.dead and self.nodes[address] is node:
             self._execute(address, node, node.core.tick(self.kernel.now))
-            self.kernel.after(places.GREETING_INTERVAL, self._tick, address, node)
+            self.kernel.call_after(places.GREETING_INTERVAL, self._tick, address, node)
 
     def send(self, source: Address, to: Address, body: bytes) -> None:
         """Send a datagram; tests also use it to forge or replay one."""
         if self.draw() >= self.loss:
             delay = NETWORK_DELAY[0] + int(self.draw() * (NETWORK_DELAY[1] - NETWORK_DELAY[0]))
-            self.kernel.after(delay, self._deliver, source, to, body)
+            self.kernel.call_after(delay, self._deliver, source, to, body)
 
     def _deliver(self, source: Address, to: Address, body: bytes) -> None:
         node = self.nodes.get(to)
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -16,7 +16,7 @@
 from orchidlane import interface as api
 
 from .judge import Judge, Try
-from .kernel import T0, Kernel, Uniform, draws
+from .kernel import START_TIME, Kernel, UniformStream, random_generator
 from .node import PEER_INTAKE, Attempt, Decider, Host, Node
 from .scenario import Kind, Scenario, Trouble
 from .station import FAILED, SERVED, Machine, Station, Ticket
@@ -48,11 +48,11 @@
     def __init__(self, scenario: Scenario, seed: int, factory: Factory) -> None:
         self.scenario, self.seed, self.factory = scenario, seed, factory
         self.kernel, self.judge = Kernel(), Judge(scenario)
-        self.chance = Uniform(draws(seed, "network"))
-        self.front_chance = Uniform(draws(seed, "front"))
-        self.client_chance = Uniform(draws(seed, "clients"))
-        self.notice_chance = Uniform(draws(seed, "discovery"))
-        self.trouble_draw = draws(seed, "troubles")
+        self.chance = UniformStream(random_generator(seed, "network"))
+        self.front_chance = UniformStream(random_generator(seed, "front"))
+        self.client_chance = UniformStream(random_generator(seed, "clients"))
+        self.notice_chance = UniformStream(random_generator(seed, "discovery"))
+        self.trouble_draw = random_generator(seed, "troubles")
         self.counts: Counter[str] = Counter()
         self.causes: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
@@ -127,9 +127,9 @@
         kernel = self.kernel
 
         def later(span: float, call: Callable[..., Any], /, *args: Any) -> None:
-            kernel.after(int(span * 1e6), call, *args)
+            kernel.call_after(int(span * 1e6), call, *args)
 
-        draw = draws(self.seed, f"host {number}")
+        draw = random_generator(self.seed, f"host {number}")
         station = Station(machine, draw, lambda: kernel.now / 1e6, later)
         station.since = -machine.warm_within  # it has run for long
         zones = len(scenario.zones)
@@ -161,7 +161,7 @@
         lost = self.chance() < network.peer_loss or self.peers_cut or self.cut(node.zone, to.zone)
         if not lost:
             span = int(network.peer.base * (1 + network.jitter * self.chance()))
-            self.kernel.after(span, to.heard, node.rank, body)
+            self.kernel.call_after(span, to.heard, node.rank, body)
 
     # -- hosts
 
@@ -197,7 +197,7 @@
     def _back(self, attempt: Attempt, outcome: api.Outcome) -> None:
         node, host = attempt.node, attempt.host
         if not self.cut(node.zone, host.zone):
-            self.kernel.after(self.way(host.zone, node.zone), node.replied, attempt, outcome)
+            self.kernel.call_after(self.way(host.zone, node.zone), node.replied, attempt, outcome)
 
     def left(self, attempt: Attempt) -> None:
         """The host sees that the connection is closed."""
@@ -209,7 +209,7 @@
 
     def _customers(self) -> list[Customer]:
         made, scenario = self.scenario.customers, self.scenario
-        draw = draws(self.seed, "customers")
+        draw = random_generator(self.seed, "customers")
         weights = np.array([plan.share for plan in scenario.plans])
         done = []
         for number in range(made.count):
@@ -224,7 +224,7 @@
             first = int(draw.integers(scenario.gateways))
             offset = int(draw.integers(max(1, made.burst_every.base)))
             rate = scenario.plans[plan].rate * use
-            own = draws(self.seed, f"customer {number}")
+            own = random_generator(self.seed, f"customer {number}")
             done.append(Customer(number, plan, rate, first, bursts, offset, own))
         return done
 
@@ -242,7 +242,7 @@
         if most <= 0:
             return
         span = float(customer.draw.exponential(1e6 / most))
-        self.kernel.after(int(span), self._come, customer)
+        self.kernel.call_after(int(span), self._come, customer)
         if float(customer.draw.random()) * most < self._demand(customer):
             kinds = self.scenario.kinds
             kind = int(np.searchsorted(self.kind_edges, float(customer.draw.random()), side="right"))
@@ -260,7 +260,7 @@
         self.judge.sent(now, number, Try(customer.number, customer.plan, kind, 1.0, now, rank), tries == 1)
         self.retries[number] = (customer, kind, tries)
         deadline = scenario.kinds[kind].deadline.base
-        self.kernel.after(self._client_way(), self._taken, number, rank, deadline, customer, kind, tries)
+        self.kernel.call_after(self._client_way(), self._taken, number, rank, deadline, customer, kind, tries)
 
     def _taken(
         self, number: int, rank: int, deadline: int, customer: Customer, kind: int, tries: int
@@ -287,7 +287,7 @@
 
     def answer(self, number: int, how: str, retry_after: int) -> None:
         """A gateway's final answer, on its way to the client."""
-        self.kernel.after(self._client_way(), self._answered, number, how, retry_after)
+        self.kernel.call_after(self._client_way(), self._answered, number, how, retry_after)
 
     def _answered(self, number: int, how: str, retry_after: int) -> None:
         self.judge.answered(self.kernel.now, number, how)
@@ -300,7 +300,9 @@
             wait = clients.backoff.base
             if retry_after and self.client_chance() < clients.honour:
                 wait = max(wait, retry_after)
-            self.kernel.after(int(wait * (1 + self.client_chance())), self._ask, customer, kind, tries + 1)
+            self.kernel.call_after(
+                int(wait * (1 + self.client_chance())), self._ask, customer, kind, tries + 1
+            )
 
     def died(self, number: int) -> None:
         """The gateway that had it died: its client sees a reset."""
@@ -328,20 +330,20 @@
             for node in self._some([node for node in self.nodes if node.up], trouble.share):
                 node.stop()
                 self.down[node.rank] = kernel.now + self.scenario.front.notice.base
-                kernel.after(lasts + int(self.notice_chance() * SPREAD), self._gateway_back, node)
+                kernel.call_after(lasts + int(self.notice_chance() * SPREAD), self._gateway_back, node)
         elif trouble.what == "overload":
             self.load *= trouble.factor
-            kernel.after(lasts, self._load, 1 / trouble.factor)
+            kernel.call_after(lasts, self._load, 1 / trouble.factor)
         elif trouble.what == "cut-zone" and trouble.zone:
             zone = self.scenario.zones.index(trouble.zone)
             self.cuts.append(zone)
-            kernel.after(lasts, self.cuts.remove, zone)
+            kernel.call_after(lasts, self.cuts.remove, zone)
         elif trouble.what == "cut-peers":
             self.peers_cut = True
-            kernel.after(lasts, setattr, self, "peers_cut", False)
+            kernel.call_after(lasts, setattr, self, "peers_cut", False)
         for host in hosts:
             self._trouble_host(trouble, host)
-            kernel.after(lasts, self._host_back, trouble, host)
+            kernel.call_after(lasts, self._host_back, trouble, host)
 
     def _trouble_host(self, trouble: Trouble, host: Host) -> None:
         if trouble.what == "slow-hosts":
@@ -377,7 +379,7 @@
             return
         self._empty(host)
         host.up, host.silent = True, False
-        host.launched = T0 + self.kernel.now
+        host.launched = START_TIME + self.kernel.now
         self._list(host, api.Phase.READY)
 
     def _list(self, host: Host, phase: api.Phase) -> None:
@@ -386,7 +388,7 @@
         notice = self.scenario.discovery
         for node in self.nodes:
             span = notice.notice.base + int(notice.more.base * self.notice_chance())
-            self.kernel.after(span, self._tell, node, host)
+            self.kernel.call_after(span, self._tell, node, host)
 
     def _tell(self, node: Node, host: Host) -> None:
         if node.up and node.seen.get(host.number) != (host.health, host.launched):
@@ -408,14 +410,14 @@
         self.kind_edges = np.cumsum(shares / shares.sum())
         factors = [trouble.factor for trouble in scenario.troubles if trouble.what == "overload"]
         self.most = max(1.0, made.burst_factor if made.bursting else 1.0) * float(np.prod([1.0, *factors]))
-        start = draws(self.seed, "start")
+        start = random_generator(self.seed, "start")
         for node in self.nodes:
-            self.kernel.at(int(float(start.random()) * SPREAD), node.start)
+            self.kernel.call_at(int(float(start.random()) * SPREAD), node.start)
         self.kernel.run(SPREAD)
         for customer in self._customers():
             self._come(customer)
         for trouble in scenario.troubles:
-            self.kernel.at(SPREAD + trouble.at.base, self._trouble, trouble)
+            self.kernel.call_at(SPREAD + trouble.at.base, self._trouble, trouble)
         self.kernel.run(SPREAD + scenario.lasts.base)
         self.judge.end(self.kernel.now)
         return self._result()
