--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -29,7 +29,7 @@
 
 from lab import ports
 from lab.children import Child, Children
-from lab.clients import Clients, Customer, Front, Kind
+from lab.clients import Clients, Customer, LoadBalancer, RequestClass
 from lab.hosts import Host, Machine
 from lab.registration import Registration
 
@@ -37,7 +37,7 @@
 from .trouble import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
-REQUEST_CLASSES = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
+REQUEST_CLASSES = (RequestClass("reading", "repeatable", 2.0), RequestClass("order", "by_key", 3.0))
 PLANS = {"domestic": (4.0, 12.0), "large-user": (20.0, 40.0)}  # units per second and burst of each customer
 # Average demand of customers as a share of their quota; every third one exceeds it.
 DEMANDS = (0.5, 0.9, 1.6)
@@ -210,7 +210,7 @@
         return all(answer.accepted for answer in answers)
 
     await _wait_until_ready(fleet, all_ready, "the gateways")
-    front = Front([parse_address(gateway.listen) for gateway in fleet.gateways])
+    front = LoadBalancer([parse_address(gateway.listen) for gateway in fleet.gateways])
     fleet.clients = Clients(
         front, create_customers(count, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
     )
@@ -321,18 +321,18 @@
     elapsed = (fleet.stopped_at or time.monotonic()) - fleet.started_at
     rows: list[dict[str, Any]] = []
     for customer in clients.customers:
-        account = clients.accounts[customer.number]
+        account = clients.stats_by_customer[customer.number]
         allowance = customer.quota * elapsed + customer.burst
-        latencies = sorted(account.times)
+        latencies = sorted(account.latencies)
         rows.append(
             {
                 "customer": f"{customer.number:016x}",
                 "plan": customer.plan,
                 "sent": account.sent,
-                **{name: account.answers[name] for name in ("served", "refused", "failed", "lost")},
+                **{name: account.outcomes[name] for name in ("served", "refused", "failed", "lost")},
                 "asked_of_quota": round(customer.rate * customer.units / customer.quota, 3),
                 "used_of_quota": round(account.units / allowance, 3),
-                "beyond_units": round(account.overrun, 1),
+                "beyond_units": round(account.over_quota_units, 1),
                 "median_ms": round(1000 * latencies[len(latencies) // 2], 1) if latencies else None,
             }
         )
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -19,7 +19,7 @@
 from . import protocol
 
 CONNECT_WITHIN = 1.0  # seconds
-TIMES_KEPT = 5_000  # of each customer: a run without an end must not grow
+LATENCIES_KEPT = 5_000  # of each customer: a run without an end must not grow
 SPARE = 0.5  # seconds that a client waits beyond its deadline before the request counts as lost
 DOWN_FOR = 1.0  # seconds for which the front passes by a gateway that it could not reach
 
@@ -39,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class Account:
+class CustomerStats:
     """What came of one customer's requests, as its clients saw it."""
 
     sent: int = 0
-    answers: Counter[str] = field(default_factory=Counter)  # served, refused, failed, lost
+    outcomes: Counter[str] = field(default_factory=Counter)  # served, refused, failed, lost
     units: int = 0  # that were served
-    times: deque[float] = field(default_factory=lambda: deque(maxlen=TIMES_KEPT))  # seconds of served ones
-    overrun: float = 0.0  # units served beyond what the quota held at that moment
+    latencies: deque[float] = field(default_factory=lambda: deque(maxlen=LATENCIES_KEPT))  # seconds of served ones
+    over_quota_units: float = 0.0  # units served beyond what the quota held at that moment
     store: float = -1.0  # what the quota holds, by a store of its own; below 0: not begun
     at: float = 0.0
 
@@ -58,12 +58,12 @@
         self.at = max(self.at, began)
         beyond = max(0.0, customer.units - self.store)
         self.store = max(0.0, self.store - customer.units)
-        self.overrun += beyond
+        self.over_quota_units += beyond
         self.units += customer.units
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestClass:
     """A class of requests; seconds."""
 
     name: str
@@ -71,7 +71,7 @@
     deadline: float
 
 
-class Line(asyncio.Protocol):
+class GatewayConnection(asyncio.Protocol):
     """One connection to a gateway with at most one request on it."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
         """Whether a request may be written."""
         return self.transport is not None and not self.transport.is_closing()
 
-    async def ask(self, command: bytes, within: float) -> object:
+    async def request(self, command: bytes, within: float) -> object:
         """One command's answer; raises OSError or TimeoutError."""
         if not self.usable or self.transport is None:
             raise ConnectionResetError("closed")
@@ -118,7 +118,7 @@
             self.waiting = None
 
 
-def command(customer: Customer, kind: Kind, number: str) -> bytes:
+def encode_request(customer: Customer, kind: RequestClass, number: str) -> bytes:
     """A request in the protocol's words."""
     key, body = None, None
     if kind.effect != "repeatable":
@@ -137,16 +137,16 @@
     )
 
 
-class Front:
+class LoadBalancer:
     """Kept connections to each gateway, and which of them can be reached."""
 
     def __init__(self, gateways: Sequence[tuple[str, int]]) -> None:
         self.gateways = list(gateways)
-        self.idle: list[deque[Line]] = [deque() for _ in self.gateways]
+        self.idle: list[deque[GatewayConnection]] = [deque() for _ in self.gateways]
         self.down_until = [0.0] * len(self.gateways)
         self.sent: Counter[int] = Counter()
 
-    async def line(self, rank: int) -> Line:
+    async def line(self, rank: int) -> GatewayConnection:
         """A free connection, kept or new; raises OSError."""
         while self.idle[rank]:
             line = self.idle[rank].pop()
@@ -154,7 +154,7 @@
                 return line
         try:
             async with asyncio.timeout(CONNECT_WITHIN):
-                _, line = await asyncio.get_running_loop().create_connection(Line, *self.gateways[rank])
+                _, line = await asyncio.get_running_loop().create_connection(GatewayConnection, *self.gateways[rank])
         except OSError:  # a TimeoutError is one, too
             self.down_until[rank] = time.monotonic() + DOWN_FOR
             raise
@@ -176,12 +176,12 @@
     """All customers' clients."""
 
     def __init__(
-        self, front: Front, customers: Sequence[Customer], kinds: Sequence[Kind], seed: np.random.SeedSequence
+        self, front: LoadBalancer, customers: Sequence[Customer], kinds: Sequence[RequestClass], seed: np.random.SeedSequence
     ) -> None:
         self.front, self.customers, self.kinds = front, customers, kinds
         # Told of each request: customer, id, what came, seconds, the gateway.
         self.observer: Callable[[Customer, str, str, float, int], None] | None = None
-        self.accounts = {customer.number: Account() for customer in customers}
+        self.stats_by_customer = {customer.number: CustomerStats() for customer in customers}
         self.draws = [np.random.default_rng(part) for part in seed.spawn(len(customers))]
         self.tasks: set[asyncio.Task[None]] = set()
         self.sources: list[asyncio.Task[None]] = []
@@ -212,19 +212,19 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _ask(self, customer: Customer, kind: Kind, number: str, draw: np.random.Generator) -> None:
-        account, began = self.accounts[customer.number], time.monotonic()
+    async def _ask(self, customer: Customer, kind: RequestClass, number: str, draw: np.random.Generator) -> None:
+        account, began = self.stats_by_customer[customer.number], time.monotonic()
         account.sent += 1
         rank = self._gateway(customer, draw)
         try:
             came = protocol.outcome(await self._through(customer, kind, number, rank))
         except (OSError, TimeoutError):
             came = "lost"
-        account.answers[came] += 1
+        account.outcomes[came] += 1
         if self.observer:
             self.observer(customer, number, came, time.monotonic() - began, rank)
         if came == "served":
-            account.times.append(time.monotonic() - began)
+            account.latencies.append(time.monotonic() - began)
             account.spend(customer, began)
 
     def _gateway(self, customer: Customer, draw: np.random.Generator) -> int:
@@ -233,15 +233,15 @@
         up = [rank for rank in ranks if self.front.up(rank)] or ranks
         return up[int(draw.integers(len(up)))]
 
-    async def _through(self, customer: Customer, kind: Kind, number: str, rank: int) -> object:
+    async def _through(self, customer: Customer, kind: RequestClass, number: str, rank: int) -> object:
         """By that gateway. A connection that was closed before it took the request gets another."""
-        words = command(customer, kind, number)
+        words = encode_request(customer, kind, number)
         for again in (False, True):
             kept = bool(self.front.idle[rank])
             line = await self.front.line(rank)
             self.front.sent[rank] += not again
             try:
-                reply = await line.ask(words, kind.deadline + SPARE)
+                reply = await line.request(words, kind.deadline + SPARE)
             except ConnectionResetError:
                 if again or not kept:
                     raise
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -12,14 +12,14 @@
 
 import msgspec
 
-from lab.clients import Customer, Kind, Line, command
+from lab.clients import Customer, GatewayConnection, RequestClass, encode_request
 
 from .fleet import PLAN_NAME, Fleet
 from .guard import FolderGuard
 from .schedule import Schedule
 
 CONNECTIONS = 8  # of the load generator
-REQUEST_CLASS = Kind("reading", "repeatable", 2.0)
+REQUEST_CLASS = RequestClass("reading", "repeatable", 2.0)
 
 
 def cpu_time_ns(pid: int) -> int:
@@ -38,12 +38,12 @@
 
     async def send_requests(index: int) -> None:
         nonlocal sent
-        _, connection = await loop.create_connection(Line, *gateway.listen)
+        _, connection = await loop.create_connection(GatewayConnection, *gateway.listen)
         next_request = loop.time()
         while loop.time() < end_time:
             customer = Customer(10_000 + sent % 1_000, PLAN_NAME, 1.0, 4.0, 12.0, 0, len(fleet.gateways))
             sent += 1
-            await connection.ask(command(customer, REQUEST_CLASS, f"{index}-{sent}"), 3.0)
+            await connection.request(encode_request(customer, REQUEST_CLASS, f"{index}-{sent}"), 3.0)
             next_request += CONNECTIONS / rate
             await asyncio.sleep(max(0.0, next_request - loop.time()))
         if connection.transport:
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -23,7 +23,7 @@
 
 from lab import ports
 from lab.children import Child, Children
-from lab.clients import Clients, Customer, Front, Kind
+from lab.clients import Clients, Customer, LoadBalancer, RequestClass
 from lab.hosts import Host, Machine
 from lab.registration import Registration
 
@@ -42,7 +42,7 @@
 SEED_GATEWAYS = 2  # gateways whose addresses are configured if found is "members"
 TERMINATION_DELAY = 0.3  # seconds from the successor's readiness to its predecessor's SIGTERM
 SPARE_DESCRIPTORS = 512  # file descriptors for everything but the relay's sockets
-REQUEST_CLASSES = (Kind("reading", "repeatable", 2.0), Kind("order", "by_key", 3.0))
+REQUEST_CLASSES = (RequestClass("reading", "repeatable", 2.0), RequestClass("order", "by_key", 3.0))
 PLAN_NAME = "domestic"
 PLAN_RATE = 4.0
 PLAN_BURST = 12.0
@@ -231,7 +231,7 @@
 
     def _start_clients(self, seed_sequence: np.random.SeedSequence) -> None:
         count = len(self.gateways)
-        front = Front([gateway.listen for gateway in self.gateways])
+        front = LoadBalancer([gateway.listen for gateway in self.gateways])
         customers = [
             Customer(
                 100 + i,
