--- a/birchdrum/calling.py
+++ b/birchdrum/calling.py
@@ -174,7 +174,7 @@
         customer,
         number,
         units=units,
-        wait_ms=int(deadline * 1000),
+        deadline_ms=int(deadline * 1000),
         first=first,
         spread=spread,
         key=key,
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -305,7 +305,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(fleet.clients.stop(), max(0.1, remaining()))
     await fleet.children.stop(remaining, [gateway.name for gateway in fleet.gateways] or ["-"])
-    await asyncio.gather(*(registration.leave() for registration in fleet.registrations))
+    await asyncio.gather(*(registration.deregister() for registration in fleet.registrations))
     for host in fleet.hosts:
         await host.close()
     await fleet.children.stop(remaining)
@@ -338,18 +338,18 @@
         )
     hosts = []
     for host in fleet.hosts:
-        stats = host.seen
+        stats = host.stats
         turned_away = sum(stats.turned_away.values())
         hosts.append(
             {
                 "host": host.name,
                 "address": "{}:{}".format(*host.address),
-                "begun": stats.begun,
+                "begun": stats.started,
                 "served": stats.served,
                 "turned_away": turned_away,
                 "running": host.station.running,
                 "waiting": len(host.station.queue),
-                "links": len(host.links),
+                "links": len(host.connections),
                 "busy": round(stats.busy_time / (host.station.machine.slots * elapsed), 3)
                 if elapsed
                 else 0.0,
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -45,7 +45,9 @@
     sent: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)  # served, refused, failed, lost
     units: int = 0  # that were served
-    latencies: deque[float] = field(default_factory=lambda: deque(maxlen=LATENCIES_KEPT))  # seconds of served ones
+    latencies: deque[float] = field(
+        default_factory=lambda: deque(maxlen=LATENCIES_KEPT)
+    )  # seconds of served ones
     over_quota_units: float = 0.0  # units served beyond what the quota held at that moment
     store: float = -1.0  # what the quota holds, by a store of its own; below 0: not begun
     at: float = 0.0
@@ -129,7 +131,7 @@
         customer.number,
         number,
         units=customer.units,
-        wait_ms=int(kind.deadline * 1000),
+        deadline_ms=int(kind.deadline * 1000),
         first=customer.first,
         spread=customer.spread,
         key=key,
@@ -154,7 +156,9 @@
                 return line
         try:
             async with asyncio.timeout(CONNECT_WITHIN):
-                _, line = await asyncio.get_running_loop().create_connection(GatewayConnection, *self.gateways[rank])
+                _, line = await asyncio.get_running_loop().create_connection(
+                    GatewayConnection, *self.gateways[rank]
+                )
         except OSError:  # a TimeoutError is one, too
             self.down_until[rank] = time.monotonic() + DOWN_FOR
             raise
@@ -176,7 +180,11 @@
     """All customers' clients."""
 
     def __init__(
-        self, front: LoadBalancer, customers: Sequence[Customer], kinds: Sequence[RequestClass], seed: np.random.SeedSequence
+        self,
+        front: LoadBalancer,
+        customers: Sequence[Customer],
+        kinds: Sequence[RequestClass],
+        seed: np.random.SeedSequence,
     ) -> None:
         self.front, self.customers, self.kinds = front, customers, kinds
         # Told of each request: customer, id, what came, seconds, the gateway.
@@ -212,7 +220,9 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _ask(self, customer: Customer, kind: RequestClass, number: str, draw: np.random.Generator) -> None:
+    async def _ask(
+        self, customer: Customer, kind: RequestClass, number: str, draw: np.random.Generator
+    ) -> None:
         account, began = self.stats_by_customer[customer.number], time.monotonic()
         account.sent += 1
         rank = self._gateway(customer, draw)
--- a/lab/hosts.py
+++ b/lab/hosts.py
@@ -10,13 +10,13 @@
 import hiredis
 import numpy as np
 
-from .station import FAILED, SERVED, Machine, Seen, Station, Ticket
+from .station import FAILED, SERVED, Machine, Station, StationStats, Ticket
 
 __all__ = ["Host", "Machine"]
 EXPECTED = (b"CALL.GET", b"CALL.POST")
 
 
-class Link(asyncio.Protocol):
+class GatewayConnection(asyncio.Protocol):
     """One gateway's connection: requests run side by side, answers go back in order."""
 
     def __init__(self, host: Host) -> None:
@@ -29,10 +29,10 @@
         """A gateway has connected."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.host.seen.connections += 1
-        self.host.links.add(self)
-        if len(self.host.links) > self.host.station.machine.connections:
-            self.host.seen.turned_away["connections"] += 1
+        self.host.stats.connections += 1
+        self.host.connections.add(self)
+        if len(self.host.connections) > self.host.station.machine.connections:
+            self.host.stats.turned_away["connections"] += 1
             transport.write(b"-BUSY\r\n")
             transport.close()
 
@@ -43,7 +43,7 @@
             while (words := self.reader.gets()) is not False:
                 self._command(words)
         except hiredis.ProtocolError:
-            self.host.seen.malformed += 1
+            self.host.stats.malformed += 1
             if self.transport:
                 self.transport.abort()
 
@@ -55,11 +55,11 @@
                 raise ValueError
             ticket = self._ticket(words)
         except (ValueError, KeyError, IndexError, TypeError, AttributeError):
-            self.host.seen.malformed += 1
+            self.host.stats.malformed += 1
             self.transport.write(b"-SYNTAX no such command\r\n")
             return
         self.tickets.append(ticket)
-        self.host.station.offer(ticket)
+        self.host.station.submit(ticket)
 
     def _ticket(self, words: list[bytes]) -> Ticket:
         terms = dict(pair.split(b"=", 1) for pair in words[3].split(b","))
@@ -82,10 +82,10 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """The gateway gave up what is out on it: what waits never runs, what runs goes on."""
-        self.host.links.discard(self)
+        self.host.connections.discard(self)
         self.transport = None
         for ticket in self.tickets:
-            self.host.station.give_up(ticket)
+            self.host.station.cancel(ticket)
 
 
 class Host:
@@ -95,20 +95,22 @@
         self.name = name
         self.loop = asyncio.get_running_loop()
         self.station = Station(machine, draw, self.loop.time, self.loop.call_later)
-        self.links: set[Link] = set()
+        self.connections: set[GatewayConnection] = set()
         # Told of each request that begins to run: customer, id, its terms.
         self.observer: Callable[[bytes, bytes, dict[bytes, bytes]], None] | None = None
         self.server: asyncio.Server | None = None
         self.address = ("127.0.0.1", 0)
 
     @property
-    def seen(self) -> Seen:
+    def stats(self) -> StationStats:
         """What it saw."""
-        return self.station.seen
+        return self.station.stats
 
     async def listen(self) -> Host:
         """Serve at a port of the system's choosing; ``address`` tells it."""
-        self.server = await self.loop.create_server(lambda: Link(self), "127.0.0.1", self.address[1])
+        self.server = await self.loop.create_server(
+            lambda: GatewayConnection(self), "127.0.0.1", self.address[1]
+        )
         self.address = self.server.sockets[0].getsockname()[:2]
         return self
 
@@ -116,6 +118,6 @@
         """End at once, as a process that is killed: connections are reset."""
         if self.server:
             self.server.close()
-        for link in list(self.links):
+        for link in list(self.connections):
             if link.transport:
                 link.transport.abort()
--- a/lab/protocol.py
+++ b/lab/protocol.py
@@ -6,24 +6,24 @@
 
 
 def request(
-    kind: str,
+    request_class: str,
     plan: str,
     customer: int,
-    number: str,
+    request_id: str,
     *,
     units: float,
-    wait_ms: int,
+    deadline_ms: int,
     first: int,
     spread: int,
     key: str | None = None,
     body: bytes | None = None,
 ) -> bytes:
     """One request; with a key or a body it goes as CALL.POST."""
-    terms = f"c={kind},t={plan},d={max(1, wait_ms)}"
+    terms = f"c={request_class},t={plan},d={max(1, deadline_ms)}"
     if key is not None:
         terms += f",k={key}"
     terms += f",units={units:g},spread={spread},first={first}"
-    words: tuple[str | bytes, ...] = ("CALL.GET", f"{customer:016x}", number, terms)
+    words: tuple[str | bytes, ...] = ("CALL.GET", f"{customer:016x}", request_id, terms)
     if key is not None or body is not None:
         words = ("CALL.POST", *words[1:], body or b"")
     packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub has tuples of one
--- a/lab/registration.py
+++ b/lab/registration.py
@@ -77,7 +77,7 @@
         """Say that nothing new shall come."""
         return await self._ask("POST", "/drain", {"version": self.version}) == 200
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Off the list, and renewed no more."""
         if self.task:
             self.task.cancel()
--- a/lab/station.py
+++ b/lab/station.py
@@ -28,7 +28,7 @@
     slots: int = 16  # requests that run side by side
     waiting: int = 64  # requests that wait for a slot
     work: dict[bytes, float] = field(default_factory=dict)  # mean seconds of a class at full speed
-    usual_work: float = 0.05  # of a class that ``work`` does not name
+    default_work: float = 0.05  # of a class that ``work`` does not name
     spread: float = 0.6  # coefficient of variation; 0: always the mean
     exponential: bool = False  # instead of lognormal, for comparison with queueing theory
     error_rate: float = 0.0
@@ -38,10 +38,10 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class StationStats:
     """What the host itself saw: a judge's evidence."""
 
-    begun: int = 0
+    started: int = 0
     served: int = 0
     failed: int = 0
     turned_away: Counter[str] = field(default_factory=Counter)  # by reason
@@ -81,7 +81,7 @@
         self, machine: Machine, draw: np.random.Generator, now: Callable[[], float], later: Later
     ) -> None:
         self.machine, self.draw, self.now, self.later = machine, draw, now, later
-        self.seen = Seen()
+        self.stats = StationStats()
         self.queue: deque[Ticket] = deque()
         self.running = 0
         self.factor = 1.0  # of its speed: troubles set it
@@ -107,7 +107,7 @@
         warmed = min(1.0, (self.now() - self.since) / machine.warm_within)
         return self.factor * (machine.cold_from + (1.0 - machine.cold_from) * warmed)
 
-    def offer(self, ticket: Ticket) -> None:
+    def submit(self, ticket: Ticket) -> None:
         """A whole request: run it, have it wait, or turn it away."""
         if self.running < self.machine.slots:
             self._run(ticket)
@@ -116,16 +116,16 @@
         else:
             self._turn_away(ticket, FULL)
 
-    def give_up(self, ticket: Ticket) -> bool:
+    def cancel(self, ticket: Ticket) -> bool:
         """Nobody waits for it: taken out if it still waits, which is told; what runs goes on."""
         if ticket in self.queue:
             self.queue.remove(ticket)
-            self.seen.turned_away[GIVEN_UP] += 1
+            self.stats.turned_away[GIVEN_UP] += 1
             return True
         return False
 
     def _turn_away(self, ticket: Ticket, why: str) -> None:
-        self.seen.turned_away[why] += 1
+        self.stats.turned_away[why] += 1
         ticket.tell(why)
 
     def _factor(self) -> float:
@@ -150,14 +150,14 @@
 
     def _run(self, ticket: Ticket) -> None:
         self.running += 1
-        self.seen.begun += 1
-        self.seen.ran_twice += ticket.number in self.ids
+        self.stats.started += 1
+        self.stats.ran_twice += ticket.number in self.ids
         self.ids[ticket.number] = None
         if len(self.ids) > IDS_KEPT:
             del self.ids[next(iter(self.ids))]
-        mean = self.machine.work.get(ticket.kind, self.machine.usual_work)
+        mean = self.machine.work.get(ticket.kind, self.machine.default_work)
         span = mean * self._factor() / max(self.speed(), 1e-6)
-        self.seen.busy_time += span
+        self.stats.busy_time += span
         if ticket.begun:
             ticket.begun()
         self.later(span, self._done, ticket, self.life)
@@ -167,10 +167,10 @@
             return
         self.running -= 1
         if self._fails():
-            self.seen.failed += 1
+            self.stats.failed += 1
             ticket.tell(FAILED)
         else:
-            self.seen.served += 1
+            self.stats.served += 1
             ticket.tell(SERVED)
         while self.queue and self.running < self.machine.slots:
             waiting = self.queue.popleft()
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -175,7 +175,7 @@
             return
         self.judge.reached(self.kernel.now, attempt.call.number, node.rank, host.name.decode())
         if host.health is not api.Phase.READY:
-            host.station.seen.turned_away["draining"] += 1
+            host.station.stats.turned_away["draining"] += 1
             self._back(attempt, api.Outcome.FULL)
             return
         kind = self.scenario.kinds[attempt.call.event.kind]
@@ -192,7 +192,7 @@
         number = b"%d" % attempt.call.number
         attempt.ticket = Ticket(kind.name.encode(), number, attempt.give_up_at / 1e6, tell, begun)
         host.out[attempt] = None
-        host.station.offer(attempt.ticket)
+        host.station.submit(attempt.ticket)
 
     def _back(self, attempt: Attempt, outcome: api.Outcome) -> None:
         node, host = attempt.node, attempt.host
@@ -203,7 +203,7 @@
         """The host sees that the connection is closed."""
         attempt.host.out.pop(attempt, None)
         if attempt.ticket and attempt.host.up and not attempt.host.silent:
-            attempt.host.station.give_up(attempt.ticket)
+            attempt.host.station.cancel(attempt.ticket)
 
     # -- the front and the clients
 
@@ -425,7 +425,7 @@
     def _result(self) -> dict[str, Any]:
         total = self.judge.total
         first = max(1, total["first_tries"])
-        hosts = [host.station.seen for host in self.hosts]
+        hosts = [host.station.stats for host in self.hosts]
         slots = self.scenario.hosts.slots * self.scenario.lasts.base / 1e6
         return {
             "scenario": self.scenario.name,
@@ -441,7 +441,7 @@
                 "message_bytes": round(self.counts["message_bytes"] / first, 2),
             },
             "hosts": {
-                "begun": sum(seen.begun for seen in hosts),
+                "begun": sum(seen.started for seen in hosts),
                 "use": round(sum(seen.busy_time for seen in hosts) / len(hosts) / slots, 4),
                 "turned_away": dict(sorted(sum((seen.turned_away for seen in hosts), Counter()).items())),
             },
