--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -34,8 +34,10 @@
     from lab import scenario
 
     loaded = _load_scenario(str(file))
-    rate = scenario.requests_a_second(loaded)
-    click.echo(f"{file}: {rate:.0f} first tries a second, hosts in use {scenario.use(loaded):.0%}")
+    rate = scenario.request_rate(loaded)
+    click.echo(
+        f"{file}: {rate:.0f} first tries a second, hosts in use {scenario.host_utilization(loaded):.0%}"
+    )
 
 
 def _load_scenario(name: str) -> Any:
@@ -43,7 +45,7 @@
 
     try:
         return scenario.load(scenario.shipped().get(name, Path(name)))
-    except scenario.Impossible as error:
+    except scenario.InvalidScenario as error:
         raise CommandError(USAGE_ERROR, *error.lines) from None
 
 
@@ -68,8 +70,10 @@
     from lab import runs
 
     try:
-        plays = runs.plan(_load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways)
-    except runs.Unknown as error:
+        plays = runs.plan_simulations(
+            _load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways
+        )
+    except runs.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     rule_broken = False
     for play in plays:
@@ -78,7 +82,7 @@
         if as_json:
             click.echo(json.dumps({"variant": play.variant, **result}, sort_keys=True))
         else:
-            click.echo(runs.line(play, result, cost))
+            click.echo(runs.summary_line(play, result, cost))
     sys.exit(NOT_POSSIBLE if rule_broken else SUCCESS)
 
 
@@ -137,7 +141,7 @@
 
     try:
         sized_scenarios = [
-            runs.sized(scenario, size)
+            runs.with_gateways(scenario, size)
             for scenario in map(_load_scenario, scenarios)
             for size in sizes or (None,)
         ]
@@ -150,14 +154,14 @@
                 progress.update(task, completed=done, description=what)
 
             outcome = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, report_progress))
-    except runs.Unknown as error:
+    except runs.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     except OSError as error:
         raise CommandError(NOT_POSSIBLE, f"{out}: {(error.strerror or str(error)).lower()}") from None
     for row in experiment.differences(outcome):
         click.echo(str(row))
-    if outcome.kept:
-        click.echo(f"{outcome.kept} of {len(plays)} plays were kept in {out}")
+    if outcome.reused:
+        click.echo(f"{outcome.reused} of {len(plays)} plays were kept in {out}")
     if outcome.failures:
         raise CommandError(NOT_POSSIBLE, *outcome.failures)
 
@@ -169,8 +173,8 @@
     from lab import experiment, runs
 
     try:
-        identical, text = experiment.again(file)
-    except runs.Unknown as error:
+        identical, text = experiment.rerun_from_file(file)
+    except runs.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     click.echo(text)
     sys.exit(SUCCESS if identical else NOT_POSSIBLE)
--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -12,7 +12,7 @@
 from orchidlane import interface as api
 from orchidlane.rules import Gateway
 
-from .judge import Store
+from .judge import TokenBucket
 from .node import Decider
 from .virtual import Factory
 
@@ -32,7 +32,7 @@
         self.settings, self.world, self.part, self.choice = settings, world, part, choice
         self.random = random.Random(seed)
         self.hosts: dict[api.Server, api.ServerEntry] = {}
-        self.stores: dict[int, Store] = {}
+        self.stores: dict[int, TokenBucket] = {}
         self.open: dict[api.Server, int] = {}
         self.tried: dict[int, tuple[api.RequestArrived, list[api.Server]]] = {}
         self.turn = self.random.randrange(1 << 16)
@@ -58,13 +58,13 @@
             self.tried.pop(event.request, None)
         return []
 
-    def store(self, now: int, event: api.RequestArrived) -> Store:
+    def store(self, now: int, event: api.RequestArrived) -> TokenBucket:
         """The store that a request's units come from."""
         store = self.stores.get(event.customer)
         if store is None:
             plan = self.settings.plans[event.plan]
             part = self.part or 1 / event.set_size
-            store = self.stores[event.customer] = Store(
+            store = self.stores[event.customer] = TokenBucket(
                 plan.rate * part, plan.burst * part, plan.burst * part, now
             )
         return store
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -24,33 +24,33 @@
 from ops.files import write_atomically
 
 from .baselines import VARIANTS
-from .runs import Unknown
+from .runs import InvalidRunError
 from .scenario import Scenario
 
 FORMAT = 1
 ROOT = Path(__file__).parent.parent
 LIBRARIES = ("numpy", "msgspec", "scipy")
-AGAINST = "against:"  # before a revision in a variant's name
-SURE = 0.95  # of the intervals
+AGAINST_PREFIX = "against:"  # before a revision in a variant's name
+CONFIDENCE_LEVEL = 0.95  # of the intervals
 RESAMPLES = 4_000
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlannedRun:
     """One play of a matrix. ``variant`` is one of VARIANTS, or the decisions of another revision."""
 
     scenario: Scenario
     seed: int
     variant: str
 
-    def described(self) -> dict[str, Any]:
+    def worker_input(self) -> dict[str, Any]:
         """All that a worker needs."""
-        name = "birchdrum" if self.variant.startswith(AGAINST) else self.variant
+        name = "birchdrum" if self.variant.startswith(AGAINST_PREFIX) else self.variant
         return {"scenario": to_plain(self.scenario), "seed": self.seed, "variant": name}
 
     def digest(self) -> str:
         """Of what is played, so that a file of another scenario under the same name is not taken for it."""
-        text = json.dumps(self.described() | {"of": self.variant}, sort_keys=True)
+        text = json.dumps(self.worker_input() | {"of": self.variant}, sort_keys=True)
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     def file(self, folder: Path) -> Path:
@@ -60,19 +60,21 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class ExperimentResults:
     """What became of a matrix: results by (scenario, gateways, seed, variant), and what went wrong."""
 
     results: dict[tuple[str, int, int, str], dict[str, Any]] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
-    kept: int = 0  # of the results were there already
+    reused: int = 0  # of the results were there already
 
 
 def git(*words: str) -> str:
     """One line of git about this repository; raises Unknown."""
     done = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
     if done.returncode:
-        raise Unknown(f"git {words[0]}: {done.stderr.strip().splitlines()[-1] if done.stderr else 'failed'}")
+        raise InvalidRunError(
+            f"git {words[0]}: {done.stderr.strip().splitlines()[-1] if done.stderr else 'failed'}"
+        )
     return done.stdout.strip()
 
 
@@ -80,8 +82,8 @@
     """A revision's own name, in short; raises Unknown."""
     try:
         return git("rev-parse", "--verify", "--quiet", "--short=12", f"{wanted}^{{commit}}")
-    except Unknown:
-        raise Unknown(f"--against {wanted}: no such revision here") from None
+    except InvalidRunError:
+        raise InvalidRunError(f"--against {wanted}: no such revision here") from None
 
 
 def revision() -> str:
@@ -89,7 +91,7 @@
     try:
         altered = git("status", "--porcelain", "--", "lab", "orchidlane", "ops")
         return git("rev-parse", "--short=12", "HEAD") + ("-altered" if altered else "")
-    except (Unknown, OSError):
+    except (InvalidRunError, OSError):
         return ""
 
 
@@ -108,23 +110,23 @@
             yield found
         finally:
             for i in range(len(found) + 1):
-                with contextlib.suppress(Unknown):
+                with contextlib.suppress(InvalidRunError):
                     git("worktree", "remove", "--force", str(folder / f"tree{i}"))
 
 
 def matrix(
     scenarios: Sequence[Scenario], seeds: Sequence[int], variants: Sequence[str], against: Sequence[str]
-) -> list[Wanted]:
+) -> list[PlannedRun]:
     """All plays; raises Unknown."""
     for name in variants:
         if name not in VARIANTS:
-            raise Unknown(f"no variant {name!r}: there are {', '.join(VARIANTS)}")
+            raise InvalidRunError(f"no variant {name!r}: there are {', '.join(VARIANTS)}")
     # By its commit's own name: a branch may have moved when results are taken up again.
-    names = [*variants, *(AGAINST + commit(wanted) for wanted in against)]
-    return [Wanted(scenario, seed, name) for scenario in scenarios for seed in seeds for name in names]
+    names = [*variants, *(AGAINST_PREFIX + commit(wanted) for wanted in against)]
+    return [PlannedRun(scenario, seed, name) for scenario in scenarios for seed in seeds for name in names]
 
 
-def kept(wanted: Wanted, folder: Path, at: str) -> dict[str, Any] | None:
+def kept(wanted: PlannedRun, folder: Path, at: str) -> dict[str, Any] | None:
     """A whole result of this play by this program; None where there is none, or another."""
     try:
         found = json.loads(wanted.file(folder).read_text())
@@ -136,29 +138,31 @@
 
 
 async def run(
-    plays: Sequence[Wanted], folder: Path, workers: int, told: Callable[[int, int, str], None]
-) -> Outcome:
+    plays: Sequence[PlannedRun], folder: Path, workers: int, told: Callable[[int, int, str], None]
+) -> ExperimentResults:
     """Play what is missing. ``told`` hears how many of how many are done, and of which. One that breaks is
     told and left out; what is done is kept whatever ends the rest."""
-    done, at, room = Outcome(), revision(), asyncio.Semaphore(workers)
+    done, at, room = ExperimentResults(), revision(), asyncio.Semaphore(workers)
     against = list(
-        dict.fromkeys(p.variant.removeprefix(AGAINST) for p in plays if p.variant.startswith(AGAINST))
+        dict.fromkeys(
+            p.variant.removeprefix(AGAINST_PREFIX) for p in plays if p.variant.startswith(AGAINST_PREFIX)
+        )
     )
     versions = {"python": platform.python_version()} | {name: version(name) for name in LIBRARIES}
 
-    async def one(wanted: Wanted, paths: dict[str, Path]) -> None:
+    async def one(wanted: PlannedRun, paths: dict[str, Path]) -> None:
         key = (wanted.scenario.name, wanted.scenario.gateways, wanted.seed, wanted.variant)
         if found := kept(wanted, folder, at):
             done.results[key] = found
-            done.kept += 1
+            done.reused += 1
         else:
             async with room:
-                raw, wrong = await _worker(wanted, paths.get(wanted.variant.removeprefix(AGAINST)))
+                raw, wrong = await _worker(wanted, paths.get(wanted.variant.removeprefix(AGAINST_PREFIX)))
             if raw is None:
                 done.failures.append(f"{wanted.scenario.name} seed {wanted.seed} {wanted.variant}: {wrong}")
             else:
                 whole = {"format": FORMAT, "digest": wanted.digest(), "revision": at, "versions": versions}
-                whole |= wanted.described() | {"of": wanted.variant} | raw
+                whole |= wanted.worker_input() | {"of": wanted.variant} | raw
                 write_atomically(wanted.file(folder), json.dumps(whole, indent=1))
                 done.results[key] = whole
         told(len(done.results) + len(done.failures), len(plays), f"{wanted.scenario.name} {wanted.variant}")
@@ -172,7 +176,7 @@
     return done
 
 
-async def _worker(wanted: Wanted, path: Path | None) -> tuple[dict[str, Any] | None, str]:
+async def _worker(wanted: PlannedRun, path: Path | None) -> tuple[dict[str, Any] | None, str]:
     """One process's result, or its last word."""
     environment = dict(os.environ)
     first = [str(path)] if path else []
@@ -188,7 +192,7 @@
         env=environment,
     )
     try:
-        out, errors = await process.communicate(json.dumps(wanted.described()).encode())
+        out, errors = await process.communicate(json.dumps(wanted.worker_input()).encode())
     except asyncio.CancelledError:
         process.kill()
         await process.wait()
@@ -222,7 +226,7 @@
         return text + (f"  BROKEN in {self.broken}" if self.broken else "")
 
 
-def differences(done: Outcome) -> list[Difference]:
+def differences(done: ExperimentResults) -> list[Difference]:
     """Each scenario's variants beside its first one."""
     rows = []
     groups = dict.fromkeys((name, gateways) for name, gateways, _, _ in done.results)
@@ -240,7 +244,7 @@
                 continue
             pairs = [own[seed] - scores[base][seed] for seed in sorted(own) if seed in scores[base]]
             pairs = [] if variant == base else pairs
-            low, high = interval(pairs)
+            low, high = confidence_interval(pairs)
             middle = float(np.median(pairs)) if pairs else 0.0
             score = float(np.median(list(own.values())))
             rows.append(
@@ -249,14 +253,14 @@
     return rows
 
 
-def interval(values: Sequence[float]) -> tuple[float, float]:
+def confidence_interval(values: Sequence[float]) -> tuple[float, float]:
     """Of their median, by bootstrap; the values' own range where there are too few or all are alike."""
     if len(values) < 3 or len(set(values)) == 1:
         return (min(values, default=0.0), max(values, default=0.0))
     found = stats.bootstrap(
         (np.array(values),),
         np.median,
-        confidence_level=SURE,
+        confidence_level=CONFIDENCE_LEVEL,
         n_resamples=RESAMPLES,
         method="percentile",
         rng=np.random.default_rng(0),
@@ -264,18 +268,20 @@
     return float(found.confidence_interval.low), float(found.confidence_interval.high)
 
 
-def again(file: Path) -> tuple[bool, str]:
+def rerun_from_file(file: Path) -> tuple[bool, str]:
     """Play a kept result anew from its file: whether it is the same, and what to tell; raises Unknown."""
     from .worker import play
 
     try:
         whole = json.loads(file.read_text())
         if whole["format"] != FORMAT:
-            raise Unknown(f"{file}: format {whole['format']} is not known here, {FORMAT} is")
+            raise InvalidRunError(f"{file}: format {whole['format']} is not known here, {FORMAT} is")
         wanted = {"scenario": whole["scenario"], "seed": whole["seed"], "variant": whole["variant"]}
         before = whole["result"]
     except (OSError, ValueError, KeyError, TypeError) as wrong:
-        raise wrong if isinstance(wrong, Unknown) else Unknown(f"{file}: is no whole result") from None
+        raise (
+            wrong if isinstance(wrong, InvalidRunError) else InvalidRunError(f"{file}: is no whole result")
+        ) from None
     now = json.loads(json.dumps(play(wanted)["result"]))
     if now == before:
         return True, f"{file}: the same, score {now['score']:.6f}"
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -20,17 +20,17 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientRequest:
     """One request as its client sent it."""
 
     customer: int
     plan: int
     kind: int
     units: float
-    sent: int
+    sent_at: int
     gateway: int
     hosts: list[str] = field(default_factory=list)  # where it was begun
-    reached: bool = False  # its units are taken
+    charged: bool = False  # its units are taken
     beyond: float = 0.0  # part of its units that the store did not hold
     had_room: bool = True  # by the store, at the moment at which it was sent
     answers: int = 0
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Store:
+class TokenBucket:
     """What one customer's quota holds."""
 
     rate: float
@@ -58,8 +58,8 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
-        self.tries: dict[int, Try] = {}
-        self.stores: dict[int, Store] = {}
+        self.tries: dict[int, ClientRequest] = {}
+        self.stores: dict[int, TokenBucket] = {}
         self.windows: dict[int, Counter[str]] = {}
         self.by_plan: dict[int, Counter[str]] = {i: Counter() for i in range(len(scenario.plans))}
         self.by_kind: dict[int, Counter[str]] = {i: Counter() for i in range(len(scenario.kinds))}
@@ -73,7 +73,7 @@
             tuple[int, str], int
         ] = {}  # gateway, host: since when it is told not to send there
 
-    def _count(self, now: int, one: Try, what: str) -> None:
+    def _count(self, now: int, one: ClientRequest, what: str) -> None:
         self.total[what] += 1
         self.by_plan[one.plan][what] += 1
         self.by_kind[one.kind][what] += 1
@@ -87,23 +87,23 @@
 
     # -- what clients see
 
-    def sent(self, now: int, number: int, one: Try, first: bool) -> None:
+    def request_sent(self, now: int, number: int, one: ClientRequest, first: bool) -> None:
         """A client has sent a request; first: it is no try after a refusal."""
         self.tries[number] = one
         plan = self.scenario.plans[one.plan]
         store = self.stores.get(one.customer)
         if store is None:
-            store = self.stores[one.customer] = Store(plan.rate, plan.burst, plan.burst, now)
+            store = self.stores[one.customer] = TokenBucket(plan.rate, plan.burst, plan.burst, now)
         one.had_room = store.look(now) >= one.units
         self._count(now, one, "sent")
         if first:
             self._count(now, one, "first_tries")
             self.worth["offered"] += self._worth(one)
 
-    def _worth(self, one: Try) -> float:
+    def _worth(self, one: ClientRequest) -> float:
         return self.scenario.kinds[one.kind].worth * self.scenario.plans[one.plan].price * one.units
 
-    def answered(self, now: int, number: int, how: str) -> None:
+    def response_received(self, now: int, number: int, how: str) -> None:
         """A client has got a final answer: served, refused or failed."""
         one = self.tries[number]
         one.answers += 1
@@ -111,7 +111,7 @@
             self.breach(now, "answered twice", number, gateways=[one.gateway])
             return
         kind = self.scenario.kinds[one.kind]
-        took = now - one.sent
+        took = now - one.sent_at
         self._count(now, one, how)
         if how == "refused" and one.had_room:
             self._count(now, one, "refused_with_room")
@@ -125,7 +125,7 @@
         if took > kind.deadline.base + SPARE:
             self.breach(now, "lost", number, gateways=[one.gateway], after_us=took)
 
-    def gone(self, now: int, number: int, why: str) -> None:
+    def request_ended(self, now: int, number: int, why: str) -> None:
         """No answer will come: its gateway died, or was never reached. Nothing is broken by that."""
         one = self.tries[number]
         one.over = True
@@ -133,7 +133,7 @@
 
     # -- what hosts see
 
-    def reached(self, now: int, number: int, gateway: int, host: str) -> None:
+    def request_reached_host(self, now: int, number: int, gateway: int, host: str) -> None:
         """A request came whole to a host, whether it has a slot or not."""
         one = self.tries[number]
         since = self.told_out.get((gateway, host))
@@ -141,7 +141,7 @@
             self.breach(
                 now, "sent after a drain", number, gateways=[gateway], host=host, after_us=now - since
             )
-        if one.reached:
+        if one.charged:
             self.total["more_attempts"] += 1
         else:
             self.take(now, number)
@@ -149,7 +149,7 @@
     def take(self, now: int, number: int) -> None:
         """A try takes its units from its customer's store."""
         one = self.tries[number]
-        one.reached = True
+        one.charged = True
         plan, store = self.scenario.plans[one.plan], self.stores[one.customer]
         held = store.look(now)
         one.beyond = max(0.0, one.units - held)
@@ -160,7 +160,7 @@
         if one.beyond:
             self._count(now, one, "beyond")
 
-    def begun(self, now: int, number: int, host: str, group: str) -> None:
+    def request_started(self, now: int, number: int, host: str, group: str) -> None:
         """It runs; group: hosts that discard repeats of it among themselves have the same."""
         one = self.tries[number]
         kind = self.scenario.kinds[one.kind]
@@ -170,14 +170,14 @@
             self.breach(now, "ran twice", number, gateways=[one.gateway], hosts=[*one.hosts, group])
         one.hosts.append(group if kind.effect == "by_key" else host)
 
-    def told(self, now: int, gateway: int, host: str, out: bool) -> None:
+    def listing_changed(self, now: int, gateway: int, host: str, out: bool) -> None:
         """Discovery's word has reached a gateway: nothing more to this host, or it is back."""
         if out:
             self.told_out.setdefault((gateway, host), now)
         else:
             self.told_out.pop((gateway, host), None)
 
-    def restarted(self, gateway: int) -> None:
+    def gateway_restarted(self, gateway: int) -> None:
         """A gateway that starts anew has been told nothing yet."""
         for key in [key for key in self.told_out if key[0] == gateway]:
             del self.told_out[key]
@@ -187,7 +187,7 @@
         for number, one in self.tries.items():
             kind = self.scenario.kinds[one.kind]
             if not one.answers and not one.over:
-                late = now > one.sent + kind.deadline.base + SPARE
+                late = now > one.sent_at + kind.deadline.base + SPARE
                 if late:
                     self.breach(now, "lost", number, gateways=[one.gateway])
                 self._count(now, one, "lost" if late else "open_at_the_end")
--- a/lab/node.py
+++ b/lab/node.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class Request:
     """A request at a gateway, until its one final answer."""
 
     number: int
@@ -71,7 +71,7 @@
 
     node: Node
     life: int
-    call: Call
+    request: Request
     number: int
     host: Host
     sent: int
@@ -90,7 +90,7 @@
         self.zone = rank % len(world.scenario.zones)
         self.life, self.up = 0, False
         self.decider: Decider | None = None
-        self.calls: dict[int, Call] = {}
+        self.requests: dict[int, Request] = {}
         self.idle: dict[int, list[int]] = {}  # host: since when each unused connection is unused
         self.pending: deque[api.Event] = deque()
         self.feeding = False
@@ -101,25 +101,25 @@
         """Come up with nothing but the settings, and be told the whole list."""
         world = self.world
         self.life, self.up = self.life + 1, True
-        self.calls, self.idle, self.pending, self.seen = {}, {}, deque(), {}
+        self.requests, self.idle, self.pending, self.seen = {}, {}, deque(), {}
         seed = zlib.crc32(f"{world.seed}/{self.rank}/{self.life}".encode())
         self.decider = world.factory(world.settings(self.rank), seed, START_TIME + world.kernel.now, world)
-        world.judge.restarted(self.rank)
+        world.judge.gateway_restarted(self.rank)
         self._carry_out(self.decider.start())
         self.told([host for host in world.hosts if host.health is not api.Phase.GONE], whole=True)
 
     def stop(self) -> None:
         """SIGKILL: connections are reset, nothing is answered."""
         self.up = False
-        for call in list(self.calls.values()):
-            for attempt in call.attempts:
+        for request in list(self.requests.values()):
+            for attempt in request.attempts:
                 if not attempt.ended:
                     attempt.ended = True
                     self._leave(attempt)
-            self.world.died(call.number)
+            self.world.died(request.number)
         for number, idle in self.idle.items():
             self.world.hosts[number].links -= len(idle)
-        self.calls, self.idle = {}, {}
+        self.requests, self.idle = {}, {}
 
     # -- events
 
@@ -129,7 +129,9 @@
             return
         world, now = self.world, self.world.kernel.now
         for host in hosts:
-            world.judge.told(now, self.rank, host.name.decode(), host.health is not api.Phase.READY)
+            world.judge.listing_changed(
+                now, self.rank, host.name.decode(), host.health is not api.Phase.READY
+            )
             self.seen[host.number] = (host.health, host.launched)
             if host.health is api.Phase.GONE:
                 host.links -= len(self.idle.pop(host.number, ()))
@@ -138,8 +140,8 @@
 
     def arrived(self, number: int, event: api.RequestArrived, until: int) -> None:
         """A client's request, its last byte just read."""
-        call = self.calls[number] = Call(number, event, until)
-        self.world.kernel.call_at(until, self._time_up, self.life, call)
+        request = self.requests[number] = Request(number, event, until)
+        self.world.kernel.call_at(until, self._time_up, self.life, request)
         self.feed(event)
 
     def heard(self, sender: int, body: bytes) -> None:
@@ -185,44 +187,44 @@
             elif isinstance(action, api.SendPeerMessage):
                 self.world.tell_peer(self, action.peer, action.body)
             elif isinstance(action, api.Refuse):
-                if call := self.calls.get(action.request):
+                if request := self.requests.get(action.request):
                     self.world.causes[action.cause.value] += 1
-                    self._finish(call, "refused", action.retry_after)
+                    self._finish(request, "refused", action.retry_after)
             elif isinstance(action, api.Fail):
-                if call := self.calls.get(action.request):
-                    self._finish(call, "failed")
+                if request := self.requests.get(action.request):
+                    self._finish(request, "failed")
             elif isinstance(action, api.Cancel):
                 self._cancel(action)
 
-    def _finish(self, call: Call, how: str, retry_after: int = 0) -> None:
-        if call.finished:
+    def _finish(self, request: Request, how: str, retry_after: int = 0) -> None:
+        if request.finished:
             return
-        call.finished = True
-        self.world.answer(call.number, how, retry_after)
-        self._forget(call)
+        request.finished = True
+        self.world.deliver_response(request.number, how, retry_after)
+        self._forget(request)
 
-    def _forget(self, call: Call) -> None:
-        if call.finished and all(attempt.ended for attempt in call.attempts):
-            self.calls.pop(call.number, None)
+    def _forget(self, request: Request) -> None:
+        if request.finished and all(attempt.ended for attempt in request.attempts):
+            self.requests.pop(request.number, None)
 
     def _cancel(self, action: api.Cancel) -> None:
-        call = self.calls.get(action.request)
-        if call is None or action.attempt >= len(call.attempts):
+        request = self.requests.get(action.request)
+        if request is None or action.attempt >= len(request.attempts):
             return
-        attempt = call.attempts[action.attempt]
+        attempt = request.attempts[action.attempt]
         if not attempt.ended:
             self._leave(attempt)
             self._ended(attempt, api.Outcome.CANCELLED)
 
-    def _time_up(self, life: int, call: Call) -> None:
-        if life != self.life or self.calls.get(call.number) is not call:
+    def _time_up(self, life: int, request: Request) -> None:
+        if life != self.life or self.requests.get(request.number) is not request:
             return
-        for attempt in call.attempts:
+        for attempt in request.attempts:
             self._timed_out(attempt)
-        if not call.finished:
+        if not request.finished:
             self.world.counts["unanswered_by_decider"] += 1
-            self._finish(call, "failed")
-            self.feed(api.ClientGone(call.number))
+            self._finish(request, "failed")
+            self.feed(api.ClientGone(request.number))
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.ended and attempt.life == self.life:
@@ -232,16 +234,16 @@
     # -- connections to hosts
 
     def _send(self, action: api.Send) -> None:
-        call, world = self.calls.get(action.request), self.world
-        if call is None:
+        request, world = self.requests.get(action.request), self.world
+        if request is None:
             return
         kernel, host = world.kernel, world.by_name[action.server]
         now = kernel.now
-        give_up_at = min(action.deadline - START_TIME if action.deadline else call.until, call.until)
-        attempt = Attempt(self, self.life, call, len(call.attempts), host, now, give_up_at)
-        call.attempts.append(attempt)
+        give_up_at = min(action.deadline - START_TIME if action.deadline else request.until, request.until)
+        attempt = Attempt(self, self.life, request, len(request.attempts), host, now, give_up_at)
+        request.attempts.append(attempt)
         world.counts["attempts"] += 1
-        if give_up_at < call.until:
+        if give_up_at < request.until:
             kernel.call_at(give_up_at, self._timed_out, attempt)
         idle, kept_since = self.idle.get(host.number), now - int(IDLE_PART * world.idle_close)
         while idle and idle[0] < kept_since:
@@ -313,14 +315,14 @@
 
     def _ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
         attempt.ended = True
-        call = attempt.call
-        if outcome is api.Outcome.SERVED and not call.finished:
-            self._finish(call, "served")
-        self._forget(call)
+        request = attempt.request
+        if outcome is api.Outcome.SERVED and not request.finished:
+            self._finish(request, "served")
+        self._forget(request)
         took = self.world.kernel.now - attempt.sent
         self.world.outcomes[outcome.value] += 1
         self.feed(
             api.AttemptEnded(
-                call.number, attempt.number, attempt.host.name, outcome, took, call.finished, 0, 0.0, ()
+                request.number, attempt.number, attempt.host.name, outcome, took, request.finished, 0, 0.0, ()
             )
         )
--- a/lab/runs.py
+++ b/lab/runs.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from .baselines import VARIANTS
-from .scenario import Scenario, relations
+from .scenario import Scenario, consistency_errors
 from .virtual import World
 
 
-class Unknown(ValueError):
+class InvalidRunError(ValueError):
     """A play that can't be made as it was asked for."""
 
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class Simulation:
     """One scenario, seed and variant."""
 
     scenario: Scenario
@@ -50,30 +50,30 @@
     return list(VARIANTS)
 
 
-def plan(
+def plan_simulations(
     scenario: Scenario, seeds: Sequence[int], names: Sequence[str], gateways: int | None = None
-) -> list[Play]:
+) -> list[Simulation]:
     """The plays, paired by seed; raises Unknown."""
     if "all" in names:
         names = variants()
     for name in names:
         if name not in VARIANTS:
-            raise Unknown(f"no variant {name!r}: there are {', '.join(VARIANTS)}, and all")
-    scenario = sized(scenario, gateways)
-    return [Play(scenario, seed, name) for seed in seeds for name in names]
+            raise InvalidRunError(f"no variant {name!r}: there are {', '.join(VARIANTS)}, and all")
+    scenario = with_gateways(scenario, gateways)
+    return [Simulation(scenario, seed, name) for seed in seeds for name in names]
 
 
-def sized(scenario: Scenario, gateways: int | None) -> Scenario:
+def with_gateways(scenario: Scenario, gateways: int | None) -> Scenario:
     """With so many gateways, as it is where None; raises Unknown where that can't be."""
     if gateways is None:
         return scenario
     scenario = msgspec.structs.replace(scenario, gateways=gateways)
-    if mistakes := list(relations(scenario)):
-        raise Unknown("; ".join(map(str, mistakes)))
+    if mistakes := list(consistency_errors(scenario)):
+        raise InvalidRunError("; ".join(map(str, mistakes)))
     return scenario
 
 
-def line(play: Play, result: dict[str, Any], cost: Cost) -> str:
+def summary_line(play: Simulation, result: dict[str, Any], cost: Cost) -> str:
     """One play in a line."""
     total, units = result["total"], result["units"]
     first, sent = max(1, total.get("first_tries", 0)), max(1, total.get("sent", 0))
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -24,8 +24,8 @@
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,48}$", description="1 to 48 small letters, digits or '-'")]
 
-FOLDER = Path(__file__).parent / "scenarios"
-REQUESTS_MOST = 5_000_000  # of one run: more is a mistake in the rates
+SCENARIO_DIR = Path(__file__).parent / "scenarios"
+MAX_REQUESTS = 5_000_000  # of one run: more is a mistake in the rates
 
 
 class Hosts(Strict):
@@ -43,7 +43,7 @@
     idle_close: Duration = default_quantity(Duration("15s"))
 
 
-class Kind(Strict):
+class RequestClass(Strict):
     """A class of requests; ``share`` is its weight among all, ``work`` its mean time at a warm host."""
 
     name: Name
@@ -121,7 +121,7 @@
     notice: Duration = default_quantity(Duration("2s"))
 
 
-TROUBLES = Literal[
+FaultKind = Literal[
     "kill-gateways",
     "kill-hosts",
     "vanish-hosts",
@@ -134,10 +134,10 @@
 ]
 
 
-class Trouble(Strict):
+class Fault(Strict):
     """Something that goes wrong at a time, for a while, at a part of what it concerns."""
 
-    what: Annotated[TROUBLES, Meta(description="one of " + ", ".join(TROUBLES.__args__))]
+    what: Annotated[FaultKind, Meta(description="one of " + ", ".join(FaultKind.__args__))]
     at: Duration
     lasts: Duration
     share: Ratio = 1.0
@@ -151,7 +151,7 @@
     name: Name
     about: str
     lasts: Duration
-    kinds: list[Kind]
+    kinds: list[RequestClass]
     plans: list[Plan]
     gateways: PositiveInt = 3
     zones: list[Name] = field(default_factory=lambda: ["a"])
@@ -161,10 +161,10 @@
     network: Network = field(default_factory=Network)
     discovery: Discovery = field(default_factory=Discovery)
     front: Front = field(default_factory=Front)
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Fault] = field(default_factory=list)
 
 
-class Impossible(ValueError):
+class InvalidScenario(ValueError):
     """A scenario that can't be; ``lines`` say why, one each."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -177,23 +177,23 @@
     try:
         raw = tomllib.loads(file.read_text("utf-8"))
     except OSError as wrong:
-        raise Impossible([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
+        raise InvalidScenario([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise Impossible([f"{file}: is no whole TOML: {wrong}"]) from None
+        raise InvalidScenario([f"{file}: is no whole TOML: {wrong}"]) from None
     scenario, mistakes = validate(raw, Scenario)
     if scenario is not None:
-        mistakes = list(relations(scenario))
+        mistakes = list(consistency_errors(scenario))
     if scenario is None or mistakes:
-        raise Impossible([f"{file}: {mistake}" for mistake in mistakes])
+        raise InvalidScenario([f"{file}: {mistake}" for mistake in mistakes])
     return scenario
 
 
 def shipped() -> dict[str, Path]:
     """The scenarios that come with the lab, by name."""
-    return {file.stem: file for file in sorted(FOLDER.glob("*.toml"))}
+    return {file.stem: file for file in sorted(SCENARIO_DIR.glob("*.toml"))}
 
 
-def requests_a_second(scenario: Scenario) -> float:
+def request_rate(scenario: Scenario) -> float:
     """First tries of all customers together, on average and without troubles."""
     customers, weight = scenario.customers, sum(plan.share for plan in scenario.plans)
     quota = sum(plan.rate * plan.share for plan in scenario.plans) / weight
@@ -205,14 +205,14 @@
     return customers.count * quota * (use + customers.bursting * bursts)
 
 
-def use(scenario: Scenario) -> float:
+def host_utilization(scenario: Scenario) -> float:
     """Part of the warm hosts' slots that all first tries would take."""
     weight = sum(kind.share for kind in scenario.kinds)
     work = sum(kind.work.base * kind.share for kind in scenario.kinds) / weight / 1e6
-    return requests_a_second(scenario) * work / (scenario.hosts.count * scenario.hosts.slots)
+    return request_rate(scenario) * work / (scenario.hosts.count * scenario.hosts.slots)
 
 
-def relations(scenario: Scenario) -> Iterator[Violation]:
+def consistency_errors(scenario: Scenario) -> Iterator[Violation]:
     """What can't be."""
     customers = scenario.customers
     if not scenario.lasts.base:
@@ -235,8 +235,8 @@
         if not 0 < kind.aim.base <= kind.deadline.base:
             wanted = f"expected above 0 and at most its deadline, {kind.deadline}"
             yield Violation(f"kinds[{i}].aim", f'"{kind.aim}"', wanted)
-    if requests_a_second(scenario) * scenario.lasts.base / 1e6 > REQUESTS_MOST:
-        wanted = f"with these quotas over {REQUESTS_MOST} requests: expected fewer"
+    if request_rate(scenario) * scenario.lasts.base / 1e6 > MAX_REQUESTS:
+        wanted = f"with these quotas over {MAX_REQUESTS} requests: expected fewer"
         yield Violation("customers.count", str(customers.count), wanted)
     for i, trouble in enumerate(scenario.troubles):
         at = f"troubles[{i}]"
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -15,10 +15,10 @@
 
 from orchidlane import interface as api
 
-from .judge import Judge, Try
+from .judge import ClientRequest, Judge
 from .kernel import START_TIME, Kernel, UniformStream, random_generator
 from .node import PEER_INTAKE, Attempt, Decider, Host, Node
-from .scenario import Kind, Scenario, Trouble
+from .scenario import Fault, RequestClass, Scenario
 from .station import FAILED, SERVED, Machine, Station, Ticket
 
 ON_THE_WAY = 10_000  # as in driver.py: so much before its time is up the last answer must be on its way
@@ -173,12 +173,14 @@
         if not host.up:
             self._back(attempt, api.Outcome.BROKEN)
             return
-        self.judge.reached(self.kernel.now, attempt.call.number, node.rank, host.name.decode())
+        self.judge.request_reached_host(
+            self.kernel.now, attempt.request.number, node.rank, host.name.decode()
+        )
         if host.health is not api.Phase.READY:
             host.station.stats.turned_away["draining"] += 1
             self._back(attempt, api.Outcome.FULL)
             return
-        kind = self.scenario.kinds[attempt.call.event.kind]
+        kind = self.scenario.kinds[attempt.request.event.kind]
 
         def tell(how: str) -> None:
             host.out.pop(attempt, None)
@@ -187,9 +189,9 @@
 
         def begun() -> None:
             group = {"all": "", "zone": str(host.zone), "cell": f"{host.zone}/{host.cell}"}[kind.group]
-            self.judge.begun(self.kernel.now, attempt.call.number, host.name.decode(), group)
+            self.judge.request_started(self.kernel.now, attempt.request.number, host.name.decode(), group)
 
-        number = b"%d" % attempt.call.number
+        number = b"%d" % attempt.request.number
         attempt.ticket = Ticket(kind.name.encode(), number, attempt.give_up_at / 1e6, tell, begun)
         host.out[attempt] = None
         host.station.submit(attempt.ticket)
@@ -257,7 +259,9 @@
         rank = up[int(self.front_chance() * len(up))]
         self.last_number += 1
         number = self.last_number
-        self.judge.sent(now, number, Try(customer.number, customer.plan, kind, 1.0, now, rank), tries == 1)
+        self.judge.request_sent(
+            now, number, ClientRequest(customer.number, customer.plan, kind, 1.0, now, rank), tries == 1
+        )
         self.retries[number] = (customer, kind, tries)
         deadline = scenario.kinds[kind].deadline.base
         self.kernel.call_after(self._client_way(), self._taken, number, rank, deadline, customer, kind, tries)
@@ -267,10 +271,10 @@
     ) -> None:
         node, now = self.nodes[rank], self.kernel.now
         if not node.up:
-            self.judge.gone(now, number, "gateway_down")
+            self.judge.request_ended(now, number, "gateway_down")
             self.retries.pop(number, None)
             return
-        sent = self.judge.tries[number].sent
+        sent = self.judge.tries[number].sent_at
         until = max(now + 1_000, sent + deadline - ON_THE_WAY)
         event = api.RequestArrived(
             number,
@@ -285,12 +289,12 @@
         )
         node.arrived(number, event, until)
 
-    def answer(self, number: int, how: str, retry_after: int) -> None:
+    def deliver_response(self, number: int, how: str, retry_after: int) -> None:
         """A gateway's final answer, on its way to the client."""
         self.kernel.call_after(self._client_way(), self._answered, number, how, retry_after)
 
     def _answered(self, number: int, how: str, retry_after: int) -> None:
-        self.judge.answered(self.kernel.now, number, how)
+        self.judge.response_received(self.kernel.now, number, how)
         asked = self.retries.pop(number, None)
         if how != "refused" or asked is None:
             return
@@ -306,7 +310,7 @@
 
     def died(self, number: int) -> None:
         """The gateway that had it died: its client sees a reset."""
-        self.judge.gone(self.kernel.now, number, "gateway_died")
+        self.judge.request_ended(self.kernel.now, number, "gateway_died")
         self.retries.pop(number, None)
 
     # -- troubles
@@ -318,12 +322,12 @@
         chosen = self.trouble_draw.choice(len(things), size=count, replace=False)
         return [things[int(i)] for i in sorted(chosen)]
 
-    def _chosen_hosts(self, trouble: Trouble) -> list[Host]:
+    def _chosen_hosts(self, trouble: Fault) -> list[Host]:
         zones = self.scenario.zones
         hosts = [h for h in self.hosts if trouble.zone is None or h.zone == zones.index(trouble.zone)]
         return self._some([host for host in hosts if host.up and not host.silent], trouble.share)
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: Fault) -> None:
         kernel, lasts = self.kernel, trouble.lasts.base
         hosts = self._chosen_hosts(trouble) if trouble.what.endswith("-hosts") else []
         if trouble.what == "kill-gateways":
@@ -345,7 +349,7 @@
             self._trouble_host(trouble, host)
             kernel.call_after(lasts, self._host_back, trouble, host)
 
-    def _trouble_host(self, trouble: Trouble, host: Host) -> None:
+    def _trouble_host(self, trouble: Fault, host: Host) -> None:
         if trouble.what == "slow-hosts":
             host.station.factor /= trouble.factor
         elif trouble.what == "wrong-hosts":
@@ -370,7 +374,7 @@
         for node in self.nodes:
             node.idle.pop(host.number, None)
 
-    def _host_back(self, trouble: Trouble, host: Host) -> None:
+    def _host_back(self, trouble: Fault, host: Host) -> None:
         if trouble.what == "slow-hosts":
             host.station.factor *= trouble.factor
             return
@@ -449,7 +453,7 @@
         }
 
 
-def _class(kind: Kind) -> api.RequestClass:
+def _class(kind: RequestClass) -> api.RequestClass:
     return api.RequestClass(
         target_latency=kind.aim.base,
         deadline=kind.deadline.base,
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -14,15 +14,15 @@
 from ops.checking import validate
 
 from . import runs
-from .scenario import Scenario, relations
+from .scenario import Scenario, consistency_errors
 
 
 def play(wanted: dict[str, Any]) -> dict[str, Any]:
     """The play that is described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
     scenario, mistakes = validate(wanted["scenario"], Scenario)
-    if scenario is None or (mistakes := list(relations(scenario))):
-        raise runs.Unknown("; ".join(map(str, mistakes)))
-    result, cost = runs.Play(scenario, int(wanted["seed"]), wanted["variant"]).run()
+    if scenario is None or (mistakes := list(consistency_errors(scenario))):
+        raise runs.InvalidRunError("; ".join(map(str, mistakes)))
+    result, cost = runs.Simulation(scenario, int(wanted["seed"]), wanted["variant"]).run()
     spent = {
         "seconds": round(cost.seconds, 3),
         "decision_us": round(cost.decision_us, 1),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -126,9 +126,9 @@
 )
 
 
-def trouble(what: str, **more) -> scenario.Trouble:
+def trouble(what: str, **more) -> scenario.Fault:
     """One in the middle of a small run."""
-    return scenario.Trouble(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **more)
+    return scenario.Fault(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **more)
 
 
 TROUBLES = [
@@ -143,7 +143,7 @@
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
     """One run's result."""
-    return runs.Play(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
+    return runs.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
 @pytest.mark.parametrize("troubles", TROUBLES, ids=lambda rows: rows[0].what)
@@ -211,14 +211,14 @@
         if self.how == "ran twice":
             return sends
         if self.how == "served by no host":
-            self.world.nodes[self.settings.rank].calls.pop(number)
-            self.world.answer(number, "served", 0)
+            self.world.nodes[self.settings.rank].requests.pop(number)
+            self.world.deliver_response(number, "served", 0)
             return []
         if self.how == "answered twice":
-            self.world.answer(number, "refused", 0)
+            self.world.deliver_response(number, "refused", 0)
             return [api.Refuse(number, 0)]
         if self.how == "lost":
-            self.world.nodes[self.settings.rank].calls.pop(number)
+            self.world.nodes[self.settings.rank].requests.pop(number)
             return []
         if self.how == "datagram too long":
             return [api.SendPeerMessage(0, bytes(257)), *sends[:1]]
@@ -253,9 +253,9 @@
     plan = scenario.Plan(name="p", rate=0.001, burst=2.0)
     judged = judge.Judge(replace(SMALL, plans=[plan]))
     for number in range(5):
-        judged.sent(0, number, judge.Try(7, 0, 0, 1.0, 0, 0), first=True)
-        judged.reached(10, number, 0, "host-000")
-        judged.reached(20, number, 0, "host-001")  # a second attempt takes nothing more
+        judged.request_sent(0, number, judge.ClientRequest(7, 0, 0, 1.0, 0, 0), first=True)
+        judged.request_reached_host(10, number, 0, "host-000")
+        judged.request_reached_host(20, number, 0, "host-001")  # a second attempt takes nothing more
     assert judged.units["beyond"] == pytest.approx(3.0, abs=1e-6)
     assert judged.total["more_attempts"] == 5
 
@@ -290,7 +290,7 @@
     assert len(scenario.shipped()) >= 7 and all(name in listed for name in scenario.shipped())
     for file in scenario.shipped().values():
         found = scenario.load(file)
-        assert found.name == file.stem and 0.3 < scenario.use(found) < 0.9
+        assert found.name == file.stem and 0.3 < scenario.host_utilization(found) < 0.9
     assert refused("lab", "run", "calm", "--variant", "x")[0].startswith("no variant 'x'")
     assert "set" in refused("lab", "run", "calm", "--gateways", "2")[0]
 
@@ -358,10 +358,12 @@
     """Of 200 samples of a skewed law 95% intervals should cover its median in about 95%."""
     draw, covered = np.random.default_rng(5), 0
     for _ in range(200):
-        low, high = experiment.interval(draw.exponential(1.0, 12).tolist())
+        low, high = experiment.confidence_interval(draw.exponential(1.0, 12).tolist())
         covered += low <= math.log(2) <= high
     assert 170 <= covered <= 200
-    assert experiment.interval([0.1, 0.3]) == (0.1, 0.3) and experiment.interval([]) == (0.0, 0.0)
+    assert experiment.confidence_interval([0.1, 0.3]) == (0.1, 0.3) and experiment.confidence_interval(
+        []
+    ) == (0.0, 0.0)
 
 
 def test_programs_that_choose_ports_at_once_never_choose_the_same():
