--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what the gateway serves and is served by: hosts, clients, and the front that shares them out.
+"""Simulations of a fleet of gateways, and stand-ins for the hosts, clients and load balancer around real ones.
 
-They speak the published protocol on loopback sockets. Everything random comes from one seed, by numpy's
-generators spawned per part, so that one part more does not shift the others.
+The stand-ins speak the published protocol on loopback sockets. All randomness derives from one seed; each
+component draws from its own generator, so that adding a component does not change the draws of the others.
 """
--- a/lab/kernel.py
+++ b/lab/kernel.py
@@ -1,6 +1,7 @@
-"""The virtual clock, and what is drawn: the same seed gives the same run to the byte.
+"""The event loop of simulations, with a virtual clock, and reproducible random streams.
 
-Times are whole microseconds; what is due at the same moment happens in the order of its scheduling.
+The same seed gives the same run, byte for byte. Times are whole microseconds; events that are due at the same
+time run in the order in which they were scheduled.
 """
 
 from __future__ import annotations
@@ -12,49 +13,49 @@
 
 import numpy as np
 
-START_TIME = 1_000_000_000  # microseconds of Unix time at which every run begins
-DRAWS = 4_096
+START_TIME = 1_000_000_000  # Unix time in microseconds at which every run starts
+BATCH_SIZE = 4_096
 
 
 class Kernel:
-    """The clock, and what is due when."""
+    """A virtual clock and the queue of scheduled callbacks."""
 
     def __init__(self) -> None:
         self.now = 0
         self.heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
         self.scheduled = self.events = 0
 
-    def call_at(self, when: int, call: Callable[..., Any], *args: Any) -> None:
-        """Call at this moment, or now if it is over."""
+    def call_at(self, due: int, callback: Callable[..., Any], *args: Any) -> None:
+        """Schedule a callback for a time; one in the past runs at the current time."""
         self.scheduled += 1
-        heapq.heappush(self.heap, (max(when, self.now), self.scheduled, call, args))
+        heapq.heappush(self.heap, (max(due, self.now), self.scheduled, callback, args))
 
-    def call_after(self, span: int, call: Callable[..., Any], *args: Any) -> None:
-        """Call after a span of microseconds."""
-        self.call_at(self.now + span, call, *args)
+    def call_after(self, delay: int, callback: Callable[..., Any], *args: Any) -> None:
+        """Schedule a callback in ``delay`` microseconds."""
+        self.call_at(self.now + delay, callback, *args)
 
     def run(self, until: int) -> None:
-        """Everything that is due before then."""
+        """Run all events that are due before ``until``, then set the clock to it."""
         heap, pop = self.heap, heapq.heappop
         while heap and heap[0][0] < until:
-            self.now, _, call, args = pop(heap)
+            self.now, _, callback, args = pop(heap)
             self.events += 1
-            call(*args)
+            callback(*args)
         self.now = until
 
 
-def random_generator(seed: int, name: str) -> np.random.Generator:
-    """A part's own generator: one part more does not shift the others."""
-    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(name.encode())]))
+def random_generator(seed: int, stream: str) -> np.random.Generator:
+    """Return the generator of a named stream; adding a stream does not change the draws of the others."""
+    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(stream.encode())]))
 
 
 class UniformStream:
-    """Numbers from 0 to 1, drawn many at once."""
+    """Uniform random numbers from 0 to 1, drawn in batches for speed."""
 
-    def __init__(self, draw: np.random.Generator) -> None:
-        self.draw, self.left = draw, list[float]()
+    def __init__(self, rng: np.random.Generator) -> None:
+        self.rng, self.batch = rng, list[float]()
 
     def __call__(self) -> float:
-        if not self.left:
-            self.left = self.draw.random(DRAWS).tolist()
-        return self.left.pop()
+        if not self.batch:
+            self.batch = self.rng.random(BATCH_SIZE).tolist()
+        return self.batch.pop()
--- a/lab/protocol.py
+++ b/lab/protocol.py
@@ -1,4 +1,4 @@
-"""A client's words to a gateway, and what its answer means, as the protocol page has them."""
+"""Encodes a client's requests to a gateway and classifies the replies, as the protocol page specifies."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     key: str | None = None,
     body: bytes | None = None,
 ) -> bytes:
-    """One request; with a key or a body it goes as CALL.POST."""
+    """Return an encoded request; one with a key or a body is sent as CALL.POST, others as CALL.GET."""
     terms = f"c={request_class},t={plan},d={max(1, deadline_ms)}"
     if key is not None:
         terms += f",k={key}"
     terms += f",units={units:g},spread={spread},first={first}"
-    words: tuple[str | bytes, ...] = ("CALL.GET", f"{customer:016x}", request_id, terms)
+    command: tuple[str | bytes, ...] = ("CALL.GET", f"{customer:016x}", request_id, terms)
     if key is not None or body is not None:
-        words = ("CALL.POST", *words[1:], body or b"")
-    packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub has tuples of one
-    return packed
+        command = ("CALL.POST", *command[1:], body or b"")
+    encoded: bytes = hiredis.pack_command(command)  # type: ignore[arg-type]  # stub: 1-tuples only
+    return encoded
 
 
 def outcome(reply: object) -> str:
-    """served, refused or failed."""
+    """Classify a parsed reply as "served", "refused" or "failed"."""
     value = reply[0] if isinstance(reply, list) and reply else reply
     if isinstance(value, bytes):
         return "served"
