--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -270,7 +270,7 @@
 
 def rerun_from_file(file: Path) -> tuple[bool, str]:
     """Play a kept result anew from its file: whether it is the same, and what to tell; raises Unknown."""
-    from .worker import play
+    from .worker import run_simulation
 
     try:
         whole = json.loads(file.read_text())
@@ -282,7 +282,7 @@
         raise (
             wrong if isinstance(wrong, InvalidRunError) else InvalidRunError(f"{file}: is no whole result")
         ) from None
-    now = json.loads(json.dumps(play(wanted)["result"]))
+    now = json.loads(json.dumps(run_simulation(wanted)["result"]))
     if now == before:
         return True, f"{file}: the same, score {now['score']:.6f}"
     return False, f"{file}: another result, score {now['score']:.6f} after {before['score']:.6f}"
--- a/lab/registration.py
+++ b/lab/registration.py
@@ -1,4 +1,4 @@
-"""A host's word with the list service: it registers, renews at a third of its lease, and takes itself off."""
+"""Registers a host with the list service, renews the lease every third of its length, and deregisters it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-PATH = "/registry/instances"
-WITHIN = 2.0  # seconds for an answer
+INSTANCES_PATH = "/registry/instances"
+RESPONSE_TIMEOUT = 2.0  # seconds
 
 
 @dataclass(slots=True)
 class Registration:
-    """One host on the list. Each word names the version that it replaces, as docs/registry.md says."""
+    """One host's entry in the list. Each write names the version that it replaces, see docs/registry.md."""
 
     service: tuple[str, int]
     name: str
@@ -26,61 +26,64 @@
     lease_ms: int = 3_000
     version: int = 0
     born_ms: int = 0
-    failures: list[str] = field(default_factory=list)  # what went wrong, in order
+    failures: list[str] = field(default_factory=list)  # failed calls, oldest first
     task: asyncio.Task[None] | None = None
 
-    def _call(self, method: str, target: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
-        link = http.client.HTTPConnection(*self.service, timeout=WITHIN)
+    def _exchange(self, method: str, target: str, body: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
+        connection = http.client.HTTPConnection(*self.service, timeout=RESPONSE_TIMEOUT)
         try:
-            link.request(method, target, None if body is None else json.dumps(body))
-            answer = link.getresponse()
-            return answer.status, json.loads(answer.read() or b"{}")
+            connection.request(method, target, None if body is None else json.dumps(body))
+            response = connection.getresponse()
+            return response.status, json.loads(response.read() or b"{}")
         finally:
-            link.close()
+            connection.close()
 
-    async def _ask(self, method: str, verb: str = "", body: dict[str, Any] | None = None) -> int:
-        """One call; its status, 0 where nobody answered. Takes over the version that holds then."""
-        target = f"{PATH}/{self.name}{verb}"
+    async def _call(self, method: str, suffix: str = "", body: dict[str, Any] | None = None) -> int:
+        """Call the service and adopt the entry's version from its response.
+
+        Returns the HTTP status, 0 if there was no response.
+        """
+        target = f"{INSTANCES_PATH}/{self.name}{suffix}"
         try:
-            status, told = await asyncio.to_thread(self._call, method, target, body)
-        except (OSError, http.client.HTTPException, ValueError) as wrong:
-            self.failures.append(f"{method} {target}: {wrong!r}")
+            status, response = await asyncio.to_thread(self._exchange, method, target, body)
+        except (OSError, http.client.HTTPException, ValueError) as error:
+            self.failures.append(f"{method} {target}: {error!r}")
             return 0
-        self.version = told.get("version", self.version)
+        self.version = response.get("version", self.version)
         if status >= 400:
-            self.failures.append(f"{method} {target}: {status} {told.get('error', '')}")
+            self.failures.append(f"{method} {target}: {status} {response.get('error', '')}")
         return status
 
     async def register(self) -> bool:
-        """Be on the list; a version that another word replaced meanwhile is taken over once."""
+        """Write the entry; retried once, with the current version, if another write came first."""
         for _ in range(2):
             entry = {"dial": self.dial, "site": self.site, "class": "stand-in", "block": self.block}
             entry |= {"share": self.share, "lease_ms": self.lease_ms, "version": self.version}
-            status = await self._ask("PUT", body=entry)
+            status = await self._call("PUT", body=entry)
             if status not in (404, 409):
                 break
         return status == 200
 
-    async def keep(self) -> None:
-        """Register and renew until cancelled; a list that forgot the host gets it anew."""
+    async def keep_registered(self) -> None:
+        """Register and renew the lease until cancelled; registers again if the list has lost the entry."""
         while True:
-            known = await self._ask("POST", "/renew", {"version": self.version}) if self.version else 404
-            if known in (404, 409):
+            status = await self._call("POST", "/renew", {"version": self.version}) if self.version else 404
+            if status in (404, 409):
                 await self.register()
             await asyncio.sleep(self.lease_ms / 3_000)
 
     def start(self) -> None:
-        """Keep it on the list from now on."""
-        self.task = asyncio.get_running_loop().create_task(self.keep())
+        """Start keeping the host registered in the background."""
+        self.task = asyncio.get_running_loop().create_task(self.keep_registered())
 
     async def drain(self) -> bool:
-        """Say that nothing new shall come."""
-        return await self._ask("POST", "/drain", {"version": self.version}) == 200
+        """Mark the host as draining: gateways send it no new requests."""
+        return await self._call("POST", "/drain", {"version": self.version}) == 200
 
     async def deregister(self) -> None:
-        """Off the list, and renewed no more."""
+        """Stop renewing, and remove the host from the list."""
         if self.task:
             self.task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self.task
-        await self._ask("DELETE", f"?version={self.version}")
+        await self._call("DELETE", f"?version={self.version}")
--- a/lab/station.py
+++ b/lab/station.py
@@ -1,8 +1,9 @@
-"""A host's insides: slots, a waiting room, warmth, errors. It knows neither sockets nor clocks.
+"""The model of a host: slots, a bounded queue, warm-up and errors, independent of sockets and clocks.
 
-Whoever owns it gives ``now`` (seconds) and ``later`` (call back after a span); a ``Ticket`` is told once how
-it ended. Service times are lognormal with the machine's coefficient of variation, or exponential: then, with
-a waiting room without end, the station is M/M/c, which the tests hold it to.
+The owner passes ``now`` (seconds) and ``call_later``; the callback of each ``Ticket`` is called
+exactly once with the outcome. Service times are lognormal with the machine's coefficient of variation, or
+exponential; in that case, with an unbounded queue, the station is an M/M/c system, and the tests compare it
+with queueing theory.
 """
 
 from __future__ import annotations
@@ -15,166 +16,172 @@
 
 import numpy as np
 
-IDS_KEPT = 50_000  # longer than any request is tried again
-DRAWS = 512  # taken at once: one by one they cost more than the rest of a request
+MAX_REMEMBERED_IDS = 50_000  # ids are remembered for longer than any request is retried
+BATCH_SIZE = 512  # single draws cost more than the rest of the work on a request
 
-SERVED, FAILED, FULL, LATE, GIVEN_UP = "served", "failed", "full", "late", "given up"
+SERVED, FAILED, FULL, LATE, CANCELLED = "served", "failed", "full", "late", "given up"
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What a host is; times in seconds."""
+    """Capacity and behaviour of a host; times in seconds."""
 
-    slots: int = 16  # requests that run side by side
-    waiting: int = 64  # requests that wait for a slot
-    work: dict[bytes, float] = field(default_factory=dict)  # mean seconds of a class at full speed
-    default_work: float = 0.05  # of a class that ``work`` does not name
-    spread: float = 0.6  # coefficient of variation; 0: always the mean
+    slots: int = 16  # requests that run concurrently
+    waiting: int = 64  # capacity of the queue for a slot
+    work: dict[bytes, float] = field(default_factory=dict)  # mean service time of each class at full speed
+    default_work: float = 0.05  # mean service time of classes missing in ``work``
+    spread: float = 0.6  # coefficient of variation of service times; 0: always the mean
     exponential: bool = False  # instead of lognormal, for comparison with queueing theory
     error_rate: float = 0.0
     cold_from: float = 0.25
-    warm_within: float = 0.0  # 0: never cold
-    connections: int = 1_024  # one more is turned away
+    warm_within: float = 0.0  # 0: always at full speed
+    connections: int = 1_024  # limit of open connections
 
 
 @dataclass(slots=True)
 class StationStats:
-    """What the host itself saw: a judge's evidence."""
+    """Counters of the host itself, independent of what gateways report."""
 
     started: int = 0
     served: int = 0
     failed: int = 0
     turned_away: Counter[str] = field(default_factory=Counter)  # by reason
     malformed: int = 0
-    connections: int = 0  # opened since the start
-    ran_twice: int = 0  # ids that were begun here more than once
-    busy_time: float = 0.0  # seconds of slots used
+    connections: int = 0  # opened in total
+    ran_twice: int = 0  # requests whose id had already run here
+    busy_time: float = 0.0  # seconds, summed over slots
 
 
 class Ticket:
-    """One request at a station. ``begun`` is called when it gets a slot, ``tell`` once with how it ended."""
+    """One request at a station. ``on_start`` is called when it gets a slot, ``on_end`` once at the end."""
 
-    __slots__ = ("begun", "kind", "number", "tell", "until")
+    __slots__ = ("deadline", "on_end", "on_start", "request_class", "request_id")
 
     def __init__(
         self,
-        kind: bytes,
-        number: bytes,
-        until: float,
-        tell: Callable[[str], None],
-        begun: Callable[[], None] | None = None,
+        request_class: bytes,
+        request_id: bytes,
+        deadline: float,
+        on_end: Callable[[str], None],
+        on_start: Callable[[], None] | None = None,
     ) -> None:
-        self.kind, self.number, self.until, self.tell, self.begun = kind, number, until, tell, begun
+        self.request_class, self.request_id, self.deadline, self.on_end, self.on_start = (
+            request_class,
+            request_id,
+            deadline,
+            on_end,
+            on_start,
+        )
 
 
-class Later(Protocol):
-    """How a station has itself called back."""
+class CallLater(Protocol):
+    """Schedules a callback, like ``asyncio.loop.call_later``."""
 
-    def __call__(self, span: float, call: Callable[..., Any], /, *args: Any) -> Any:
-        """After a span of seconds."""
+    def __call__(self, duration: float, callback: Callable[..., Any], /, *args: Any) -> Any:
+        """Call ``callback`` in ``duration`` seconds."""
 
 
 class Station:
-    """One host's slots and the requests that wait for them."""
+    """One host's slots, and the queue of requests that wait for one."""
 
     def __init__(
-        self, machine: Machine, draw: np.random.Generator, now: Callable[[], float], later: Later
+        self, machine: Machine, rng: np.random.Generator, now: Callable[[], float], call_later: CallLater
     ) -> None:
-        self.machine, self.draw, self.now, self.later = machine, draw, now, later
+        self.machine, self.rng, self.now, self.call_later = machine, rng, now, call_later
         self.stats = StationStats()
         self.queue: deque[Ticket] = deque()
         self.running = 0
-        self.factor = 1.0  # of its speed: troubles set it
+        self.speed_factor = 1.0  # reduced by injected faults
         self.error_rate = machine.error_rate
-        self.ids: dict[bytes, None] = {}  # of requests that ran, the oldest first
-        self.since = now()  # it is cold from then
-        self.life = 0  # grows with each restart: what ran before is lost
-        self._factors: list[float] = []
-        self._chances: list[float] = []
+        self.recent_ids: dict[bytes, None] = {}  # of requests that ran, oldest first
+        self.started_at = now()  # warm-up starts here
+        self.incarnation = 0  # increased by each restart, to ignore requests of the previous process
+        self._duration_factors: list[float] = []
+        self._error_draws: list[float] = []
 
     def restart(self) -> None:
-        """Empty and cold, as a new process; what ran or waited is never told."""
+        """Restart as an empty, cold process; running and queued requests are dropped without notification."""
         self.queue.clear()
         self.running = 0
-        self.since, self.life = self.now(), self.life + 1
-        self.ids.clear()
+        self.started_at, self.incarnation = self.now(), self.incarnation + 1
+        self.recent_ids.clear()
 
     def speed(self) -> float:
-        """Part of the full speed by now."""
+        """Return the current speed as a fraction of full speed."""
         machine = self.machine
         if not machine.warm_within:
-            return self.factor
-        warmed = min(1.0, (self.now() - self.since) / machine.warm_within)
-        return self.factor * (machine.cold_from + (1.0 - machine.cold_from) * warmed)
+            return self.speed_factor
+        warmed = min(1.0, (self.now() - self.started_at) / machine.warm_within)
+        return self.speed_factor * (machine.cold_from + (1.0 - machine.cold_from) * warmed)
 
     def submit(self, ticket: Ticket) -> None:
-        """A whole request: run it, have it wait, or turn it away."""
+        """Accept a complete request: start, queue or reject it."""
         if self.running < self.machine.slots:
-            self._run(ticket)
+            self._start(ticket)
         elif len(self.queue) < self.machine.waiting:
             self.queue.append(ticket)
         else:
-            self._turn_away(ticket, FULL)
+            self._reject(ticket, FULL)
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Nobody waits for it: taken out if it still waits, which is told; what runs goes on."""
+        """Drop an abandoned request from the queue; a running one continues. Returns whether it was queued."""
         if ticket in self.queue:
             self.queue.remove(ticket)
-            self.stats.turned_away[GIVEN_UP] += 1
+            self.stats.turned_away[CANCELLED] += 1
             return True
         return False
 
-    def _turn_away(self, ticket: Ticket, why: str) -> None:
-        self.stats.turned_away[why] += 1
-        ticket.tell(why)
+    def _reject(self, ticket: Ticket, reason: str) -> None:
+        self.stats.turned_away[reason] += 1
+        ticket.on_end(reason)
 
-    def _factor(self) -> float:
-        """How much longer than its mean one request takes."""
-        if not self._factors:
+    def _draw_duration_factor(self) -> float:
+        """Draw the ratio of one request's service time to the mean."""
+        if not self._duration_factors:
             spread = self.machine.spread
             if self.machine.exponential:
-                self._factors = self.draw.exponential(1.0, DRAWS).tolist()
+                self._duration_factors = self.rng.exponential(1.0, BATCH_SIZE).tolist()
             elif spread:
                 sigma = math.sqrt(math.log(1 + spread * spread))
-                self._factors = self.draw.lognormal(-sigma * sigma / 2, sigma, DRAWS).tolist()
+                self._duration_factors = self.rng.lognormal(-sigma * sigma / 2, sigma, BATCH_SIZE).tolist()
             else:
-                self._factors = [1.0] * DRAWS
-        return self._factors.pop()
+                self._duration_factors = [1.0] * BATCH_SIZE
+        return self._duration_factors.pop()
 
     def _fails(self) -> bool:
         if not self.error_rate:
             return False
-        if not self._chances:
-            self._chances = self.draw.random(DRAWS).tolist()
-        return self._chances.pop() < self.error_rate
+        if not self._error_draws:
+            self._error_draws = self.rng.random(BATCH_SIZE).tolist()
+        return self._error_draws.pop() < self.error_rate
 
-    def _run(self, ticket: Ticket) -> None:
+    def _start(self, ticket: Ticket) -> None:
         self.running += 1
         self.stats.started += 1
-        self.stats.ran_twice += ticket.number in self.ids
-        self.ids[ticket.number] = None
-        if len(self.ids) > IDS_KEPT:
-            del self.ids[next(iter(self.ids))]
-        mean = self.machine.work.get(ticket.kind, self.machine.default_work)
-        span = mean * self._factor() / max(self.speed(), 1e-6)
-        self.stats.busy_time += span
-        if ticket.begun:
-            ticket.begun()
-        self.later(span, self._done, ticket, self.life)
-
-    def _done(self, ticket: Ticket, life: int) -> None:
-        if life != self.life:
+        self.stats.ran_twice += ticket.request_id in self.recent_ids
+        self.recent_ids[ticket.request_id] = None
+        if len(self.recent_ids) > MAX_REMEMBERED_IDS:
+            del self.recent_ids[next(iter(self.recent_ids))]
+        mean = self.machine.work.get(ticket.request_class, self.machine.default_work)
+        duration = mean * self._draw_duration_factor() / max(self.speed(), 1e-6)
+        self.stats.busy_time += duration
+        if ticket.on_start:
+            ticket.on_start()
+        self.call_later(duration, self._finish, ticket, self.incarnation)
+
+    def _finish(self, ticket: Ticket, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         self.running -= 1
         if self._fails():
             self.stats.failed += 1
-            ticket.tell(FAILED)
+            ticket.on_end(FAILED)
         else:
             self.stats.served += 1
-            ticket.tell(SERVED)
+            ticket.on_end(SERVED)
         while self.queue and self.running < self.machine.slots:
             waiting = self.queue.popleft()
-            if waiting.until < self.now():
-                self._turn_away(waiting, LATE)
+            if waiting.deadline < self.now():
+                self._reject(waiting, LATE)
             else:
-                self._run(waiting)
+                self._start(waiting)
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -131,7 +131,7 @@
 
         draw = random_generator(self.seed, f"host {number}")
         station = Station(machine, draw, lambda: kernel.now / 1e6, later)
-        station.since = -machine.warm_within  # it has run for long
+        station.started_at = -machine.warm_within  # it has run for long
         zones = len(scenario.zones)
         return Host(number, b"host-%03d" % number, number % zones, number // zones // 4, station)
 
@@ -351,7 +351,7 @@
 
     def _trouble_host(self, trouble: Fault, host: Host) -> None:
         if trouble.what == "slow-hosts":
-            host.station.factor /= trouble.factor
+            host.station.speed_factor /= trouble.factor
         elif trouble.what == "wrong-hosts":
             host.station.error_rate = trouble.factor
         elif trouble.what == "vanish-hosts":
@@ -376,7 +376,7 @@
 
     def _host_back(self, trouble: Fault, host: Host) -> None:
         if trouble.what == "slow-hosts":
-            host.station.factor *= trouble.factor
+            host.station.speed_factor *= trouble.factor
             return
         if trouble.what == "wrong-hosts":
             host.station.error_rate = self.scenario.hosts.error_rate
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,6 +1,7 @@
-"""One play in a process of its own: a description on standard input, its result on standard output.
+"""Runs one simulation in a separate process: reads a JSON description from stdin, writes the result to stdout.
 
-Run with ``-P`` and, for another revision's decisions, a folder with its ``orchidlane`` first on the path.
+Run it with ``-P``, and with a folder that holds another revision's ``orchidlane`` first on the path to use the
+decisions of that revision.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
 from .scenario import Scenario, consistency_errors
 
 
-def play(wanted: dict[str, Any]) -> dict[str, Any]:
-    """The play that is described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
-    scenario, mistakes = validate(wanted["scenario"], Scenario)
-    if scenario is None or (mistakes := list(consistency_errors(scenario))):
-        raise runs.InvalidRunError("; ".join(map(str, mistakes)))
-    result, cost = runs.Simulation(scenario, int(wanted["seed"]), wanted["variant"]).run()
-    spent = {
+def run_simulation(description: dict[str, Any]) -> dict[str, Any]:
+    """Run the simulation described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
+    scenario, errors = validate(description["scenario"], Scenario)
+    if scenario is None or (errors := list(consistency_errors(scenario))):
+        raise runs.InvalidRunError("; ".join(map(str, errors)))
+    result, cost = runs.Simulation(scenario, int(description["seed"]), description["variant"]).run()
+    timing = {
         "seconds": round(cost.seconds, 3),
         "decision_us": round(cost.decision_us, 1),
         "events_a_second": round(cost.events_a_second),
     }
-    return {"result": result, "cost": spent, "decisions_from": str(orchidlane.__path__[0])}
+    return {"result": result, "cost": timing, "decisions_from": str(orchidlane.__path__[0])}
 
 
 def main() -> int:
-    """One line of JSON; where the play breaks, its last line on standard error and 1."""
+    """Print the result as one line of JSON; on failure, print a traceback to stderr and return 1."""
     try:
-        done = play(json.load(sys.stdin))
-    except Exception:  # whatever a variant or another revision does wrong belongs to this play alone
+        output = run_simulation(json.load(sys.stdin))
+    except Exception:  # an error in a variant or in another revision's code fails only this simulation
         print(traceback.format_exc().strip(), file=sys.stderr)
         return 1
-    json.dump(done, sys.stdout)
+    json.dump(output, sys.stdout)
     return 0
 
 
