--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -1,4 +1,4 @@
-"""A matrix of plays over all cores, kept as files, compared in pairs."""
+"""Experiments: a matrix of simulations run in parallel, stored as files and compared in pairs."""
 
 from __future__ import annotations
 
@@ -27,89 +27,91 @@
 from .runs import InvalidRunError
 from .scenario import Scenario
 
-FORMAT = 1
-ROOT = Path(__file__).parent.parent
+RESULT_FORMAT = 1
+REPOSITORY_ROOT = Path(__file__).parent.parent
 LIBRARIES = ("numpy", "msgspec", "scipy")
-AGAINST_PREFIX = "against:"  # before a revision in a variant's name
-CONFIDENCE_LEVEL = 0.95  # of the intervals
-RESAMPLES = 4_000
+AGAINST_PREFIX = "against:"  # followed by a revision in the name of a variant
+CONFIDENCE_LEVEL = 0.95
+BOOTSTRAP_RESAMPLES = 4_000
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRun:
-    """One play of a matrix. ``variant`` is one of VARIANTS, or the decisions of another revision."""
+    """One simulation of a matrix. ``variant`` is a key of VARIANTS, or AGAINST_PREFIX and a revision."""
 
     scenario: Scenario
     seed: int
     variant: str
 
     def worker_input(self) -> dict[str, Any]:
-        """All that a worker needs."""
+        """Return the description that ``lab.worker`` reads."""
         name = "birchdrum" if self.variant.startswith(AGAINST_PREFIX) else self.variant
         return {"scenario": to_plain(self.scenario), "seed": self.seed, "variant": name}
 
     def digest(self) -> str:
-        """Of what is played, so that a file of another scenario under the same name is not taken for it."""
+        """Hash the complete input, to reject stored results of a different scenario with the same name."""
         text = json.dumps(self.worker_input() | {"of": self.variant}, sort_keys=True)
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
-    def file(self, folder: Path) -> Path:
-        """Where its result is kept."""
+    def result_file(self, folder: Path) -> Path:
+        """Return the path of the stored result."""
         variant = self.variant.replace(":", "-").replace("/", "-")
         return folder / f"{self.scenario.name}.{self.scenario.gateways}.{self.seed}.{variant}.json"
 
 
 @dataclass(slots=True)
 class ExperimentResults:
-    """What became of a matrix: results by (scenario, gateways, seed, variant), and what went wrong."""
+    """Results of a matrix by (scenario, gateways, seed, variant), and messages of failed simulations."""
 
-    results: dict[tuple[str, int, int, str], dict[str, Any]] = field(default_factory=dict)
+    records: dict[tuple[str, int, int, str], dict[str, Any]] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
-    reused: int = 0  # of the results were there already
+    reused: int = 0  # results that were loaded from earlier runs
 
 
-def git(*words: str) -> str:
-    """One line of git about this repository; raises Unknown."""
-    done = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
-    if done.returncode:
+def git(*arguments: str) -> str:
+    """Return the output of a git command in this repository; raises InvalidRunError."""
+    process = subprocess.run(
+        ["git", *arguments], cwd=REPOSITORY_ROOT, capture_output=True, text=True, check=False
+    )
+    if process.returncode:
         raise InvalidRunError(
-            f"git {words[0]}: {done.stderr.strip().splitlines()[-1] if done.stderr else 'failed'}"
+            f"git {arguments[0]}: {process.stderr.strip().splitlines()[-1] if process.stderr else 'failed'}"
         )
-    return done.stdout.strip()
+    return process.stdout.strip()
 
 
-def commit(wanted: str) -> str:
-    """A revision's own name, in short; raises Unknown."""
+def commit(requested: str) -> str:
+    """Resolve a revision to its abbreviated commit id; raises InvalidRunError."""
     try:
-        return git("rev-parse", "--verify", "--quiet", "--short=12", f"{wanted}^{{commit}}")
+        return git("rev-parse", "--verify", "--quiet", "--short=12", f"{requested}^{{commit}}")
     except InvalidRunError:
-        raise InvalidRunError(f"--against {wanted}: no such revision here") from None
+        raise InvalidRunError(f"--against {requested}: no such revision here") from None
 
 
 def revision() -> str:
-    """Of the program as it is, with a mark where it is altered; of no repository: empty."""
+    """Return the current commit id, marked if there are local changes; empty outside a repository."""
     try:
-        altered = git("status", "--porcelain", "--", "lab", "orchidlane", "ops")
-        return git("rev-parse", "--short=12", "HEAD") + ("-altered" if altered else "")
+        changes = git("status", "--porcelain", "--", "lab", "orchidlane", "ops")
+        return git("rev-parse", "--short=12", "HEAD") + ("-altered" if changes else "")
     except (InvalidRunError, OSError):
         return ""
 
 
 @contextlib.contextmanager
 def checked_out(revisions: Sequence[str]) -> Iterator[dict[str, Path]]:
-    """For each revision a folder that holds its ``orchidlane`` and nothing else; gone at the end."""
-    with tempfile.TemporaryDirectory(prefix="birchdrum-lab-") as name:
-        folder, found = Path(name), {}
+    """Provide, for each revision, a temporary folder that contains only its ``orchidlane`` package."""
+    with tempfile.TemporaryDirectory(prefix="birchdrum-lab-") as root:
+        folder, import_paths = Path(root), {}
         try:
-            for i, wanted in enumerate(revisions):
-                tree, alone = folder / f"tree{i}", folder / f"path{i}"
-                git("worktree", "add", "--detach", str(tree), wanted)
-                alone.mkdir()
-                (alone / "orchidlane").symlink_to(tree / "orchidlane")
-                found[wanted] = alone
-            yield found
+            for i, commit_id in enumerate(revisions):
+                tree, import_path = folder / f"tree{i}", folder / f"path{i}"
+                git("worktree", "add", "--detach", str(tree), commit_id)
+                import_path.mkdir()
+                (import_path / "orchidlane").symlink_to(tree / "orchidlane")
+                import_paths[commit_id] = import_path
+            yield import_paths
         finally:
-            for i in range(len(found) + 1):
+            for i in range(len(import_paths) + 1):
                 with contextlib.suppress(InvalidRunError):
                     git("worktree", "remove", "--force", str(folder / f"tree{i}"))
 
@@ -117,70 +119,96 @@
 def matrix(
     scenarios: Sequence[Scenario], seeds: Sequence[int], variants: Sequence[str], against: Sequence[str]
 ) -> list[PlannedRun]:
-    """All plays; raises Unknown."""
+    """Return all combinations; raises InvalidRunError."""
     for name in variants:
         if name not in VARIANTS:
             raise InvalidRunError(f"no variant {name!r}: there are {', '.join(VARIANTS)}")
-    # By its commit's own name: a branch may have moved when results are taken up again.
-    names = [*variants, *(AGAINST_PREFIX + commit(wanted) for wanted in against)]
+    # Commit ids, since a branch may have moved when an experiment is resumed.
+    names = [*variants, *(AGAINST_PREFIX + commit(name) for name in against)]
     return [PlannedRun(scenario, seed, name) for scenario in scenarios for seed in seeds for name in names]
 
 
-def kept(wanted: PlannedRun, folder: Path, at: str) -> dict[str, Any] | None:
-    """A whole result of this play by this program; None where there is none, or another."""
+def load_result(planned: PlannedRun, folder: Path, current_revision: str) -> dict[str, Any] | None:
+    """Load the stored result; None if it is missing, incomplete, or of another input or program revision."""
     try:
-        found = json.loads(wanted.file(folder).read_text())
-        same = (found["format"], found["digest"], found["revision"]) == (FORMAT, wanted.digest(), at)
-        known = at and not at.endswith("-altered")  # else nobody can tell what played it
-        return found if same and known and "score" in found["result"] else None
+        stored = json.loads(planned.result_file(folder).read_text())
+        same = (stored["format"], stored["digest"], stored["revision"]) == (
+            RESULT_FORMAT,
+            planned.digest(),
+            current_revision,
+        )
+        # With local changes the revision does not identify the program that produced a result.
+        identified = current_revision and not current_revision.endswith("-altered")
+        return stored if same and identified and "score" in stored["result"] else None
     except (OSError, ValueError, KeyError, TypeError):
         return None
 
 
 async def run(
-    plays: Sequence[PlannedRun], folder: Path, workers: int, told: Callable[[int, int, str], None]
+    planned_runs: Sequence[PlannedRun],
+    folder: Path,
+    workers: int,
+    on_progress: Callable[[int, int, str], None],
 ) -> ExperimentResults:
-    """Play what is missing. ``told`` hears how many of how many are done, and of which. One that breaks is
-    told and left out; what is done is kept whatever ends the rest."""
-    done, at, room = ExperimentResults(), revision(), asyncio.Semaphore(workers)
+    """Run the simulations that have no stored result yet.
+
+    ``on_progress`` is called with the number of finished simulations, their total and a description. A failed
+    simulation is reported in ``failures``; finished results are stored even if the experiment is interrupted.
+    """
+    results, current_revision, worker_slots = ExperimentResults(), revision(), asyncio.Semaphore(workers)
     against = list(
         dict.fromkeys(
-            p.variant.removeprefix(AGAINST_PREFIX) for p in plays if p.variant.startswith(AGAINST_PREFIX)
+            p.variant.removeprefix(AGAINST_PREFIX)
+            for p in planned_runs
+            if p.variant.startswith(AGAINST_PREFIX)
         )
     )
     versions = {"python": platform.python_version()} | {name: version(name) for name in LIBRARIES}
 
-    async def one(wanted: PlannedRun, paths: dict[str, Path]) -> None:
-        key = (wanted.scenario.name, wanted.scenario.gateways, wanted.seed, wanted.variant)
-        if found := kept(wanted, folder, at):
-            done.results[key] = found
-            done.reused += 1
+    async def run_one(planned: PlannedRun, paths: dict[str, Path]) -> None:
+        key = (planned.scenario.name, planned.scenario.gateways, planned.seed, planned.variant)
+        if stored := load_result(planned, folder, current_revision):
+            results.records[key] = stored
+            results.reused += 1
         else:
-            async with room:
-                raw, wrong = await _worker(wanted, paths.get(wanted.variant.removeprefix(AGAINST_PREFIX)))
-            if raw is None:
-                done.failures.append(f"{wanted.scenario.name} seed {wanted.seed} {wanted.variant}: {wrong}")
+            async with worker_slots:
+                output, error = await _worker(
+                    planned, paths.get(planned.variant.removeprefix(AGAINST_PREFIX))
+                )
+            if output is None:
+                results.failures.append(
+                    f"{planned.scenario.name} seed {planned.seed} {planned.variant}: {error}"
+                )
             else:
-                whole = {"format": FORMAT, "digest": wanted.digest(), "revision": at, "versions": versions}
-                whole |= wanted.worker_input() | {"of": wanted.variant} | raw
-                write_atomically(wanted.file(folder), json.dumps(whole, indent=1))
-                done.results[key] = whole
-        told(len(done.results) + len(done.failures), len(plays), f"{wanted.scenario.name} {wanted.variant}")
+                record = {
+                    "format": RESULT_FORMAT,
+                    "digest": planned.digest(),
+                    "revision": current_revision,
+                    "versions": versions,
+                }
+                record |= planned.worker_input() | {"of": planned.variant} | output
+                write_atomically(planned.result_file(folder), json.dumps(record, indent=1))
+                results.records[key] = record
+        on_progress(
+            len(results.records) + len(results.failures),
+            len(planned_runs),
+            f"{planned.scenario.name} {planned.variant}",
+        )
 
     folder.mkdir(parents=True, exist_ok=True)
     with checked_out(against) as paths:
-        await asyncio.gather(*(one(wanted, paths) for wanted in plays))
-    # In the order of the matrix, whichever came first: the first variant is what others are compared with.
-    keys = [(w.scenario.name, w.scenario.gateways, w.seed, w.variant) for w in plays]
-    done.results = {key: done.results[key] for key in keys if key in done.results}
-    return done
+        await asyncio.gather(*(run_one(planned, paths) for planned in planned_runs))
+    # In the order of the matrix, not of completion: the first variant is the baseline of the comparison.
+    keys = [(p.scenario.name, p.scenario.gateways, p.seed, p.variant) for p in planned_runs]
+    results.records = {key: results.records[key] for key in keys if key in results.records}
+    return results
 
 
-async def _worker(wanted: PlannedRun, path: Path | None) -> tuple[dict[str, Any] | None, str]:
-    """One process's result, or its last word."""
+async def _worker(planned: PlannedRun, path: Path | None) -> tuple[dict[str, Any] | None, str]:
+    """Run one worker process; returns its output, or None and the last line of its error output."""
     environment = dict(os.environ)
-    first = [str(path)] if path else []
-    environment["PYTHONPATH"] = os.pathsep.join([*first, str(ROOT)])
+    import_paths = [str(path)] if path else []
+    environment["PYTHONPATH"] = os.pathsep.join([*import_paths, str(REPOSITORY_ROOT)])
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-P",
@@ -192,97 +220,113 @@
         env=environment,
     )
     try:
-        out, errors = await process.communicate(json.dumps(wanted.worker_input()).encode())
+        stdout, stderr = await process.communicate(json.dumps(planned.worker_input()).encode())
     except asyncio.CancelledError:
         process.kill()
         await process.wait()
         raise
     if process.returncode:
-        lines = errors.decode("utf-8", "replace").strip().splitlines()
-        return None, lines[-1] if lines else f"ended with {process.returncode}"
-    raw: dict[str, Any] = json.loads(out)
-    return raw, ""
+        lines = stderr.decode("utf-8", "replace").strip().splitlines()
+        return None, lines[-1] if lines else f"worker exited with status {process.returncode}"
+    output: dict[str, Any] = json.loads(stdout)
+    return output, ""
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One variant beside the first one, over the seeds that both have."""
+    """Comparison of one variant with the first one, over the seeds that both have."""
 
     scenario: str
     gateways: int
     variant: str
     pairs: int
-    median: float  # its score
-    difference: float  # the median over pairs of its score less the first one's
+    median: float  # of the variant's scores
+    difference: float  # median over pairs of the variant's score minus the first variant's
     low: float
     high: float
-    broken: int  # plays in which a rule was broken
+    broken: int  # simulations in which a rule was broken
 
     def __str__(self) -> str:
         text = f"{self.scenario:12} {self.gateways:4} gateways  {self.variant:24} score {self.median:.3f}"
         if self.pairs:
-            sign = f"{self.difference:+.4f} [{self.low:+.4f}, {self.high:+.4f}]"
-            text += f"  {sign} over {self.pairs} pairs"
+            difference = f"{self.difference:+.4f} [{self.low:+.4f}, {self.high:+.4f}]"
+            text += f"  {difference} over {self.pairs} pairs"
         return text + (f"  BROKEN in {self.broken}" if self.broken else "")
 
 
-def differences(done: ExperimentResults) -> list[Difference]:
-    """Each scenario's variants beside its first one."""
+def differences(results: ExperimentResults) -> list[Difference]:
+    """Compare the variants of each scenario with its first variant."""
     rows = []
-    groups = dict.fromkeys((name, gateways) for name, gateways, _, _ in done.results)
-    variants = dict.fromkeys(variant for _, _, _, variant in done.results)
+    groups = dict.fromkeys((name, gateways) for name, gateways, _, _ in results.records)
+    variants = dict.fromkeys(variant for _, _, _, variant in results.records)
     base = next(iter(variants), "")
     for name, gateways in groups:
         scores: dict[str, dict[int, float]] = {variant: {} for variant in variants}
         broken: dict[str, int] = dict.fromkeys(variants, 0)
-        for (scenario, size, seed, variant), whole in done.results.items():
+        for (scenario, size, seed, variant), record in results.records.items():
             if (scenario, size) == (name, gateways):
-                scores[variant][seed] = whole["result"]["score"]
-                broken[variant] += bool(whole["result"]["broken"])
-        for variant, own in scores.items():
-            if not own:
+                scores[variant][seed] = record["result"]["score"]
+                broken[variant] += bool(record["result"]["broken"])
+        for variant, scores_by_seed in scores.items():
+            if not scores_by_seed:
                 continue
-            pairs = [own[seed] - scores[base][seed] for seed in sorted(own) if seed in scores[base]]
+            pairs = [
+                scores_by_seed[seed] - scores[base][seed]
+                for seed in sorted(scores_by_seed)
+                if seed in scores[base]
+            ]
             pairs = [] if variant == base else pairs
             low, high = confidence_interval(pairs)
-            middle = float(np.median(pairs)) if pairs else 0.0
-            score = float(np.median(list(own.values())))
+            median_difference = float(np.median(pairs)) if pairs else 0.0
+            score = float(np.median(list(scores_by_seed.values())))
             rows.append(
-                Difference(name, gateways, variant, len(pairs), score, middle, low, high, broken[variant])
+                Difference(
+                    name, gateways, variant, len(pairs), score, median_difference, low, high, broken[variant]
+                )
             )
     return rows
 
 
 def confidence_interval(values: Sequence[float]) -> tuple[float, float]:
-    """Of their median, by bootstrap; the values' own range where there are too few or all are alike."""
+    """Bootstrap the interval of the median; with fewer than 3 or only equal values, returns their range."""
     if len(values) < 3 or len(set(values)) == 1:
         return (min(values, default=0.0), max(values, default=0.0))
-    found = stats.bootstrap(
+    bootstrapped = stats.bootstrap(
         (np.array(values),),
         np.median,
         confidence_level=CONFIDENCE_LEVEL,
-        n_resamples=RESAMPLES,
+        n_resamples=BOOTSTRAP_RESAMPLES,
         method="percentile",
         rng=np.random.default_rng(0),
     )
-    return float(found.confidence_interval.low), float(found.confidence_interval.high)
+    return float(bootstrapped.confidence_interval.low), float(bootstrapped.confidence_interval.high)
+
 
+def rerun_from_file(result_file: Path) -> tuple[bool, str]:
+    """Repeat the simulation of a stored result.
 
-def rerun_from_file(file: Path) -> tuple[bool, str]:
-    """Play a kept result anew from its file: whether it is the same, and what to tell; raises Unknown."""
+    Returns whether the result is identical, and a message; raises InvalidRunError.
+    """
     from .worker import run_simulation
 
     try:
-        whole = json.loads(file.read_text())
-        if whole["format"] != FORMAT:
-            raise InvalidRunError(f"{file}: format {whole['format']} is not known here, {FORMAT} is")
-        wanted = {"scenario": whole["scenario"], "seed": whole["seed"], "variant": whole["variant"]}
-        before = whole["result"]
-    except (OSError, ValueError, KeyError, TypeError) as wrong:
+        record = json.loads(result_file.read_text())
+        if record["format"] != RESULT_FORMAT:
+            raise InvalidRunError(
+                f"{result_file}: format {record['format']} is not knew_resultn here, {RESULT_FORMAT} is"
+            )
+        description = {"scenario": record["scenario"], "seed": record["seed"], "variant": record["variant"]}
+        stored_result = record["result"]
+    except (OSError, ValueError, KeyError, TypeError) as error:
         raise (
-            wrong if isinstance(wrong, InvalidRunError) else InvalidRunError(f"{file}: is no whole result")
+            error
+            if isinstance(error, InvalidRunError)
+            else InvalidRunError(f"{result_file}: not a complete result file")
         ) from None
-    now = json.loads(json.dumps(run_simulation(wanted)["result"]))
-    if now == before:
-        return True, f"{file}: the same, score {now['score']:.6f}"
-    return False, f"{file}: another result, score {now['score']:.6f} after {before['score']:.6f}"
+    new_result = json.loads(json.dumps(run_simulation(description)["result"]))
+    if new_result == stored_result:
+        return True, f"{result_file}: the same, score {new_result['score']:.6f}"
+    return (
+        False,
+        f"{result_file}: different result, score {new_result['score']:.6f}, was {stored_result['score']:.6f}",
+    )
--- a/lab/station.py
+++ b/lab/station.py
@@ -124,7 +124,7 @@
             self._reject(ticket, FULL)
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Drop an abandoned request from the queue; a running one continues. Returns whether it was queued."""
+        """Drop an abandoned request from the queue, but not a running one. Returns whether it was queued."""
         if ticket in self.queue:
             self.queue.remove(ticket)
             self.stats.turned_away[CANCELLED] += 1
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,7 +1,7 @@
-"""Runs one simulation in a separate process: reads a JSON description from stdin, writes the result to stdout.
+"""Runs one simulation in a separate process: JSON description on stdin, result on stdout.
 
-Run it with ``-P``, and with a folder that holds another revision's ``orchidlane`` first on the path to use the
-decisions of that revision.
+Run it with ``-P``. To use the decisions of another revision, put a folder with that revision's ``orchidlane``
+first on the path.
 """
 
 from __future__ import annotations
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -332,7 +332,7 @@
     files[0].write_text(json.dumps(whole))
     assert run("lab", "again", files[0]).returncode == 1
     files[0].write_text("{}")
-    assert refused("lab", "again", files[0]) == [f"{files[0]}: is no whole result"]
+    assert refused("lab", "again", files[0]) == [f"{files[0]}: not a complete result file"]
 
 
 GIT_ALTERED = experiment.revision().endswith("-altered") or not experiment.revision()
@@ -342,7 +342,10 @@
     """The decisions of the revision before there were any: its plays fail, ours are kept."""
     out = tmp_path / "out"
     first = subprocess.run(
-        ["git", "rev-list", "--max-parents=0", "HEAD"], cwd=experiment.ROOT, capture_output=True, text=True
+        ["git", "rev-list", "--max-parents=0", "HEAD"],
+        cwd=experiment.REPOSITORY_ROOT,
+        capture_output=True,
+        text=True,
     ).stdout.split()[0]
     broken = run("lab", "compare", tiny(tmp_path), "--seeds", "1", "--against", first, "--out", out)
     lines = broken.stderr.splitlines()
@@ -369,6 +372,8 @@
 def test_programs_that_choose_ports_at_once_never_choose_the_same():
     code = "from lab import ports; print(*[p for _ in range(60) for p in ports.allocate(3)])"
     words = [sys.executable, "-c", code]
-    choosers = [subprocess.Popen(words, cwd=experiment.ROOT, stdout=subprocess.PIPE) for _ in range(6)]
+    choosers = [
+        subprocess.Popen(words, cwd=experiment.REPOSITORY_ROOT, stdout=subprocess.PIPE) for _ in range(6)
+    ]
     chosen = [int(word) for chooser in choosers for word in chooser.communicate(timeout=60)[0].split()]
     assert len(chosen) == len(set(chosen)) == 6 * 180
