--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,8 +1,8 @@
-"""Stand-in clients behind a front: customers' requests come as they like (open loop), whatever the answers.
+"""Stand-in clients behind a load balancer: an open-loop workload, whose arrivals don't depend on the answers.
 
-The front knows each customer's set, ``spread`` gateways counted round from ``first``, and picks one of them
-that answers; a connection carries one request at a time and is used again. What clients saw is kept in
-``Account``.
+The load balancer knows each customer's set of gateways, ``spread`` of them counted cyclically from ``first``,
+and picks one that is reachable. Connections are reused, with one request at a time each. Results as seen by
+the clients are kept in ``CustomerStats``.
 """
 
 from __future__ import annotations
@@ -18,55 +18,57 @@
 
 from . import protocol
 
-CONNECT_WITHIN = 1.0  # seconds
-LATENCIES_KEPT = 5_000  # of each customer: a run without an end must not grow
-SPARE = 0.5  # seconds that a client waits beyond its deadline before the request counts as lost
-DOWN_FOR = 1.0  # seconds for which the front passes by a gateway that it could not reach
+CONNECT_TIMEOUT = 1.0  # seconds
+LATENCIES_KEPT = 5_000  # per customer, to bound the memory of a run without an end
+RESPONSE_MARGIN = 0.5  # seconds after the deadline until a request counts as lost
+DOWN_DURATION = 1.0  # seconds for which an unreachable gateway gets no requests
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Who asks, for what, how often; units a second on average, and its quota."""
+    """One customer: its request rate, its quota and its set of gateways."""
 
     number: int
     plan: str
-    rate: float  # requests a second
-    quota: float  # units a second
+    rate: float  # average requests per second
+    quota: float  # units per second
     burst: float
     first: int
     spread: int
-    units: int = 1
+    units: int = 1  # of each request
 
 
 @dataclass(slots=True)
 class CustomerStats:
-    """What came of one customer's requests, as its clients saw it."""
+    """Results of one customer's requests, as seen by its clients."""
 
     sent: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)  # served, refused, failed, lost
-    units: int = 0  # that were served
+    units: int = 0  # served
     latencies: deque[float] = field(
         default_factory=lambda: deque(maxlen=LATENCIES_KEPT)
-    )  # seconds of served ones
-    over_quota_units: float = 0.0  # units served beyond what the quota held at that moment
-    store: float = -1.0  # what the quota holds, by a store of its own; below 0: not begun
-    at: float = 0.0
-
-    def spend(self, customer: Customer, began: float) -> None:
-        """Count a served request against a store that is filled at the quota's rate."""
-        if self.store < 0:
-            self.store, self.at = customer.burst, began
-        self.store = min(customer.burst, self.store + customer.quota * max(0.0, began - self.at))
-        self.at = max(self.at, began)
-        beyond = max(0.0, customer.units - self.store)
-        self.store = max(0.0, self.store - customer.units)
-        self.over_quota_units += beyond
+    )  # seconds, of served requests
+    over_quota_units: float = 0.0  # units served in excess of the quota available at that time
+    available: float = -1.0  # units left in the quota's token bucket; negative: not initialized
+    updated_at: float = 0.0
+
+    def spend(self, customer: Customer, started_at: float) -> None:
+        """Charge a served request to a token bucket that is refilled at the rate of the quota."""
+        if self.available < 0:
+            self.available, self.updated_at = customer.burst, started_at
+        self.available = min(
+            customer.burst, self.available + customer.quota * max(0.0, started_at - self.updated_at)
+        )
+        self.updated_at = max(self.updated_at, started_at)
+        excess = max(0.0, customer.units - self.available)
+        self.available = max(0.0, self.available - customer.units)
+        self.over_quota_units += excess
         self.units += customer.units
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; seconds."""
+    """A class of requests; the deadline is in seconds."""
 
     name: str
     effect: str
@@ -74,64 +76,64 @@
 
 
 class GatewayConnection(asyncio.Protocol):
-    """One connection to a gateway with at most one request on it."""
+    """A connection to a gateway, with at most one request in progress."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.waiting: asyncio.Future[object] | None = None
+        self.response_future: asyncio.Future[object] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """The answer, or a part of it."""
+        """Parse received bytes; a complete reply or a protocol error ends the request in progress."""
         try:
             self.reader.feed(data)
             reply = self.reader.gets()
-        except hiredis.ProtocolError as wrong:
-            reply = wrong
-        if reply is not False and self.waiting and not self.waiting.done():
-            self.waiting.set_result(reply)
+        except hiredis.ProtocolError as error:
+            reply = error
+        if reply is not False and self.response_future and not self.response_future.done():
+            self.response_future.set_result(reply)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The gateway closed it."""
+        """Fail the request in progress."""
         self.transport = None
-        if self.waiting and not self.waiting.done():
-            self.waiting.set_exception(ConnectionResetError("closed before its answer"))
+        if self.response_future and not self.response_future.done():
+            self.response_future.set_exception(ConnectionResetError("connection closed before the response"))
 
     @property
     def usable(self) -> bool:
-        """Whether a request may be written."""
+        """Whether the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
-    async def request(self, command: bytes, within: float) -> object:
-        """One command's answer; raises OSError or TimeoutError."""
+    async def request(self, command: bytes, timeout: float) -> object:
+        """Send a command and return the reply; raises OSError or TimeoutError."""
         if not self.usable or self.transport is None:
-            raise ConnectionResetError("closed")
-        self.waiting = asyncio.get_running_loop().create_future()
+            raise ConnectionResetError("connection is closed")
+        self.response_future = asyncio.get_running_loop().create_future()
         self.transport.write(command)
         try:
-            async with asyncio.timeout(within):
-                return await self.waiting
+            async with asyncio.timeout(timeout):
+                return await self.response_future
         finally:
-            self.waiting = None
+            self.response_future = None
 
 
-def encode_request(customer: Customer, kind: RequestClass, number: str) -> bytes:
-    """A request in the protocol's words."""
+def encode_request(customer: Customer, request_class: RequestClass, request_id: str) -> bytes:
+    """Encode a request of a customer."""
     key, body = None, None
-    if kind.effect != "repeatable":
-        key, body = (number if kind.effect == "by_key" else None), b"stand-in"
+    if request_class.effect != "repeatable":
+        key, body = (request_id if request_class.effect == "by_key" else None), b"stand-in"
     return protocol.request(
-        kind.name,
+        request_class.name,
         customer.plan,
         customer.number,
-        number,
+        request_id,
         units=customer.units,
-        deadline_ms=int(kind.deadline * 1000),
+        deadline_ms=int(request_class.deadline * 1000),
         first=customer.first,
         spread=customer.spread,
         key=key,
@@ -140,7 +142,7 @@
 
 
 class LoadBalancer:
-    """Kept connections to each gateway, and which of them can be reached."""
+    """A pool of connections to each gateway, and which gateways were unreachable recently."""
 
     def __init__(self, gateways: Sequence[tuple[str, int]]) -> None:
         self.gateways = list(gateways)
@@ -148,119 +150,123 @@
         self.down_until = [0.0] * len(self.gateways)
         self.sent: Counter[int] = Counter()
 
-    async def line(self, rank: int) -> GatewayConnection:
-        """A free connection, kept or new; raises OSError."""
+    async def connection(self, rank: int) -> GatewayConnection:
+        """Return an idle connection or open a new one; raises OSError."""
         while self.idle[rank]:
-            line = self.idle[rank].pop()
-            if line.usable:
-                return line
+            connection = self.idle[rank].pop()
+            if connection.usable:
+                return connection
         try:
-            async with asyncio.timeout(CONNECT_WITHIN):
-                _, line = await asyncio.get_running_loop().create_connection(
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                _, connection = await asyncio.get_running_loop().create_connection(
                     GatewayConnection, *self.gateways[rank]
                 )
-        except OSError:  # a TimeoutError is one, too
-            self.down_until[rank] = time.monotonic() + DOWN_FOR
+        except OSError:  # including TimeoutError
+            self.down_until[rank] = time.monotonic() + DOWN_DURATION
             raise
-        return line
+        return connection
 
-    def up(self, rank: int) -> bool:
-        """Whether it was reached lately, or not tried."""
+    def is_up(self, rank: int) -> bool:
+        """Whether no connection attempt failed within DOWN_DURATION."""
         return self.down_until[rank] <= time.monotonic()
 
     def close(self) -> None:
-        """All connections."""
-        for lines in self.idle:
-            for line in lines:
-                if line.transport:
-                    line.transport.abort()
+        """Abort all idle connections."""
+        for connections in self.idle:
+            for connection in connections:
+                if connection.transport:
+                    connection.transport.abort()
 
 
 class Clients:
-    """All customers' clients."""
+    """The clients of all customers."""
 
     def __init__(
         self,
-        front: LoadBalancer,
+        load_balancer: LoadBalancer,
         customers: Sequence[Customer],
-        kinds: Sequence[RequestClass],
+        request_classes: Sequence[RequestClass],
         seed: np.random.SeedSequence,
     ) -> None:
-        self.front, self.customers, self.kinds = front, customers, kinds
-        # Told of each request: customer, id, what came, seconds, the gateway.
+        self.load_balancer, self.customers, self.request_classes = load_balancer, customers, request_classes
+        # Called after each request with customer, request id, outcome, duration in seconds and gateway rank.
         self.observer: Callable[[Customer, str, str, float, int], None] | None = None
         self.stats_by_customer = {customer.number: CustomerStats() for customer in customers}
-        self.draws = [np.random.default_rng(part) for part in seed.spawn(len(customers))]
+        self.rngs = [np.random.default_rng(child_seed) for child_seed in seed.spawn(len(customers))]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sources: list[asyncio.Task[None]] = []
+        self.generators: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start generating requests."""
         loop = asyncio.get_running_loop()
-        for customer, draw in zip(self.customers, self.draws, strict=True):
-            self.sources.append(loop.create_task(self._come(customer, draw)))
+        for customer, rng in zip(self.customers, self.rngs, strict=True):
+            self.generators.append(loop.create_task(self._generate_requests(customer, rng)))
 
     async def stop(self) -> None:
-        """Ask no more, and wait for what is out."""
-        for task in self.sources:
+        """Stop generating requests, and wait for those in progress."""
+        for task in self.generators:
             task.cancel()
-        await asyncio.gather(*self.sources, return_exceptions=True)
+        await asyncio.gather(*self.generators, return_exceptions=True)
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        self.front.close()
+        self.load_balancer.close()
 
-    async def _come(self, customer: Customer, draw: np.random.Generator) -> None:
+    async def _generate_requests(self, customer: Customer, rng: np.random.Generator) -> None:
         loop, number = asyncio.get_running_loop(), 0
         due = loop.time()
         while True:
-            due += float(draw.exponential(1 / customer.rate))
+            due += float(rng.exponential(1 / customer.rate))
             await asyncio.sleep(max(0.0, due - loop.time()))
             number += 1
-            kind = self.kinds[int(draw.integers(len(self.kinds)))]
-            task = loop.create_task(self._ask(customer, kind, f"{customer.number:x}-{number}", draw))
+            request_class = self.request_classes[int(rng.integers(len(self.request_classes)))]
+            task = loop.create_task(
+                self._perform(customer, request_class, f"{customer.number:x}-{number}", rng)
+            )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _ask(
-        self, customer: Customer, kind: RequestClass, number: str, draw: np.random.Generator
+    async def _perform(
+        self, customer: Customer, request_class: RequestClass, request_id: str, rng: np.random.Generator
     ) -> None:
-        account, began = self.stats_by_customer[customer.number], time.monotonic()
-        account.sent += 1
-        rank = self._gateway(customer, draw)
+        stats, started_at = self.stats_by_customer[customer.number], time.monotonic()
+        stats.sent += 1
+        rank = self._choose_gateway(customer, rng)
         try:
-            came = protocol.outcome(await self._through(customer, kind, number, rank))
+            outcome = protocol.outcome(await self._send_via(customer, request_class, request_id, rank))
         except (OSError, TimeoutError):
-            came = "lost"
-        account.outcomes[came] += 1
+            outcome = "lost"
+        stats.outcomes[outcome] += 1
         if self.observer:
-            self.observer(customer, number, came, time.monotonic() - began, rank)
-        if came == "served":
-            account.latencies.append(time.monotonic() - began)
-            account.spend(customer, began)
-
-    def _gateway(self, customer: Customer, draw: np.random.Generator) -> int:
-        """One of its set, that was reached lately if there is any."""
-        ranks = [(customer.first + i) % len(self.front.gateways) for i in range(customer.spread)]
-        up = [rank for rank in ranks if self.front.up(rank)] or ranks
-        return up[int(draw.integers(len(up)))]
-
-    async def _through(self, customer: Customer, kind: RequestClass, number: str, rank: int) -> object:
-        """By that gateway. A connection that was closed before it took the request gets another."""
-        words = encode_request(customer, kind, number)
-        for again in (False, True):
-            kept = bool(self.front.idle[rank])
-            line = await self.front.line(rank)
-            self.front.sent[rank] += not again
+            self.observer(customer, request_id, outcome, time.monotonic() - started_at, rank)
+        if outcome == "served":
+            stats.latencies.append(time.monotonic() - started_at)
+            stats.spend(customer, started_at)
+
+    def _choose_gateway(self, customer: Customer, rng: np.random.Generator) -> int:
+        """Pick a random gateway of the customer's set, preferring reachable ones."""
+        ranks = [(customer.first + i) % len(self.load_balancer.gateways) for i in range(customer.spread)]
+        reachable = [rank for rank in ranks if self.load_balancer.is_up(rank)] or ranks
+        return reachable[int(rng.integers(len(reachable)))]
+
+    async def _send_via(
+        self, customer: Customer, request_class: RequestClass, request_id: str, rank: int
+    ) -> object:
+        """Send a request by a gateway, once more if a reused connection turns out to be closed."""
+        request = encode_request(customer, request_class, request_id)
+        for retry in (False, True):
+            reused = bool(self.load_balancer.idle[rank])
+            connection = await self.load_balancer.connection(rank)
+            self.load_balancer.sent[rank] += not retry
             try:
-                reply = await line.request(words, kind.deadline + SPARE)
+                reply = await connection.request(request, request_class.deadline + RESPONSE_MARGIN)
             except ConnectionResetError:
-                if again or not kept:
+                if retry or not reused:
                     raise
-                continue  # its closing crossed this request: the protocol has the client send it once more
+                continue  # closed by the gateway while the request was sent: the protocol requires one retry
             except TimeoutError:
-                if line.transport:
-                    line.transport.abort()
+                if connection.transport:
+                    connection.transport.abort()
                 raise
-            if line.usable:
-                self.front.idle[rank].append(line)
+            if connection.usable:
+                self.load_balancer.idle[rank].append(connection)
             return reply
-        raise ConnectionResetError("closed twice")
+        raise ConnectionResetError("connection closed twice")
