--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -1,7 +1,8 @@
-"""What the gateway is compared with, behind the decision module's own interface.
+"""Baselines that the gateway is compared with, behind the interface of the decision module.
 
-A baseline is a way to keep quotas and a way to choose a host; each tries a request once more on another host
-where nothing has run. ``oracle`` sees all true state at once and is the ceiling.
+A baseline combines a way to enforce quotas with a policy to choose hosts. A failed attempt is retried once, on
+another host, if the request can't have run or may be repeated. ``oracle`` sees the true state of everything
+without delay and is the upper bound.
 """
 
 from __future__ import annotations
@@ -13,36 +14,39 @@
 from orchidlane.rules import Gateway
 
 from .judge import TokenBucket
-from .node import Decider
+from .node import DecisionModule
 from .virtual import Factory
 
 if TYPE_CHECKING:
     from .virtual import World
 
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.NOT_CONNECTED)
-RETRY_AFTER_MOST = 1_000_000
+RETRY_AFTER_MAX = 1_000_000
 
 
-class Simple:
-    """Quotas kept here alone, hosts chosen by a plain rule."""
+class LocalQuotaGateway:
+    """Enforces quotas without coordination between gateways, and chooses hosts by a simple policy.
+
+    ``quota_share`` is the share of each quota that this gateway grants; 0 stands for an even split.
+    """
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: int, world: World, part: float, choice: str
+        self, settings: api.Settings, seed: int, now: int, world: World, quota_share: float, policy: str
     ) -> None:
-        self.settings, self.world, self.part, self.choice = settings, world, part, choice
+        self.settings, self.world, self.quota_share, self.policy = settings, world, quota_share, policy
         self.random = random.Random(seed)
         self.hosts: dict[api.Server, api.ServerEntry] = {}
-        self.stores: dict[int, TokenBucket] = {}
-        self.open: dict[api.Server, int] = {}
-        self.tried: dict[int, tuple[api.RequestArrived, list[api.Server]]] = {}
-        self.turn = self.random.randrange(1 << 16)
+        self.buckets: dict[int, TokenBucket] = {}
+        self.outstanding: dict[api.Server, int] = {}
+        self.pending: dict[int, tuple[api.RequestArrived, list[api.Server]]] = {}
+        self.next_index = self.random.randrange(1 << 16)
 
     def start(self) -> list[api.Action]:
-        """Nothing to begin with."""
+        """Return no actions."""
         return []
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Requests, their attempts' ends, and the list; all else is no concern of a baseline."""
+        """Handle requests, ends of attempts and the host list; other events are ignored."""
         if isinstance(event, api.ServerListed):
             if event.kind is api.ListKind.WHOLE:
                 self.hosts.clear()
@@ -51,123 +55,123 @@
                 if entry.phase is api.Phase.READY:
                     self.hosts[entry.server] = entry
         elif isinstance(event, api.RequestArrived):
-            return self._arrived(now, event)
+            return self._handle_request(now, event)
         elif isinstance(event, api.AttemptEnded):
-            return self._ended(event)
+            return self._handle_attempt_end(event)
         elif isinstance(event, api.ClientGone):
-            self.tried.pop(event.request, None)
+            self.pending.pop(event.request, None)
         return []
 
-    def store(self, now: int, event: api.RequestArrived) -> TokenBucket:
-        """The store that a request's units come from."""
-        store = self.stores.get(event.customer)
-        if store is None:
+    def bucket(self, now: int, event: api.RequestArrived) -> TokenBucket:
+        """Return the bucket that a request is charged to."""
+        bucket = self.buckets.get(event.customer)
+        if bucket is None:
             plan = self.settings.plans[event.plan]
-            part = self.part or 1 / event.set_size
-            store = self.stores[event.customer] = TokenBucket(
-                plan.rate * part, plan.burst * part, plan.burst * part, now
+            quota_share = self.quota_share or 1 / event.set_size
+            bucket = self.buckets[event.customer] = TokenBucket(
+                plan.rate * quota_share, plan.burst * quota_share, plan.burst * quota_share, now
             )
-        return store
-
-    def _room(self, now: int, event: api.RequestArrived) -> tuple[float, float]:
-        """Units that its customer may spend now, and the rate at which they come back."""
-        store = self.store(now, event)
-        return store.look(now), store.rate
-
-    def _spend(self, now: int, event: api.RequestArrived) -> None:
-        """They are spent."""
-        self.store(now, event).held -= event.units
-
-    def _arrived(self, now: int, event: api.RequestArrived) -> list[api.Action]:
-        held, rate = self._room(now, event)
-        if held < event.units:
-            wait = int(1e6 * (event.units - held) / rate)
-            return [api.Refuse(event.request, min(RETRY_AFTER_MOST, wait), api.Cause.QUOTA)]
+        return bucket
+
+    def _available_quota(self, now: int, event: api.RequestArrived) -> tuple[float, float]:
+        """Return the customer's available units, and its rate in units per second."""
+        bucket = self.bucket(now, event)
+        return bucket.refill(now), bucket.rate
+
+    def _charge(self, now: int, event: api.RequestArrived) -> None:
+        """Charge the request to its bucket."""
+        self.bucket(now, event).available -= event.units
+
+    def _handle_request(self, now: int, event: api.RequestArrived) -> list[api.Action]:
+        available, rate = self._available_quota(now, event)
+        if available < event.units:
+            retry_after = int(1e6 * (event.units - available) / rate)
+            return [api.Refuse(event.request, min(RETRY_AFTER_MAX, retry_after), api.Cause.QUOTA)]
         server = self._choose(())
         if server is None:
             return [api.Refuse(event.request, 0, api.Cause.SLOW)]
-        self._spend(now, event)
-        self.tried[event.request] = (event, [server])
+        self._charge(now, event)
+        self.pending[event.request] = (event, [server])
         return [self._send(event.request, server)]
 
     def _send(self, request: int, server: api.Server) -> api.Send:
-        self.open[server] = self.open.get(server, 0) + 1
+        self.outstanding[server] = self.outstanding.get(server, 0) + 1
         return api.Send(request, server, 0)
 
-    def _choose(self, but: tuple[api.Server, ...] | list[api.Server]) -> api.Server | None:
-        servers = [server for server in self.hosts if server not in but]
+    def _choose(self, excluded: tuple[api.Server, ...] | list[api.Server]) -> api.Server | None:
+        servers = [server for server in self.hosts if server not in excluded]
         if not servers:
             return None
-        if self.choice == "round robin":
-            self.turn += 1
-            return servers[self.turn % len(servers)]
-        if self.choice == "two choices":
+        if self.policy == "round robin":
+            self.next_index += 1
+            return servers[self.next_index % len(servers)]
+        if self.policy == "two choices":
             servers = [servers[self.random.randrange(len(servers))] for _ in range(2)]
-        lots = {server: (self._depth(server), self.random.random()) for server in servers}
-        return min(servers, key=lots.__getitem__)
+        ranking = {server: (self._load(server), self.random.random()) for server in servers}
+        return min(servers, key=ranking.__getitem__)
 
-    def _depth(self, server: api.Server) -> float:
-        """How busy a host looks from here."""
-        return self.open.get(server, 0)
+    def _load(self, server: api.Server) -> float:
+        """Return the load of a host as seen by this gateway: its outstanding attempts."""
+        return self.outstanding.get(server, 0)
 
-    def _ended(self, event: api.AttemptEnded) -> list[api.Action]:
-        self.open[event.server] = max(0, self.open.get(event.server, 0) - 1)
-        if event.answered or event.request not in self.tried:
-            self.tried.pop(event.request, None)
+    def _handle_attempt_end(self, event: api.AttemptEnded) -> list[api.Action]:
+        self.outstanding[event.server] = max(0, self.outstanding.get(event.server, 0) - 1)
+        if event.answered or event.request not in self.pending:
+            self.pending.pop(event.request, None)
             return []
-        arrived, servers = self.tried[event.request]
-        safe = self.settings.classes[arrived.kind].effect is api.Effect.SAFE
-        again = event.outcome in NEVER_RAN or safe
-        server = self._choose(servers) if again and len(servers) < 2 else None
+        arrival, servers = self.pending[event.request]
+        repeatable = self.settings.classes[arrival.kind].effect is api.Effect.SAFE
+        may_retry = event.outcome in NEVER_RAN or repeatable
+        server = self._choose(servers) if may_retry and len(servers) < 2 else None
         if server is None:
-            del self.tried[event.request]
+            del self.pending[event.request]
             return [api.Fail(event.request)]
         servers.append(server)
         return [self._send(event.request, server)]
 
 
-class Oracle(Simple):
-    """Sees the one true store of each customer, and how busy and how well each host really is."""
+class OracleGateway(LocalQuotaGateway):
+    """Knows the true bucket of each customer, and the true load and health of each host."""
 
-    def _room(self, now: int, event: api.RequestArrived) -> tuple[float, float]:
-        store = self.world.judge.stores[event.customer]
-        return store.look(self.world.kernel.now), store.rate
+    def _available_quota(self, now: int, event: api.RequestArrived) -> tuple[float, float]:
+        bucket = self.world.judge.buckets[event.customer]
+        return bucket.refill(self.world.kernel.now), bucket.rate
 
-    def _spend(self, now: int, event: api.RequestArrived) -> None:
-        """At the judge, at once: no other gateway spends what is on its way."""
-        self.world.judge.take(self.world.kernel.now, event.request)
+    def _charge(self, now: int, event: api.RequestArrived) -> None:
+        """Charge the judge's bucket at once, so that no other gateway can use units of requests in flight."""
+        self.world.judge.charge(self.world.kernel.now, event.request)
 
-    def _depth(self, server: api.Server) -> float:
+    def _load(self, server: api.Server) -> float:
         host = self.world.by_name[server]
         if not host.up or host.silent or host.health is not api.Phase.READY:
             return float("inf")
         station = host.station
-        wrong = 1e6 * station.error_rate
-        return wrong + (station.running + len(station.queue)) / max(station.speed(), 1e-3)
+        error_penalty = 1e6 * station.error_rate
+        return error_penalty + (station.running + len(station.queue)) / max(station.speed(), 1e-3)
 
 
-def _plain(part: float, choice: str) -> Factory:
-    def make(settings: api.Settings, seed: int, now: int, world: World) -> Decider:
-        return Simple(settings, seed, now, world, part, choice)
+def _local_quota(quota_share: float, policy: str) -> Factory:
+    def create(settings: api.Settings, seed: int, now: int, world: World) -> DecisionModule:
+        return LocalQuotaGateway(settings, seed, now, world, quota_share, policy)
 
-    return make
+    return create
 
 
-def birchdrum(settings: api.Settings, seed: int, now: int, world: World) -> Decider:
-    """The decision module."""
+def birchdrum(settings: api.Settings, seed: int, now: int, world: World) -> DecisionModule:
+    """Create the real decision module."""
     return Gateway(settings, seed, now)
 
 
-def oracle(settings: api.Settings, seed: int, now: int, world: World) -> Decider:
-    """The ceiling."""
-    return Oracle(settings, seed, now, world, 1.0, "least outstanding")
+def oracle(settings: api.Settings, seed: int, now: int, world: World) -> DecisionModule:
+    """Create the upper bound of all variants."""
+    return OracleGateway(settings, seed, now, world, 1.0, "least outstanding")
 
 
 VARIANTS: dict[str, Factory] = {
     "birchdrum": birchdrum,
-    "whole-quota": _plain(1.0, "least outstanding"),
-    "even-split": _plain(0.0, "least outstanding"),
-    "round-robin": _plain(0.0, "round robin"),
-    "two-choices": _plain(0.0, "two choices"),
+    "whole-quota": _local_quota(1.0, "least outstanding"),
+    "even-split": _local_quota(0.0, "least outstanding"),
+    "round-robin": _local_quota(0.0, "round robin"),
+    "two-choices": _local_quota(0.0, "two choices"),
     "oracle": oracle,
 }
--- a/lab/node.py
+++ b/lab/node.py
@@ -23,7 +23,7 @@
 PEER_INTAKE = 100  # datagrams that a gateway takes in a second
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     """What a gateway is to the world: the decision module, or a baseline behind the same interface."""
 
     def start(self) -> list[api.Action]:
@@ -89,7 +89,7 @@
         self.world, self.rank = world, rank
         self.zone = rank % len(world.scenario.zones)
         self.life, self.up = 0, False
-        self.decider: Decider | None = None
+        self.decision_module: DecisionModule | None = None
         self.requests: dict[int, Request] = {}
         self.idle: dict[int, list[int]] = {}  # host: since when each unused connection is unused
         self.pending: deque[api.Event] = deque()
@@ -103,9 +103,11 @@
         self.life, self.up = self.life + 1, True
         self.requests, self.idle, self.pending, self.seen = {}, {}, deque(), {}
         seed = zlib.crc32(f"{world.seed}/{self.rank}/{self.life}".encode())
-        self.decider = world.factory(world.settings(self.rank), seed, START_TIME + world.kernel.now, world)
+        self.decision_module = world.factory(
+            world.settings(self.rank), seed, START_TIME + world.kernel.now, world
+        )
         world.judge.gateway_restarted(self.rank)
-        self._carry_out(self.decider.start())
+        self._carry_out(self.decision_module.start())
         self.told([host for host in world.hosts if host.health is not api.Phase.GONE], whole=True)
 
     def stop(self) -> None:
@@ -159,13 +161,13 @@
     def feed(self, event: api.Event) -> None:
         """One event to the decider; what its actions lead to at once waits until all of them are done."""
         self.pending.append(event)
-        if self.feeding or self.decider is None:
+        if self.feeding or self.decision_module is None:
             return
         self.feeding, kernel = True, self.world.kernel
         try:
             while self.pending:
                 began = time.perf_counter_ns()
-                actions = self.decider.handle(START_TIME + kernel.now, self.pending.popleft())
+                actions = self.decision_module.handle(START_TIME + kernel.now, self.pending.popleft())
                 self.world.decision_ns += time.perf_counter_ns() - began
                 self.world.decisions += 1
                 self._carry_out(actions)
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -17,7 +17,7 @@
 
 from .judge import ClientRequest, Judge
 from .kernel import START_TIME, Kernel, UniformStream, random_generator
-from .node import PEER_INTAKE, Attempt, Decider, Host, Node
+from .node import PEER_INTAKE, Attempt, DecisionModule, Host, Node
 from .scenario import Fault, RequestClass, Scenario
 from .station import FAILED, SERVED, Machine, Station, Ticket
 
@@ -26,7 +26,7 @@
 OUTCOMES = {SERVED: api.Outcome.SERVED, FAILED: api.Outcome.ERROR}
 EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
 
-Factory = Callable[[api.Settings, int, int, "World"], Decider]
+Factory = Callable[[api.Settings, int, int, "World"], DecisionModule]
 
 
 @dataclass(slots=True)
@@ -274,7 +274,7 @@
             self.judge.request_ended(now, number, "gateway_down")
             self.retries.pop(number, None)
             return
-        sent = self.judge.tries[number].sent_at
+        sent = self.judge.requests[number].sent_at
         until = max(now + 1_000, sent + deadline - ON_THE_WAY)
         event = api.RequestArrived(
             number,
