--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -1,7 +1,7 @@
 """Baselines that the gateway is compared with, behind the interface of the decision module.
 
-A baseline combines a way to enforce quotas with a policy to choose hosts. A failed attempt is retried once, on
-another host, if the request can't have run or may be repeated. ``oracle`` sees the true state of everything
+A baseline combines a way to enforce quotas with a policy to choose hosts. A failed attempt is retried once
+on another host if the request can't have run or may be repeated. ``oracle`` sees the true state of everything
 without delay and is the upper bound.
 """
 
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -1,8 +1,8 @@
 """Checks the rules of a run independently of the gateways, from what hosts and clients observe.
 
-The judge keeps its own token bucket for each customer's quota. A request is charged when its first attempt has
-reached a host completely; units that the bucket doesn't have at that time exceed the quota. Each breach of a
-rule is recorded with its time (microseconds since the start of the run), request and gateways.
+The judge keeps its own token bucket for each customer's quota. A request is charged when its first attempt
+has reached a host completely; units that the bucket doesn't have at that time exceed the quota. Each breach
+of a rule is recorded with its time (microseconds since the start of the run), request and gateways.
 """
 
 from __future__ import annotations
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,4 +1,4 @@
-"""What there is in a fleet and what goes wrong with it: a scenario file, typed and checked."""
+"""Scenario files: a fleet, its workload and the faults injected, as typed and validated structures."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,48}$", description="1 to 48 small letters, digits or '-'")]
 
 SCENARIO_DIR = Path(__file__).parent / "scenarios"
-MAX_REQUESTS = 5_000_000  # of one run: more is a mistake in the rates
+MAX_REQUESTS = 5_000_000  # per run; more indicates an error in the rates
 
 
 class Hosts(Strict):
-    """Machines that do the work, spread evenly over the zones."""
+    """The hosts that serve requests, distributed evenly over the zones."""
 
     count: PositiveInt = 8
     slots: PositiveInt = 8
@@ -44,7 +44,7 @@
 
 
 class RequestClass(Strict):
-    """A class of requests; ``share`` is its weight among all, ``work`` its mean time at a warm host."""
+    """A request class; ``share`` is its weight among all, ``work`` its mean service time on a warm host."""
 
     name: Name
     work: Duration
@@ -61,7 +61,7 @@
 
 
 class Plan(Strict):
-    """Quotas, and the weight of a plan among the customers."""
+    """A plan: its quota, and its weight among the customers."""
 
     name: Name
     rate: Positive
@@ -72,7 +72,10 @@
 
 
 class Customers(Strict):
-    """Who asks. Parts ask steadily for ``steady_use`` of their quota, nearly all, more, or in bursts."""
+    """The customers: shares of them use a steady part of their quota, nearly all, more, or come in bursts.
+
+    ``set`` is the number of gateways that serve each customer.
+    """
 
     count: PositiveInt = 100
     set: PositiveInt = 3
@@ -89,7 +92,7 @@
 
 
 class Clients(Strict):
-    """What they do after a no."""
+    """How clients retry refused requests; ``honour`` is the probability that they wait for retry-after."""
 
     retry: Ratio = 0.5
     tries: PositiveInt = 3
@@ -98,7 +101,7 @@
 
 
 class Network(Strict):
-    """Delays one way; each is longer by up to ``jitter`` of itself."""
+    """One-way delays; each is increased by a random fraction of up to ``jitter``."""
 
     client: Duration = default_quantity(Duration("600us"))
     host: Duration = default_quantity(Duration("300us"))
@@ -109,14 +112,14 @@
 
 
 class Discovery(Strict):
-    """How long a change of the list takes to each gateway: at least, and up to so much more."""
+    """Delay of list changes to each gateway: ``notice``, plus a random part of up to ``more``."""
 
     notice: Duration = default_quantity(Duration("600ms"))
     more: Duration = default_quantity(Duration("2s"))
 
 
 class Front(Strict):
-    """How long until a dead gateway gets no more requests."""
+    """The load balancer in front of the gateways; ``notice`` is its delay in detecting a dead gateway."""
 
     notice: Duration = default_quantity(Duration("2s"))
 
@@ -135,7 +138,7 @@
 
 
 class Fault(Strict):
-    """Something that goes wrong at a time, for a while, at a part of what it concerns."""
+    """A fault injected at a time for a duration; ``share`` is the fraction of hosts or gateways affected."""
 
     what: Annotated[FaultKind, Meta(description="one of " + ", ".join(FaultKind.__args__))]
     at: Duration
@@ -146,7 +149,7 @@
 
 
 class Scenario(Strict):
-    """One file."""
+    """A scenario file."""
 
     name: Name
     about: str
@@ -165,7 +168,7 @@
 
 
 class InvalidScenario(ValueError):
-    """A scenario that can't be; ``lines`` say why, one each."""
+    """An invalid scenario; ``lines`` has one message per error."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
@@ -173,81 +176,85 @@
 
 
 def load(file: Path) -> Scenario:
-    """A scenario file; raises Impossible with all that is wrong with it."""
+    """Load a scenario file; raises InvalidScenario with all its errors."""
     try:
-        raw = tomllib.loads(file.read_text("utf-8"))
-    except OSError as wrong:
-        raise InvalidScenario([f"{file}: {(wrong.strerror or str(wrong)).lower()}"]) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise InvalidScenario([f"{file}: is no whole TOML: {wrong}"]) from None
-    scenario, mistakes = validate(raw, Scenario)
+        document = tomllib.loads(file.read_text("utf-8"))
+    except OSError as error:
+        raise InvalidScenario([f"{file}: {(error.strerror or str(error)).lower()}"]) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise InvalidScenario([f"{file}: not valid TOML: {error}"]) from None
+    scenario, errors = validate(document, Scenario)
     if scenario is not None:
-        mistakes = list(consistency_errors(scenario))
-    if scenario is None or mistakes:
-        raise InvalidScenario([f"{file}: {mistake}" for mistake in mistakes])
+        errors = list(consistency_errors(scenario))
+    if scenario is None or errors:
+        raise InvalidScenario([f"{file}: {error}" for error in errors])
     return scenario
 
 
 def shipped() -> dict[str, Path]:
-    """The scenarios that come with the lab, by name."""
+    """Return the files of the included scenarios by name."""
     return {file.stem: file for file in sorted(SCENARIO_DIR.glob("*.toml"))}
 
 
 def request_rate(scenario: Scenario) -> float:
-    """First tries of all customers together, on average and without troubles."""
+    """Return the average rate of first tries per second, of all customers and without faults."""
     customers, weight = scenario.customers, sum(plan.share for plan in scenario.plans)
     quota = sum(plan.rate * plan.share for plan in scenario.plans) / weight
-    rest = max(0.0, 1 - customers.nearly_full - customers.bursting - customers.over)
-    duty = customers.burst_lasts.base / customers.burst_every.base if customers.burst_every.base else 0.0
-    bursts = customers.burst_use * (1 + duty * (customers.burst_factor - 1))
-    use = rest * customers.steady_use + customers.nearly_full * customers.nearly_full_use
-    use += customers.over * customers.over_use
-    return customers.count * quota * (use + customers.bursting * bursts)
+    steady = max(0.0, 1 - customers.nearly_full - customers.bursting - customers.over)
+    burst_duty = (
+        customers.burst_lasts.base / customers.burst_every.base if customers.burst_every.base else 0.0
+    )
+    burst_demand = customers.burst_use * (1 + burst_duty * (customers.burst_factor - 1))
+    average_use = steady * customers.steady_use + customers.nearly_full * customers.nearly_full_use
+    average_use += customers.over * customers.over_use
+    return customers.count * quota * (average_use + customers.bursting * burst_demand)
 
 
 def host_utilization(scenario: Scenario) -> float:
-    """Part of the warm hosts' slots that all first tries would take."""
-    weight = sum(kind.share for kind in scenario.kinds)
-    work = sum(kind.work.base * kind.share for kind in scenario.kinds) / weight / 1e6
+    """Return the average fraction of the slots of warm hosts that all first tries would occupy."""
+    weight = sum(request_class.share for request_class in scenario.kinds)
+    work = (
+        sum(request_class.work.base * request_class.share for request_class in scenario.kinds) / weight / 1e6
+    )
     return request_rate(scenario) * work / (scenario.hosts.count * scenario.hosts.slots)
 
 
 def consistency_errors(scenario: Scenario) -> Iterator[Violation]:
-    """What can't be."""
+    """Check constraints between fields, and yield those violated."""
     customers = scenario.customers
     if not scenario.lasts.base:
         yield Violation("lasts", f'"{scenario.lasts}"', "expected above 0")
-    for key, rows in (("kinds", scenario.kinds), ("plans", scenario.plans), ("zones", scenario.zones)):
-        if not rows:
-            yield Violation(key, "[]", "expected one at least")
+    for key, items in (("kinds", scenario.kinds), ("plans", scenario.plans), ("zones", scenario.zones)):
+        if not items:
+            yield Violation(key, "[]", "expected at least one")
             return
     if customers.set > scenario.gateways:
-        wanted = f"expected at most gateways, {scenario.gateways}"
-        yield Violation("customers.set", str(customers.set), wanted)
-    parts = customers.nearly_full + customers.bursting + customers.over
-    if parts > 1:
-        wanted = "with nearly_full and over: expected 1 at most"
-        yield Violation("customers.bursting", f"{parts:g}", wanted)
+        expected = f"expected at most gateways, {scenario.gateways}"
+        yield Violation("customers.set", str(customers.set), expected)
+    total_share = customers.nearly_full + customers.bursting + customers.over
+    if total_share > 1:
+        expected = "with nearly_full and over: expected 1 at most"
+        yield Violation("customers.bursting", f"{total_share:g}", expected)
     if customers.bursting and customers.burst_every.base <= customers.burst_lasts.base:
-        wanted = f"expected more than burst_lasts, {customers.burst_lasts}"
-        yield Violation("customers.burst_every", f'"{customers.burst_every}"', wanted)
-    for i, kind in enumerate(scenario.kinds):
-        if not 0 < kind.aim.base <= kind.deadline.base:
-            wanted = f"expected above 0 and at most its deadline, {kind.deadline}"
-            yield Violation(f"kinds[{i}].aim", f'"{kind.aim}"', wanted)
+        expected = f"expected more than burst_lasts, {customers.burst_lasts}"
+        yield Violation("customers.burst_every", f'"{customers.burst_every}"', expected)
+    for i, request_class in enumerate(scenario.kinds):
+        if not 0 < request_class.aim.base <= request_class.deadline.base:
+            expected = f"expected above 0 and at most its deadline, {request_class.deadline}"
+            yield Violation(f"kinds[{i}].aim", f'"{request_class.aim}"', expected)
     if request_rate(scenario) * scenario.lasts.base / 1e6 > MAX_REQUESTS:
-        wanted = f"with these quotas over {MAX_REQUESTS} requests: expected fewer"
-        yield Violation("customers.count", str(customers.count), wanted)
-    for i, trouble in enumerate(scenario.troubles):
-        at = f"troubles[{i}]"
-        if trouble.at.base >= scenario.lasts.base:
-            yield Violation(f"{at}.at", f'"{trouble.at}"', f"expected before the end, {scenario.lasts}")
-        if trouble.zone is not None and trouble.zone not in scenario.zones:
-            wanted = f"expected one of zones: {', '.join(scenario.zones)}"
-            yield Violation(f"{at}.zone", f'"{trouble.zone}"', wanted)
-        if trouble.what == "cut-zone" and (trouble.zone is None or len(scenario.zones) < 2):
-            yield Violation(f"{at}.zone", "", "is missing, expected one of two zones at least to cut off")
-        if trouble.what in ("slow-hosts", "overload") and not trouble.factor:
-            yield Violation(f"{at}.factor", "0", "expected above 0")
-        if trouble.what == "wrong-hosts" and trouble.factor > 1:
-            yield Violation(f"{at}.factor", f"{trouble.factor:g}", "expected an error rate, 1 at most")
+        expected = f"with these quotas over {MAX_REQUESTS} requests: expected fewer"
+        yield Violation("customers.count", str(customers.count), expected)
+    for i, fault in enumerate(scenario.troubles):
+        field_path = f"troubles[{i}]"
+        if fault.at.base >= scenario.lasts.base:
+            yield Violation(f"{field_path}.at", f'"{fault.at}"', f"expected before the end, {scenario.lasts}")
+        if fault.zone is not None and fault.zone not in scenario.zones:
+            expected = f"expected one of zones: {', '.join(scenario.zones)}"
+            yield Violation(f"{field_path}.zone", f'"{fault.zone}"', expected)
+        if fault.what == "cut-zone" and (fault.zone is None or len(scenario.zones) < 2):
+            yield Violation(f"{field_path}.zone", "", "is missing, expected one of at least two zones")
+        if fault.what in ("slow-hosts", "overload") and not fault.factor:
+            yield Violation(f"{field_path}.factor", "0", "expected above 0")
+        if fault.what == "wrong-hosts" and fault.factor > 1:
+            yield Violation(f"{field_path}.factor", f"{fault.factor:g}", "expected an error rate, 1 at most")
