--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -142,8 +142,8 @@
         self.world.judge.charge(self.world.kernel.now, event.request)
 
     def _load(self, server: api.Server) -> float:
-        host = self.world.by_name[server]
-        if not host.up or host.silent or host.health is not api.Phase.READY:
+        host = self.world.hosts_by_name[server]
+        if not host.up or host.vanished or host.health is not api.Phase.READY:
             return float("inf")
         station = host.station
         error_penalty = 1e6 * station.error_rate
--- a/lab/node.py
+++ b/lab/node.py
@@ -1,5 +1,7 @@
-"""One gateway of the virtual world: what ``driver.py`` and ``hosts.py`` do on sockets, in the same words
-(deadlines, connections, what became of an attempt).
+"""A gateway of the virtual world: carries out the actions of the decision module.
+
+It models what ``driver.py`` and ``hosts.py`` do on sockets, with the same deadlines, connection reuse and
+outcomes of attempts.
 """
 
 from __future__ import annotations
@@ -18,24 +20,24 @@
 if TYPE_CHECKING:
     from .virtual import World
 
-IDLE_PART = 0.6  # as in hosts.py
-CONNECT_WITHIN = 250_000
-PEER_INTAKE = 100  # datagrams that a gateway takes in a second
+IDLE_TIMEOUT_FRACTION = 0.6  # of the hosts' idle timeout; as in hosts.py
+CONNECT_TIMEOUT = 250_000  # microseconds
+PEER_MESSAGES_PER_SECOND = 100  # received datagrams above this rate are dropped
 
 
 class DecisionModule(Protocol):
-    """What a gateway is to the world: the decision module, or a baseline behind the same interface."""
+    """Decides for a gateway: the real decision module, or a baseline with the same interface."""
 
     def start(self) -> list[api.Action]:
-        """The first actions."""
+        """Return the first actions."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """What an event leads to."""
+        """Handle an event and return the resulting actions."""
 
 
 @dataclass(slots=True, eq=False)
 class Host:
-    """One machine, as the world sees it."""
+    """A simulated host."""
 
     number: int
     name: bytes
@@ -43,90 +45,96 @@
     cell: int
     station: Station
     health: api.Phase = api.Phase.READY
-    up: bool = True  # the process runs
-    silent: bool = False  # the machine has vanished: nothing comes, nothing goes
+    up: bool = True  # whether the process runs
+    vanished: bool = False  # the machine is unreachable: packets to and from it are lost
     launched: int = 0
-    links: int = 0
-    out: dict[Attempt, None] = field(default_factory=dict)  # attempts that reached it and are open
+    connections: int = 0
+    open_attempts: dict[Attempt, None] = field(
+        default_factory=dict
+    )  # attempts that reached the host and have not ended
 
     def entry(self) -> api.ServerEntry:
-        """Its line on the list."""
+        """Return the host's entry in the list of discovery."""
         return api.ServerEntry(self.name, self.health, self.zone, self.cell, self.launched, 1.0)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request at a gateway, until its one final answer."""
+    """A request at a gateway, until it is answered and all its attempts have ended."""
 
     number: int
     event: api.RequestArrived
-    until: int
+    deadline: int
     attempts: list[Attempt] = field(default_factory=list)
-    finished: bool = False
+    answered: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a call to a host; it ends exactly once."""
+    """One attempt of a request at a host; it ends exactly once."""
 
     node: Node
-    life: int
+    incarnation: int
     request: Request
     number: int
     host: Host
-    sent: int
-    give_up_at: int
+    started_at: int
+    deadline: int
     connected: bool = False
-    whole: bool = False
+    request_written: bool = False
     ended: bool = False
     ticket: Ticket | None = None
 
 
 class Node:
-    """One gateway: its decider, and what carries its actions out."""
+    """A gateway: its decision module, requests, and connections to hosts."""
 
     def __init__(self, world: World, rank: int) -> None:
         self.world, self.rank = world, rank
         self.zone = rank % len(world.scenario.zones)
-        self.life, self.up = 0, False
+        self.incarnation, self.up = 0, False
         self.decision_module: DecisionModule | None = None
         self.requests: dict[int, Request] = {}
-        self.idle: dict[int, list[int]] = {}  # host: since when each unused connection is unused
-        self.pending: deque[api.Event] = deque()
-        self.feeding = False
-        self.seen: dict[int, tuple[api.Phase, int]] = {}  # what the list told of each host
-        self.inbox_second, self.inbox = 0, 0
+        # By host: when each idle connection became idle, oldest first.
+        self.idle_connections: dict[int, list[int]] = {}
+        self.pending_events: deque[api.Event] = deque()
+        self.is_dispatching = False
+        # By host: phase and launch time as last listed.
+        self.known_hosts: dict[int, tuple[api.Phase, int]] = {}
+        self.receive_second, self.received_in_second = 0, 0
 
     def start(self) -> None:
-        """Come up with nothing but the settings, and be told the whole list."""
+        """Start without any previous state, and receive the whole host list."""
         world = self.world
-        self.life, self.up = self.life + 1, True
-        self.requests, self.idle, self.pending, self.seen = {}, {}, deque(), {}
-        seed = zlib.crc32(f"{world.seed}/{self.rank}/{self.life}".encode())
+        self.incarnation, self.up = self.incarnation + 1, True
+        self.requests, self.idle_connections, self.pending_events, self.known_hosts = {}, {}, deque(), {}
+        seed = zlib.crc32(f"{world.seed}/{self.rank}/{self.incarnation}".encode())
         self.decision_module = world.factory(
             world.settings(self.rank), seed, START_TIME + world.kernel.now, world
         )
         world.judge.gateway_restarted(self.rank)
-        self._carry_out(self.decision_module.start())
-        self.told([host for host in world.hosts if host.health is not api.Phase.GONE], whole=True)
+        self._execute(self.decision_module.start())
+        self.handle_list_change(
+            [host for host in world.hosts if host.health is not api.Phase.GONE], whole_list=True
+        )
 
     def stop(self) -> None:
-        """SIGKILL: connections are reset, nothing is answered."""
+        """Stop as by SIGKILL: connections are reset, and requests get no response."""
         self.up = False
         for request in list(self.requests.values()):
             for attempt in request.attempts:
                 if not attempt.ended:
                     attempt.ended = True
-                    self._leave(attempt)
-            self.world.died(request.number)
-        for number, idle in self.idle.items():
-            self.world.hosts[number].links -= len(idle)
-        self.requests, self.idle = {}, {}
+                    self._close_connection(attempt)
+            self.world.request_reset(request.number)
+        for number, idle_since in self.idle_connections.items():
+            self.world.hosts[number].connections -= len(idle_since)
+        self.requests, self.idle_connections = {}, {}
 
     # -- events
 
-    def told(self, hosts: list[Host], whole: bool) -> None:
-        """Discovery's word, as it is now."""
+    def handle_list_change(self, hosts: list[Host], whole_list: bool) -> None:
+        """Process a notification by discovery with the current state of these hosts."""
         if not self.up:
             return
         world, now = self.world, self.world.kernel.now
@@ -134,197 +142,220 @@
             world.judge.listing_changed(
                 now, self.rank, host.name.decode(), host.health is not api.Phase.READY
             )
-            self.seen[host.number] = (host.health, host.launched)
+            self.known_hosts[host.number] = (host.health, host.launched)
             if host.health is api.Phase.GONE:
-                host.links -= len(self.idle.pop(host.number, ()))
-        kind = api.ListKind.WHOLE if whole else api.ListKind.CHANGES
-        self.feed(api.ServerListed(kind, now, tuple(host.entry() for host in hosts)))
-
-    def arrived(self, number: int, event: api.RequestArrived, until: int) -> None:
-        """A client's request, its last byte just read."""
-        request = self.requests[number] = Request(number, event, until)
-        self.world.kernel.call_at(until, self._time_up, self.life, request)
-        self.feed(event)
-
-    def heard(self, sender: int, body: bytes) -> None:
-        """A datagram of another gateway; beyond what one takes in a second they are lost."""
+                host.connections -= len(self.idle_connections.pop(host.number, ()))
+        kind = api.ListKind.WHOLE if whole_list else api.ListKind.CHANGES
+        self.dispatch(api.ServerListed(kind, now, tuple(host.entry() for host in hosts)))
+
+    def handle_request(self, number: int, event: api.RequestArrived, deadline: int) -> None:
+        """Process a client's request that has been read completely."""
+        request = self.requests[number] = Request(number, event, deadline)
+        self.world.kernel.call_at(deadline, self._handle_deadline, self.incarnation, request)
+        self.dispatch(event)
+
+    def handle_datagram(self, sender: int, body: bytes) -> None:
+        """Process a datagram of another gateway, or drop it above PEER_MESSAGES_PER_SECOND."""
         if not self.up:
             return
         second = self.world.kernel.now // 1_000_000
-        if second != self.inbox_second:
-            self.inbox_second, self.inbox = second, 0
-        self.inbox += 1
-        if self.inbox <= PEER_INTAKE:
+        if second != self.receive_second:
+            self.receive_second, self.received_in_second = second, 0
+        self.received_in_second += 1
+        if self.received_in_second <= PEER_MESSAGES_PER_SECOND:
             self.world.counts["messages_heard"] += 1
-            self.feed(api.PeerMessage(sender, body))
+            self.dispatch(api.PeerMessage(sender, body))
 
-    def feed(self, event: api.Event) -> None:
-        """One event to the decider; what its actions lead to at once waits until all of them are done."""
-        self.pending.append(event)
-        if self.feeding or self.decision_module is None:
+    def dispatch(self, event: api.Event) -> None:
+        """Pass an event to the decision module and execute the resulting actions.
+
+        Events that the actions cause immediately are queued until all actions are done.
+        """
+        self.pending_events.append(event)
+        if self.is_dispatching or self.decision_module is None:
             return
-        self.feeding, kernel = True, self.world.kernel
+        self.is_dispatching, kernel = True, self.world.kernel
         try:
-            while self.pending:
-                began = time.perf_counter_ns()
-                actions = self.decision_module.handle(START_TIME + kernel.now, self.pending.popleft())
-                self.world.decision_ns += time.perf_counter_ns() - began
+            while self.pending_events:
+                started_at = time.perf_counter_ns()
+                actions = self.decision_module.handle(START_TIME + kernel.now, self.pending_events.popleft())
+                self.world.decision_ns += time.perf_counter_ns() - started_at
                 self.world.decisions += 1
-                self._carry_out(actions)
+                self._execute(actions)
         finally:
-            self.feeding = False
+            self.is_dispatching = False
 
-    def _timer(self, life: int, token: int) -> None:
-        if self.up and life == self.life:
-            self.feed(api.TimerFired(token))
+    def _fire_timer(self, incarnation: int, token: int) -> None:
+        if self.up and incarnation == self.incarnation:
+            self.dispatch(api.TimerFired(token))
 
     # -- actions
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
+    def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.world.kernel.call_after(action.delay, self._timer, self.life, action.token)
+                self.world.kernel.call_after(action.delay, self._fire_timer, self.incarnation, action.token)
             elif isinstance(action, api.Send):
-                self._send(action)
+                self._start_attempt(action)
             elif isinstance(action, api.SendPeerMessage):
-                self.world.tell_peer(self, action.peer, action.body)
+                self.world.send_datagram(self, action.peer, action.body)
             elif isinstance(action, api.Refuse):
                 if request := self.requests.get(action.request):
-                    self.world.causes[action.cause.value] += 1
-                    self._finish(request, "refused", action.retry_after)
+                    self.world.refusal_causes[action.cause.value] += 1
+                    self._answer(request, "refused", action.retry_after)
             elif isinstance(action, api.Fail):
                 if request := self.requests.get(action.request):
-                    self._finish(request, "failed")
+                    self._answer(request, "failed")
             elif isinstance(action, api.Cancel):
-                self._cancel(action)
+                self._cancel_attempt(action)
 
-    def _finish(self, request: Request, how: str, retry_after: int = 0) -> None:
-        if request.finished:
+    def _answer(self, request: Request, outcome: str, retry_after: int = 0) -> None:
+        if request.answered:
             return
-        request.finished = True
-        self.world.deliver_response(request.number, how, retry_after)
-        self._forget(request)
+        request.answered = True
+        self.world.deliver_response(request.number, outcome, retry_after)
+        self._remove_if_complete(request)
 
-    def _forget(self, request: Request) -> None:
-        if request.finished and all(attempt.ended for attempt in request.attempts):
+    def _remove_if_complete(self, request: Request) -> None:
+        if request.answered and all(attempt.ended for attempt in request.attempts):
             self.requests.pop(request.number, None)
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel_attempt(self, action: api.Cancel) -> None:
         request = self.requests.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
             return
         attempt = request.attempts[action.attempt]
         if not attempt.ended:
-            self._leave(attempt)
-            self._ended(attempt, api.Outcome.CANCELLED)
+            self._close_connection(attempt)
+            self._end_attempt(attempt, api.Outcome.CANCELLED)
 
-    def _time_up(self, life: int, request: Request) -> None:
-        if life != self.life or self.requests.get(request.number) is not request:
+    def _handle_deadline(self, incarnation: int, request: Request) -> None:
+        if incarnation != self.incarnation or self.requests.get(request.number) is not request:
             return
         for attempt in request.attempts:
-            self._timed_out(attempt)
-        if not request.finished:
+            self._time_out_attempt(attempt)
+        if not request.answered:
             self.world.counts["unanswered_by_decider"] += 1
-            self._finish(request, "failed")
-            self.feed(api.ClientGone(request.number))
-
-    def _timed_out(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.life == self.life:
-            self._leave(attempt)
-            self._ended(attempt, api.Outcome.TIMED_OUT if attempt.whole else api.Outcome.NOT_CONNECTED)
+            self._answer(request, "failed")
+            self.dispatch(api.ClientGone(request.number))
+
+    def _time_out_attempt(self, attempt: Attempt) -> None:
+        if not attempt.ended and attempt.incarnation == self.incarnation:
+            self._close_connection(attempt)
+            self._end_attempt(
+                attempt, api.Outcome.TIMED_OUT if attempt.request_written else api.Outcome.NOT_CONNECTED
+            )
 
     # -- connections to hosts
 
-    def _send(self, action: api.Send) -> None:
+    def _start_attempt(self, action: api.Send) -> None:
         request, world = self.requests.get(action.request), self.world
         if request is None:
             return
-        kernel, host = world.kernel, world.by_name[action.server]
+        kernel, host = world.kernel, world.hosts_by_name[action.server]
         now = kernel.now
-        give_up_at = min(action.deadline - START_TIME if action.deadline else request.until, request.until)
-        attempt = Attempt(self, self.life, request, len(request.attempts), host, now, give_up_at)
+        deadline = min(
+            action.deadline - START_TIME if action.deadline else request.deadline, request.deadline
+        )
+        attempt = Attempt(self, self.incarnation, request, len(request.attempts), host, now, deadline)
         request.attempts.append(attempt)
         world.counts["attempts"] += 1
-        if give_up_at < request.until:
-            kernel.call_at(give_up_at, self._timed_out, attempt)
-        idle, kept_since = self.idle.get(host.number), now - int(IDLE_PART * world.idle_close)
-        while idle and idle[0] < kept_since:
-            idle.pop(0)
-            host.links -= 1
-        if idle:
-            idle.pop()
+        if deadline < request.deadline:
+            kernel.call_at(deadline, self._time_out_attempt, attempt)
+        idle_since, oldest_reusable = (
+            self.idle_connections.get(host.number),
+            now - int(IDLE_TIMEOUT_FRACTION * world.idle_close),
+        )
+        while idle_since and idle_since[0] < oldest_reusable:
+            idle_since.pop(0)
+            host.connections -= 1
+        if idle_since:
+            idle_since.pop()
             attempt.connected = True
             world.counts["attempts_on_kept_links"] += 1
-            self._write(attempt)
+            self._write_request(attempt)
             return
         world.counts["connects"] += 1
-        way = world.way(self.zone, host.zone)
-        if world.cut(self.zone, host.zone) or host.silent:
-            kernel.call_after(CONNECT_WITHIN, self._not_connected, attempt)
+        delay = world.host_delay(self.zone, host.zone)
+        if world.is_cut(self.zone, host.zone) or host.vanished:
+            kernel.call_after(CONNECT_TIMEOUT, self._handle_connect_failure, attempt)
         elif not host.up:
-            kernel.call_after(2 * way, self._not_connected, attempt)
+            kernel.call_after(2 * delay, self._handle_connect_failure, attempt)
         else:
-            kernel.call_after(2 * way + world.handshake, self._connected, attempt)
+            kernel.call_after(2 * delay + world.handshake, self._handle_connected, attempt)
 
-    def _not_connected(self, attempt: Attempt) -> None:
-        if not attempt.ended and attempt.life == self.life:
-            self._ended(attempt, api.Outcome.NOT_CONNECTED)
+    def _handle_connect_failure(self, attempt: Attempt) -> None:
+        if not attempt.ended and attempt.incarnation == self.incarnation:
+            self._end_attempt(attempt, api.Outcome.NOT_CONNECTED)
 
-    def _connected(self, attempt: Attempt) -> None:
-        if attempt.life != self.life:
+    def _handle_connected(self, attempt: Attempt) -> None:
+        if attempt.incarnation != self.incarnation:
             return
         host = attempt.host
-        if attempt.ended:  # nobody needs it any more: kept for the next
-            host.links += 1
-            self.idle.setdefault(host.number, []).append(self.world.kernel.now)
+        if attempt.ended:  # the attempt is over: keep the connection for the next one
+            host.connections += 1
+            self.idle_connections.setdefault(host.number, []).append(self.world.kernel.now)
             return
-        host.links += 1
+        host.connections += 1
         attempt.connected = True
-        if host.links > self.world.scenario.hosts.connections:
-            self._leave(attempt)
-            self._ended(attempt, api.Outcome.FULL)
+        if host.connections > self.world.scenario.hosts.connections:
+            self._close_connection(attempt)
+            self._end_attempt(attempt, api.Outcome.FULL)
             return
-        self._write(attempt)
+        self._write_request(attempt)
 
-    def _write(self, attempt: Attempt) -> None:
-        attempt.whole = True
+    def _write_request(self, attempt: Attempt) -> None:
+        attempt.request_written = True
         world, host = self.world, attempt.host
-        if world.cut(self.zone, host.zone):
-            return  # it goes nowhere, without a sign
-        world.kernel.call_after(world.way(self.zone, host.zone), world.reached, attempt)
+        if world.is_cut(self.zone, host.zone):
+            return  # packets are lost without an error
+        world.kernel.call_after(world.host_delay(self.zone, host.zone), world.attempt_reached_host, attempt)
 
-    def _leave(self, attempt: Attempt) -> None:
-        """Close its connection: the host is told a little later."""
+    def _close_connection(self, attempt: Attempt) -> None:
+        """Close the attempt's connection; the host notices after the network delay."""
         if attempt.connected:
             attempt.connected = False
-            attempt.host.links -= 1
+            attempt.host.connections -= 1
             world = self.world
-            if not world.cut(self.zone, attempt.host.zone):
-                world.kernel.call_after(world.way(self.zone, attempt.host.zone), world.left, attempt)
-
-    def replied(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """The host's answer, or that the connection broke."""
-        if not self.up or attempt.life != self.life or attempt.ended:
+            if not world.is_cut(self.zone, attempt.host.zone):
+                world.kernel.call_after(
+                    world.host_delay(self.zone, attempt.host.zone), world.connection_closed, attempt
+                )
+
+    def handle_reply(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """Process the host's reply or the failure of the connection."""
+        if not self.up or attempt.incarnation != self.incarnation or attempt.ended:
             return
-        broken = outcome is api.Outcome.BROKEN
+        connection_broken = outcome is api.Outcome.BROKEN
         if attempt.connected:
             attempt.connected = False
-            if broken or self.seen.get(attempt.host.number, (api.Phase.GONE, 0))[0] is api.Phase.GONE:
-                attempt.host.links -= 1
+            if (
+                connection_broken
+                or self.known_hosts.get(attempt.host.number, (api.Phase.GONE, 0))[0] is api.Phase.GONE
+            ):
+                attempt.host.connections -= 1
             else:
-                self.idle.setdefault(attempt.host.number, []).append(self.world.kernel.now)
-        self._ended(attempt, outcome)
+                self.idle_connections.setdefault(attempt.host.number, []).append(self.world.kernel.now)
+        self._end_attempt(attempt, outcome)
 
-    def _ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: api.Outcome) -> None:
         attempt.ended = True
         request = attempt.request
-        if outcome is api.Outcome.SERVED and not request.finished:
-            self._finish(request, "served")
-        self._forget(request)
-        took = self.world.kernel.now - attempt.sent
-        self.world.outcomes[outcome.value] += 1
-        self.feed(
+        if outcome is api.Outcome.SERVED and not request.answered:
+            self._answer(request, "served")
+        self._remove_if_complete(request)
+        duration = self.world.kernel.now - attempt.started_at
+        self.world.attempt_outcomes[outcome.value] += 1
+        self.dispatch(
             api.AttemptEnded(
-                request.number, attempt.number, attempt.host.name, outcome, took, request.finished, 0, 0.0, ()
+                request.number,
+                attempt.number,
+                attempt.host.name,
+                outcome,
+                duration,
+                request.answered,
+                0,
+                0.0,
+                (),
             )
         )
