--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -313,7 +313,7 @@
         record = json.loads(result_file.read_text())
         if record["format"] != RESULT_FORMAT:
             raise InvalidRunError(
-                f"{result_file}: format {record['format']} is not knew_resultn here, {RESULT_FORMAT} is"
+                f"{result_file}: unsupported format {record['format']}, expected {RESULT_FORMAT}"
             )
         description = {"scenario": record["scenario"], "seed": record["seed"], "variant": record["variant"]}
         stored_result = record["result"]
