--- a/lab/node.py
+++ b/lab/node.py
@@ -262,10 +262,8 @@
         world.counts["attempts"] += 1
         if deadline < request.deadline:
             kernel.call_at(deadline, self._time_out_attempt, attempt)
-        idle_since, oldest_reusable = (
-            self.idle_connections.get(host.number),
-            now - int(IDLE_TIMEOUT_FRACTION * world.idle_close),
-        )
+        idle_since = self.idle_connections.get(host.number)
+        oldest_reusable = now - int(IDLE_TIMEOUT_FRACTION * world.idle_close)
         while idle_since and idle_since[0] < oldest_reusable:
             idle_since.pop(0)
             host.connections -= 1
--- a/lab/station.py
+++ b/lab/station.py
@@ -65,13 +65,11 @@
         on_end: Callable[[str], None],
         on_start: Callable[[], None] | None = None,
     ) -> None:
-        self.request_class, self.request_id, self.deadline, self.on_end, self.on_start = (
-            request_class,
-            request_id,
-            deadline,
-            on_end,
-            on_start,
-        )
+        self.request_class = request_class
+        self.request_id = request_id
+        self.deadline = deadline
+        self.on_end = on_end
+        self.on_start = on_start
 
 
 class CallLater(Protocol):
