--- a/lab/judge.py
+++ b/lab/judge.py
@@ -202,7 +202,7 @@
         for key in [key for key in self.unavailable_since if key[0] == gateway]:
             del self.unavailable_since[key]
 
-    def end(self, now: int) -> None:
+    def finish(self, now: int) -> None:
         """Classify requests without a response as lost, or as open if their deadline has not passed."""
         for request_id, request in self.requests.items():
             request_class = self.scenario.kinds[request.request_class]
--- a/lab/node.py
+++ b/lab/node.py
@@ -274,7 +274,7 @@
             self._write_request(attempt)
             return
         world.counts["connects"] += 1
-        delay = world.host_delay(self.zone, host.zone)
+        delay = world.zone_delay(self.zone, host.zone)
         if world.is_cut(self.zone, host.zone) or host.vanished:
             kernel.call_after(CONNECT_TIMEOUT, self._handle_connect_failure, attempt)
         elif not host.up:
@@ -307,7 +307,7 @@
         world, host = self.world, attempt.host
         if world.is_cut(self.zone, host.zone):
             return  # packets are lost without an error
-        world.kernel.call_after(world.host_delay(self.zone, host.zone), world.attempt_reached_host, attempt)
+        world.kernel.call_after(world.zone_delay(self.zone, host.zone), world.attempt_reached_host, attempt)
 
     def _close_connection(self, attempt: Attempt) -> None:
         """Close the attempt's connection; the host notices after the network delay."""
@@ -317,7 +317,7 @@
             world = self.world
             if not world.is_cut(self.zone, attempt.host.zone):
                 world.kernel.call_after(
-                    world.host_delay(self.zone, attempt.host.zone), world.connection_closed, attempt
+                    world.zone_delay(self.zone, attempt.host.zone), world.connection_closed, attempt
                 )
 
     def handle_reply(self, attempt: Attempt, outcome: api.Outcome) -> None:
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -118,7 +118,7 @@
     more: Duration = default_quantity(Duration("2s"))
 
 
-class Front(Strict):
+class LoadBalancer(Strict):
     """The load balancer in front of the gateways; ``notice`` is its delay in detecting a dead gateway."""
 
     notice: Duration = default_quantity(Duration("2s"))
@@ -163,7 +163,7 @@
     clients: Clients = field(default_factory=Clients)
     network: Network = field(default_factory=Network)
     discovery: Discovery = field(default_factory=Discovery)
-    front: Front = field(default_factory=Front)
+    front: LoadBalancer = field(default_factory=LoadBalancer)
     troubles: list[Fault] = field(default_factory=list)
 
 
--- a/lab/virtual.py
+++ b/lab/virtual.py
@@ -139,7 +139,7 @@
 
     # -- the network
 
-    def host_delay(self, zone_a: int, zone_b: int) -> int:
+    def zone_delay(self, zone_a: int, zone_b: int) -> int:
         """Draw the one-way delay between two zones in microseconds."""
         network = self.scenario.network
         base = network.host.base if zone_a == zone_b else network.across.base
@@ -213,7 +213,7 @@
     def _send_reply(self, attempt: Attempt, outcome: api.Outcome) -> None:
         node, host = attempt.node, attempt.host
         if not self.is_cut(node.zone, host.zone):
-            self.kernel.call_after(self.host_delay(host.zone, node.zone), node.handle_reply, attempt, outcome)
+            self.kernel.call_after(self.zone_delay(host.zone, node.zone), node.handle_reply, attempt, outcome)
 
     def connection_closed(self, attempt: Attempt) -> None:
         """Process the closing of an attempt's connection at the host."""
@@ -465,7 +465,7 @@
         for fault in scenario.troubles:
             self.kernel.call_at(STARTUP_SPREAD + fault.at.base, self._inject_fault, fault)
         self.kernel.run(STARTUP_SPREAD + scenario.lasts.base)
-        self.judge.end(self.kernel.now)
+        self.judge.finish(self.kernel.now)
         return self._result()
 
     def _result(self) -> dict[str, Any]:
