--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -63,7 +63,7 @@
     clock = Clock()
     generator = np.random.default_rng(7)
     mean_work = 0.05
-    machine = Machine(slots=servers, waiting=10**9, usual_work=mean_work, exponential=True)
+    machine = Machine(slots=servers, waiting=10**9, default_work=mean_work, exponential=True)
     station = Station(machine, np.random.default_rng(8), clock.now, clock.call_later)
     rate = servers * utilization / mean_work
     waits = []
@@ -82,7 +82,7 @@
             last_change = clock.time
             waits.append(clock.time - arrived_at)
 
-        station.offer(Ticket(b"x", b"%d" % remaining, math.inf, lambda outcome: None, on_begun))
+        station.submit(Ticket(b"x", b"%d" % remaining, math.inf, lambda outcome: None, on_begun))
         if remaining:
             clock.call_later(float(generator.exponential(1 / rate)), arrive, remaining - 1)
 
@@ -91,40 +91,40 @@
     expected = erlang_c(servers, servers * utilization) * mean_work / (servers * (1 - utilization))
     assert np.mean(waits) == pytest.approx(expected, rel=0.06 if utilization < 0.9 else 0.15)
     assert queue_area / clock.time == pytest.approx(np.mean(waits) * len(waits) / clock.time, rel=0.01)
-    assert station.seen.begun == station.seen.served == len(waits) == 120_001
+    assert station.stats.started == station.stats.served == len(waits) == 120_001
 
 
 def test_each_ticket_reports_its_outcome_exactly_once():
     clock = Clock()
     outcomes = []
-    machine = Machine(slots=2, waiting=5, usual_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
+    machine = Machine(slots=2, waiting=5, default_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, outcomes.append) for i in range(100)]
     for i, ticket in enumerate(tickets):
-        clock.call_later(0.02 * i, station.offer, ticket)
-    clock.call_later(1.0, lambda: removed.append(station.give_up(station.queue[0])))
+        clock.call_later(0.02 * i, station.submit, ticket)
+    clock.call_later(1.0, lambda: removed.append(station.cancel(station.queue[0])))
     removed: list[bool] = []
     clock.run()
     counts = {outcome: outcomes.count(outcome) for outcome in (SERVED, FAILED, FULL, LATE)}
     assert removed == [True] and sum(counts.values()) == 99
     assert all(counts.values())
-    seen = station.seen
+    seen = station.stats
     assert (seen.served, seen.failed) == (counts[SERVED], counts[FAILED])
-    assert seen.begun == seen.served + seen.failed and station.running == 0
+    assert seen.started == seen.served + seen.failed and station.running == 0
     assert 0 < seen.ran_twice < 10
 
 
 def test_restarted_station_is_cold_and_drops_running_requests():
     clock = Clock()
     outcomes = []
-    machine = Machine(slots=1, usual_work=1.0, spread=0.0, cold_from=0.5, warm_within=10.0)
+    machine = Machine(slots=1, default_work=1.0, spread=0.0, cold_from=0.5, warm_within=10.0)
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     clock.time = 20.0
     assert station.speed() == 1.0
-    station.offer(Ticket(b"x", b"1", math.inf, outcomes.append))
+    station.submit(Ticket(b"x", b"1", math.inf, outcomes.append))
     station.restart()
     assert station.speed() == 0.5
-    station.offer(Ticket(b"x", b"1", math.inf, lambda outcome: outcomes.append((outcome, clock.time))))
+    station.submit(Ticket(b"x", b"1", math.inf, lambda outcome: outcomes.append((outcome, clock.time))))
     clock.run()
     assert outcomes == [(SERVED, 22.0)]
 
@@ -141,9 +141,9 @@
 )
 
 
-def trouble(what: str, **fields) -> scenario.Trouble:
+def trouble(what: str, **fields) -> scenario.Fault:
     """Returns a trouble (an injected fault or load change) in the middle of a small run."""
-    return scenario.Trouble(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **fields)
+    return scenario.Fault(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **fields)
 
 
 TROUBLES = [
@@ -158,7 +158,7 @@
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
     """Runs the small scenario with changes; returns the result."""
-    return runs.Play(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
+    return runs.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
 @pytest.mark.parametrize("troubles", TROUBLES, ids=lambda rows: rows[0].what)
@@ -232,14 +232,14 @@
         if self.rule == "ran twice":
             return sends
         if self.rule == "served by no host":
-            self.world.nodes[self.settings.rank].calls.pop(request)
-            self.world.answer(request, "served", 0)
+            self.world.nodes[self.settings.rank].requests.pop(request)
+            self.world.deliver_response(request, "served", 0)
             return []
         if self.rule == "answered twice":
-            self.world.answer(request, "refused", 0)
+            self.world.deliver_response(request, "refused", 0)
             return [api.Refuse(request, 0)]
         if self.rule == "lost":
-            self.world.nodes[self.settings.rank].calls.pop(request)
+            self.world.nodes[self.settings.rank].requests.pop(request)
             return []
         if self.rule == "datagram too long":
             return [api.SendPeerMessage(0, bytes(257)), *sends[:1]]
@@ -274,9 +274,9 @@
     plan = scenario.Plan(name="p", rate=0.001, burst=2.0)
     judged = judge.Judge(replace(SMALL, plans=[plan]))
     for number in range(5):
-        judged.sent(0, number, judge.Try(7, 0, 0, 1.0, 0, 0), first=True)
-        judged.reached(10, number, 0, "host-000")
-        judged.reached(20, number, 0, "host-001")  # a second attempt takes no further units
+        judged.request_sent(0, number, judge.ClientRequest(7, 0, 0, 1.0, 0, 0), first=True)
+        judged.request_reached_host(10, number, 0, "host-000")
+        judged.request_reached_host(20, number, 0, "host-001")  # a second attempt takes no further units
     assert judged.units["beyond"] == pytest.approx(3.0, abs=1e-6)
     assert judged.total["more_attempts"] == 5
 
@@ -311,7 +311,7 @@
     assert len(scenario.shipped()) >= 7 and all(name in listed for name in scenario.shipped())
     for file in scenario.shipped().values():
         loaded = scenario.load(file)
-        assert loaded.name == file.stem and 0.3 < scenario.use(loaded) < 0.9
+        assert loaded.name == file.stem and 0.3 < scenario.host_utilization(loaded) < 0.9
     assert refused("lab", "run", "calm", "--variant", "x")[0].startswith("no variant 'x'")
     assert "set" in refused("lab", "run", "calm", "--gateways", "2")[0]
 
@@ -362,7 +362,7 @@
     files[0].write_text(json.dumps(stored))
     assert run("lab", "again", files[0]).returncode == 1
     files[0].write_text("{}")
-    assert refused("lab", "again", files[0]) == [f"{files[0]}: is no whole result"]
+    assert refused("lab", "again", files[0]) == [f"{files[0]}: not a complete result file"]
 
 
 # No commit identifies this code: it is modified, or there is no repository.
@@ -376,7 +376,10 @@
     """
     out = tmp_path / "out"
     root_commit = subprocess.run(
-        ["git", "rev-list", "--max-parents=0", "HEAD"], cwd=experiment.ROOT, capture_output=True, text=True
+        ["git", "rev-list", "--max-parents=0", "HEAD"],
+        cwd=experiment.REPOSITORY_ROOT,
+        capture_output=True,
+        text=True,
     ).stdout.split()[0]
     compared = run(
         "lab", "compare", short_scenario(tmp_path), "--seeds", "1", "--against", root_commit, "--out", out
@@ -415,15 +418,19 @@
     generator = np.random.default_rng(5)
     covered = 0
     for _ in range(200):
-        low, high = experiment.interval(generator.exponential(1.0, 12).tolist())
+        low, high = experiment.confidence_interval(generator.exponential(1.0, 12).tolist())
         covered += low <= math.log(2) <= high
     assert 170 <= covered <= 200
-    assert experiment.interval([0.1, 0.3]) == (0.1, 0.3) and experiment.interval([]) == (0.0, 0.0)
+    assert experiment.confidence_interval([0.1, 0.3]) == (0.1, 0.3) and experiment.confidence_interval(
+        []
+    ) == (0.0, 0.0)
 
 
 def test_concurrent_processes_never_allocate_the_same_port():
     code = "from lab import ports; print(*[p for _ in range(60) for p in ports.allocate(3)])"
     command = [sys.executable, "-c", code]
-    processes = [subprocess.Popen(command, cwd=experiment.ROOT, stdout=subprocess.PIPE) for _ in range(6)]
+    processes = [
+        subprocess.Popen(command, cwd=experiment.REPOSITORY_ROOT, stdout=subprocess.PIPE) for _ in range(6)
+    ]
     allocated = [int(word) for process in processes for word in process.communicate(timeout=60)[0].split()]
     assert len(allocated) == len(set(allocated)) == 6 * 180
