--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -469,6 +469,7 @@
     assert not busy.closed
 
 
+@pytest.mark.alone
 @asyncio_test
 async def test_reading_pauses_at_the_pipeline_limit():
     """Responses to commands behind one unanswered request accumulated without bound."""
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,6 +5,7 @@
 import asyncio
 from pathlib import Path
 
+import pytest
 from conftest import FakeHost, Service, asyncio_test, until
 from listing import Connection, Registry
 from test_news import Agent
@@ -58,6 +59,7 @@
         return memory, longest
 
 
+@pytest.mark.alone
 @asyncio_test
 async def test_a_gateway_serves_with_a_thousand_peers_and_hosts(tmp_path):
     hosts = [await FakeHost(name).listen() for name in "abcd"]
