--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -64,7 +64,7 @@
 
     absent: frozenset[int] = frozenset()
     cut_off: bool = False
-    unheard: bool = False
+    outbound_down: bool = False
     doubtful: bool = False
     active_of_total: tuple[int, int] = (1, 1)
 
@@ -79,7 +79,7 @@
     state: State = State.UNKNOWN
     evidence_at: int = 0  # time of the evidence for a suspicion: when the failed probe was sent
     suspected_at: int = 0  # when the suspicion became known here
-    last_checked: int = 0  # when we probed it ourselves during that suspicion
+    suspect_probed_at: int = 0  # when we probed it ourselves during that suspicion
     indirect_acks: int = 0  # consecutive probes that were answered through relays only
     cleared_at: int = 0  # when evidence from others last ended our suspicion
     clear_count: int = 0  # how often they did since the last message received from it
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -691,11 +691,11 @@
             remaining = member.suspected_at + self._suspicion_timeout(member) - now
             if member.last_seen > member.evidence_at + EVIDENCE_MARGIN:
                 self._set_state(now, member, State.ALIVE)
-            elif member.last_checked < member.suspected_at:
+            elif member.suspect_probed_at < member.suspected_at:
                 # No member is declared dead without a probe of our own.
                 if remaining <= PROBE_TIMEOUT and self._ping(now, member.rank):
-                    member.last_checked = now
-            elif remaining <= 0 and now - member.last_checked >= PROBE_TIMEOUT:
+                    member.suspect_probed_at = now
+            elif remaining <= 0 and now - member.suspect_probed_at >= PROBE_TIMEOUT:
                 self._set_state(now, member, State.DEAD)
                 self.gossip.add(now, self._member_row(now, member))
                 self._gossip_now(now)
@@ -759,23 +759,26 @@
         """Bring the view that decisions use up to date."""
         nothing_received = now - max(self.last_received, self.started_at) > RECENT_WINDOW
         cut_off = nothing_received and len(self.departed) < len(self.members)
-        unheard = False
+        outbound_down = False
         unreachable = [receiver for rank, receiver in self.links.down_links() if rank == self.rank]
         if unreachable:
             recent = {m.rank for m in self.members.values() if now - m.last_received < RECENT_WINDOW}
-            unheard = 2 * len(recent.intersection(unreachable)) > len(recent)
+            outbound_down = 2 * len(recent.intersection(unreachable)) > len(recent)
         active_of_total = self.active_count + 1, self.size - len(self.departed)
         doubtful = self.received_since_pause is not None
         absent = self.dead | self.departed
         old = self.view
-        if (old.cut_off, old.unheard, old.doubtful, old.active_of_total) == (
+        if (old.cut_off, old.outbound_down, old.doubtful, old.active_of_total) == (
             cut_off,
-            unheard,
+            outbound_down,
             doubtful,
             active_of_total,
         ) and (old.absent == absent):
             return
-        self.view = View(frozenset(absent), cut_off, unheard, doubtful, active_of_total)
-        for name, was, holds in (("cut_off", old.cut_off, cut_off), ("unheard", old.unheard, unheard)):
+        self.view = View(frozenset(absent), cut_off, outbound_down, doubtful, active_of_total)
+        for name, was, holds in (
+            ("cut_off", old.cut_off, cut_off),
+            ("unheard", old.outbound_down, outbound_down),
+        ):
             if was != holds:
                 self.actions.append(LogEvent(name, {"holds": holds}))
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -194,7 +194,7 @@
     def _members_changed(self) -> api.MembersChanged:
         """The view for the decision module; gateways without a known address are unavailable, too."""
         view = self.core.view
-        isolated = view.cut_off or view.unheard or view.doubtful or self.core.yielded
+        isolated = view.cut_off or view.outbound_down or view.doubtful or self.core.yielded
         unavailable = view.absent
         if self.address_book:
             unavailable = view.absent | self.address_book.ranks_without_address
@@ -234,7 +234,7 @@
         warnings = []
         if view.cut_off:
             warnings.append(f"it receives nothing from other gateways, {others}")
-        if view.unheard:
+        if view.outbound_down:
             warnings.append("most gateways that it receives from do not receive from it")
         if view.doubtful:
             warnings.append("it was paused and has no recent information yet")
@@ -263,7 +263,7 @@
             "incarnation": core.incarnation,
             "yielded": core.yielded,
             "cut_off": core.view.cut_off,
-            "unheard": core.view.unheard,
+            "unheard": core.view.outbound_down,
             "doubtful": core.view.doubtful,
             "health": core.health,
             "part": list(core.view.active_of_total),
@@ -279,5 +279,5 @@
             "members_here": view.active_of_total[0],
             "members_missing": view.active_of_total[1] - view.active_of_total[0],
             "member_links_down": len(self.core.links.down_links()),
-            "member_apart": int(view.cut_off or view.unheard or view.doubtful),
+            "member_apart": int(view.cut_off or view.outbound_down or view.doubtful),
         }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -303,7 +303,7 @@
     world.blocked_links = {(3, other) for other in range(8) if other != 3}
     world.run(5)
     view = world.nodes[3].core.view
-    assert view.unheard and not view.cut_off and view.absent == frozenset()
+    assert view.outbound_down and not view.cut_off and view.absent == frozenset()
     world.blocked_links = {(other, 3) for other in range(8) if other != 3}
     world.run(8)
     view = world.nodes[3].core.view
