--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -57,9 +57,9 @@
     """The part of the membership state that the gateway's decisions depend on.
 
     ``absent``: members that are dead or have left; ``cut_off``: no messages are received from anyone;
-    ``unheard``: most members that we receive from do not receive our messages; ``doubtful``: this process was
-    paused and has not yet received fresh messages from enough members; ``active_of_total``: number of active
-    members, and of all that have not left, this gateway included in both.
+    ``outbound_down``: most members that we receive from do not receive our messages; ``doubtful``: this
+    process was paused and has not yet received fresh messages from enough members; ``active_of_total``: number
+    of active members, and of all that have not left, this gateway included in both.
     """
 
     absent: frozenset[int] = frozenset()
