--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -3,12 +3,12 @@
 The protocol logic, without clock or sockets: ``receive`` and ``tick`` take the time (microseconds of a clock
 that keeps running while the machine sleeps) and return the datagrams to send and the events to log. It is
 based on SWIM (probes, indirect probes, suspicion, piggybacked gossip) and on Lifeguard (local health,
-suspicion timeouts that shorten with confirmations, telling a suspect first). Additions to these:
+suspicion timeouts that shorten with confirmations, notifying a suspect first). Additions to these:
 
 - each message acknowledges the highest sequence number received from its receiver, so that a link that fails
   in one direction is recognised as such and not taken for a dead member;
-- a member that has received from a suspect since the evidence against it tells the others;
-- a process that was paused trusts nothing until it receives an answer to a message sent after the pause.
+- a member that received a message from a suspect after the failed probe announces this to the others;
+- a process that was paused ignores all messages until one acknowledges a message sent after the pause.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 SIZE_FACTOR_MIN = 1.5  # of log10 of the fleet's size: gossip is no faster among a few members
 SUSPICION_MAX_FACTOR = 4  # the maximum suspicion timeout, as a multiple of the minimum
 URGENT_FANOUT = 3  # members that are notified at once of a suspicion or death detected here
-CHECKERS_MEAN = 6  # members that probe a suspect themselves on hearing of the suspicion, on average
-OVERDUE_ROUNDS = 2  # without a message, after which both ends of a pair probe
+SUSPECT_PROBERS_MEAN = 6  # members, on average, that probe a suspect themselves once gossip reports it
+OVERDUE_ROUNDS = 2  # probe rounds without a message, after which both members of a pair probe
 EVIDENCE_MARGIN = 50 * MS  # evidence must be this much newer than a suspicion: ages grow in transit
 RESUSPECT_COOLDOWN = 2 * SECOND  # after others' evidence cleared a suspicion, until we raise it again
 RECENT_WINDOW = 2 * SECOND  # members that sent us a message within it count as being received from
@@ -189,8 +189,12 @@
         return math.ceil(factor * math.log2(self.size + 1))
 
     def _probe_next(self, now: int) -> None:
-        """Probe the next member in order. Of each pair only one member probes the other, which covers all
-        pairs in half the time. Every few probes go to a dead or unknown member instead."""
+        """Probe the next member in order.
+
+        Of each pair only one member probes the other, which covers all pairs in half the time: each member
+        probes the half of the ring of ranks that follows its own. It also probes a member of the other half
+        whose messages are overdue. One in DEAD_PROBE_EVERY probes goes to a dead or unknown member instead.
+        """
         self.probe_count += 1
         if not self.members:
             return
@@ -198,17 +202,17 @@
         if absent and (self.probe_count % DEAD_PROBE_EVERY == 0 or len(absent) == len(self.members)):
             self._ping(now, self.random.choice(sorted(absent)))
             return
-        overdue = (
-            OVERDUE_ROUNDS * PROBE_INTERVAL * len(self.probe_order) // 2
-        )  # its probes of us are due by then
-        # If cut off, or if no member is left that is ours to probe, all active members are tried.
+        # A round takes one interval for each member of half the ring.
+        overdue = OVERDUE_ROUNDS * PROBE_INTERVAL * len(self.probe_order) // 2
+        # The second pass, over all active members, applies if there is none that this one has to probe. A
+        # gateway that is cut off starts with all of them.
         for probe_all in (self.view.cut_off, True):
             for _ in self.probe_order:
                 self.probe_position = (self.probe_position + 1) % len(self.probe_order)
                 rank = self.probe_order[self.probe_position]
-                is_ours = 2 * ((rank - self.rank) % self.size) <= self.size
-                is_ours = is_ours or now - self.members[rank].last_received > overdue
-                if self.members[rank].state in ACTIVE_STATES and (is_ours or probe_all):
+                is_own_target = 2 * ((rank - self.rank) % self.size) <= self.size
+                is_own_target = is_own_target or now - self.members[rank].last_received > overdue
+                if self.members[rank].state in ACTIVE_STATES and (is_own_target or probe_all):
                     self._ping(now, rank)
                     return
 
@@ -278,8 +282,10 @@
         probe: int = 0,
         subject_received: int = 0,
     ) -> bool:
-        """Send a message unless that exceeds our share of the rate that peers accept; whether it was sent.
-        All messages are sent here."""
+        """Send a message unless that exceeds our share of the rate that peers accept.
+
+        All messages are sent here. Returns whether it was sent.
+        """
         self.send_tokens = min(
             self.rate, self.send_tokens + self.rate * (now - self.tokens_refilled_at) / SECOND
         )
@@ -328,8 +334,9 @@
         return [rank for _, rank in sorted(recent)]
 
     def _rows(self, now: int, receiver: Member) -> Iterable[Row]:
-        """Rows for a receiver: first what is claimed of it, then gossip, least sent first; if its digest
-        differs from ours, also a part of the whole member table (anti-entropy), round robin."""
+        """Rows for a receiver: first claims about itself, so that it can refute them, then gossip, least
+        sent first; if its digest differs from ours, also a part of the member table (anti-entropy), round
+        robin."""
         if receiver.state in (State.SUSPECT, State.DEAD) or receiver.has_old_life:
             receiver.has_old_life = False
             yield self._member_row(now, receiver)
@@ -366,7 +373,7 @@
         member = self.members[message.sender]
         if message.life < member.life:
             self.counts["dropped_former"] += 1
-            member.has_old_life = True  # an earlier process, or the older of two: tell it of the newer life
+            member.has_old_life = True  # an earlier process, or the older of two: send it the newer life
             self._send(now, member.rank, MessageKind.GOSSIP)
             return
         if message.life > member.life:
@@ -411,9 +418,8 @@
         member.clear_count = 0
         member.indirect_acks = member.indirect_acks if message.kind is MessageKind.PING else 0
         if member.state is State.DEAD and message.incarnation <= member.incarnation:
-            self.urgent_pings[member.rank] = (
-                None  # it must itself refute its death, which all members believe
-            )
+            # Only the member itself can refute its death; the ping carries the claim to it.
+            self.urgent_pings[member.rank] = None
             return
         is_newer = message.incarnation > member.incarnation
         member.incarnation = max(member.incarnation, message.incarnation)
@@ -482,7 +488,7 @@
         )
 
     def _finish_probe(self, number: int, rank: int) -> bool:
-        """Whether this answers one of our pending probes, which is then finished."""
+        """End the pending probe that this answers; returns False if there is none."""
         probe = self.probes.get(number)
         if probe is None or probe.rank != rank:
             return False
@@ -564,7 +570,7 @@
         return False
 
     def _apply_last_seen(self, now: int, member: Member, seen_at: int, observer: int) -> None:
-        """The observer received a message from the member at this time."""
+        """Apply a report that the observer received a message from the member at this time."""
         if seen_at <= member.last_seen:
             return
         member.last_seen, member.witness = seen_at, observer if observer != self.rank else member.witness
@@ -583,7 +589,7 @@
         if member.last_seen > evidence_at + EVIDENCE_MARGIN and member.state in ACTIVE_STATES:
             if self._gossip_last_seen(now, member):
                 self._gossip_now(now)
-            # Only the member itself can refute its death, so it has to be told.
+            # Only the member itself can refute its death, so it has to be notified.
             if row.kind is RowKind.DEAD and member.rumor is None:
                 member.rumor = row
                 self.urgent_pings[member.rank] = None
@@ -625,7 +631,10 @@
         self.gossip.add(now, Row(RowKind.ALIVE, self.rank, self.life, self.incarnation))
 
     def _gossip_last_seen(self, now: int, member: Member) -> bool:
-        """Queue when the member was last seen; whether that is newer than what is queued already."""
+        """Queue the time when the member was last seen, unless one as recent is queued already.
+
+        Returns whether it was queued.
+        """
         observer = (
             self.rank if member.last_received >= member.last_seen or member.witness < 0 else member.witness
         )
@@ -648,7 +657,7 @@
             member.evidence_at, member.suspected_at = evidence_at, now
             member.accusers, member.reported_dead = set(), False
             self._set_state(now, member, State.SUSPECT)
-            if accuser != self.rank and self.random.random() * self.size < CHECKERS_MEAN:
+            if accuser != self.rank and self.random.random() * self.size < SUSPECT_PROBERS_MEAN:
                 self.urgent_pings[member.rank] = None
         if accuser not in member.accusers and accuser != member.rank:
             member.accusers.add(accuser)
@@ -673,7 +682,7 @@
             return longest
         if member.reported_dead:
             return shortest / 2
-        needed = min(CONFIRMATIONS_NEEDED, self.active_count - 1)  # neither the suspect nor the first accuser
+        needed = min(CONFIRMATIONS_NEEDED, self.active_count - 1)  # without the suspect and the first accuser
         if needed < 1:
             return longest
         confirmations = min(needed, len(member.accusers) - 1)
@@ -683,9 +692,14 @@
         )
 
     def _check_suspects(self, now: int) -> None:
-        """Declare suspects dead after their timeout, unless this process was paused or receives nothing."""
-        is_deaf = self.view.cut_off and len(self.members) > 1 and now - self.last_received < CUT_OFF_GRACE
-        if not self.suspects or self.received_since_pause is not None or is_deaf:
+        """Declare suspects dead after their timeout.
+
+        None is declared dead while this process is in doubt after a pause, nor while it is
+        cut off, until CUT_OFF_GRACE after the last message that it received: the fault is then more likely
+        its own. A suspect that was seen since the failed probe is alive again.
+        """
+        in_grace = self.view.cut_off and len(self.members) > 1 and now - self.last_received < CUT_OFF_GRACE
+        if not self.suspects or self.received_since_pause is not None or in_grace:
             return
         for member in [self.members[rank] for rank in self.suspects]:
             remaining = member.suspected_at + self._suspicion_timeout(member) - now
@@ -756,9 +770,10 @@
     # -- the view -------------------------------------------------------------------------------------------
 
     def _update_view(self, now: int) -> None:
-        """Bring the view that decisions use up to date."""
+        """Update the view that the gateway's decisions use; log a loss of contact with the others, and its end."""
         nothing_received = now - max(self.last_received, self.started_at) > RECENT_WINDOW
         cut_off = nothing_received and len(self.departed) < len(self.members)
+        # Whether most of the members that we receive from do not receive our messages.
         outbound_down = False
         unreachable = [receiver for rank, receiver in self.links.down_links() if rank == self.rank]
         if unreachable:
