--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -58,8 +58,8 @@
 
     ``absent``: members that are dead or have left; ``cut_off``: no messages are received from anyone;
     ``outbound_down``: most members that we receive from do not receive our messages; ``doubtful``: this
-    process was paused and has not yet received fresh messages from enough members; ``active_of_total``: number
-    of active members, and of all that have not left, this gateway included in both.
+    process was paused and has not yet received fresh messages from enough members; ``active_of_total``:
+    number of active members, and of all that have not left, this gateway included in both.
     """
 
     absent: frozenset[int] = frozenset()
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -770,7 +770,7 @@
     # -- the view -------------------------------------------------------------------------------------------
 
     def _update_view(self, now: int) -> None:
-        """Update the view that the gateway's decisions use; log a loss of contact with the others, and its end."""
+        """Update the view that the gateway's decisions use; log when contact is lost or restored."""
         nothing_received = now - max(self.last_received, self.started_at) > RECENT_WINDOW
         cut_off = nothing_received and len(self.departed) < len(self.members)
         # Whether most of the members that we receive from do not receive our messages.
