--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -1,7 +1,7 @@
 """Control address for operators.
 
-A caller sends one line and gets one line back that begins with ``done`` or ``error``; then the connection is
-closed.
+An operator sends one line, the command, and gets one line back that begins with ``done`` or ``error``; then
+the connection is closed.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 log = logs.get_logger(__name__)
 
 CONNECTIONS_MAX = 12  # open connections: a new one beyond this closes the oldest
-LINE_BYTES_MAX = 512  # length of a call
-CALL_TIMEOUT = 10.0  # seconds until a connection without a complete call is closed
-LINGER_TIMEOUT = 1.0  # seconds for the caller to read its answer and close
+LINE_BYTES_MAX = 512  # length of a command
+COMMAND_TIMEOUT = 10.0  # seconds until a connection without a complete command is closed
+LINGER_TIMEOUT = 1.0  # seconds for the client to read its answer and close
 HANDOVER_POLL_INTERVAL = 0.01  # seconds between two checks whether a handover is over
 
 
@@ -35,7 +35,7 @@
         self.control = control
         self.line = b""
         self.is_answered = self.answer_written = False
-        self.eof_seen = False  # the caller has closed its sending side
+        self.eof_seen = False  # the client has closed its sending side
         self.transport: asyncio.Transport | None = None
         self.close_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task | None = None
@@ -43,7 +43,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Register the connection and start its timeout."""
         self.transport = transport
-        self._set_close_timer(CALL_TIMEOUT)
+        self._set_close_timer(COMMAND_TIMEOUT)
         self.control.connection_opened(self)
 
     def _set_close_timer(self, seconds: float) -> None:
@@ -52,18 +52,18 @@
         self.close_timer = self.control.loop.call_later(seconds, self.transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Collect the line of a call; anything after the line is dropped."""
+        """Collect the line of a command; anything after the line is dropped."""
         if self.is_answered:
             return
         self.line += data[: LINE_BYTES_MAX + 1 - len(self.line)]
         line, end, _ = self.line.partition(b"\n")
         if end:
             self.is_answered = True
-            self.task = self.control.loop.create_task(self._call(line))
+            self.task = self.control.loop.create_task(self._execute(line))
         elif len(self.line) > LINE_BYTES_MAX:
             self.answer("error the line is too long")
 
-    async def _call(self, line: bytes) -> None:
+    async def _execute(self, line: bytes) -> None:
         self.answer(await self.control.execute(line))
 
     def eof_received(self) -> bool:
@@ -74,8 +74,11 @@
         return not self.answer_written
 
     def answer(self, text: str) -> None:
-        """Send one line and half-close. Reading goes on until the caller has closed: closing with
-        bytes unread would reset the connection, and the answer would be lost."""
+        """Send one line and half-close.
+
+        Reading goes on until the client has closed: closing with bytes unread would reset the connection, and
+        the answer would be lost.
+        """
         self.is_answered = True
         self.control.count_answer(text)
         if not self.transport.is_closing():
@@ -94,21 +97,24 @@
 
 
 class OtherProcess(Protocol):
-    """The predecessor or successor of an upgrade, as far as operators' calls are forwarded to it."""
+    """The predecessor or successor of an upgrade, to which operators' commands are forwarded."""
 
     async def forward(self, line: bytes) -> str:
-        """Have it execute a call; returns its answer."""
+        """Have it execute a command; returns its answer."""
 
 
 class Control:
-    """The listener for operators. Calls are executed at once, and repeating one is harmless."""
+    """Listens for operators' commands, which are idempotent.
+
+    Commands are executed at once, except during a handover.
+    """
 
     def __init__(self, driver: Driver, clients: Clients) -> None:
         self.driver, self.clients, self.loop = driver, clients, driver.loop
         self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
-        self.predecessor: OtherProcess | None = None  # the predecessor of an upgrade
-        self.handover_server: OtherProcess | None = None  # the link to the successor
+        self.predecessor: OtherProcess | None = None  # if this process has taken over from one
+        self.handover_server: OtherProcess | None = None  # forwards to the successor
         self.members: Members | None = None
 
     async def listen(self, address: Address) -> None:
@@ -131,24 +137,28 @@
         self.driver.stats["control_" + answer.split(" ", 1)[0]] += 1
 
     def health_warnings(self) -> str:
-        """Return membership's doubts about this process's own health, as a suffix; empty if it has none."""
+        """Return warnings of the membership protocol about this process, as a suffix of an answer, or ''."""
         warnings = self.members.health_warnings() if self.members else ()
         return f", but {', '.join(warnings)}" if warnings else ""
 
     async def execute(self, line: bytes) -> str:
-        """Execute one call and return its answer. HEALTH reports on this process alone."""
+        """Execute one command and return its answer.
+
+        During an upgrade, commands wait until the handover is over, and are then executed by the successor.
+        HEALTH is neither delayed nor forwarded: it reports on this process alone.
+        """
         line = line.removesuffix(b"\r")
         if line == b"HEALTH":
             not_ready_reason = self.driver.readiness.not_ready_reason
             return f"error {not_ready_reason}" if not_ready_reason else f"done ready{self.health_warnings()}"
-        while self.driver.frozen:  # the handover is under way: neither process can apply changes yet
+        while self.driver.frozen:  # during the handover neither process can apply changes
             await asyncio.sleep(HANDOVER_POLL_INTERVAL)
         if self.driver.readiness.handed_over:
             return await self.handover_server.forward(line)
         return await self.execute_locally(line)
 
     async def execute_locally(self, line: bytes) -> str:
-        """Execute one call in this process."""
+        """Execute one command in this process."""
         match line.split(b" "):
             case [b"LEAVE"]:
                 log.info("control_call", call="leave")
