--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -242,7 +242,12 @@
         self.feed(api.PeerMessage(sender, body))
 
     def feed(self, event: api.Event) -> None:
-        """Pass an event to the decision module; events raised by its actions are queued meanwhile."""
+        """Pass an event to the decision module.
+
+        Events raised by its actions are queued until it has handled this one, as it is not reentrant. While
+        the state is frozen, all events are queued. After a handover the successor also receives the events
+        that change a host's load, the quotas and what it knows of peers.
+        """
         self.pending_events.append(event)
         if self.successor and isinstance(event, api.AttemptEnded | api.AttemptElsewhere | api.PeerMessage):
             self.successor.forward_event(event)
--- a/saffrongw/listening.py
+++ b/saffrongw/listening.py
@@ -46,11 +46,17 @@
     except OSError as error:
         if not retry or error.errno != errno.EADDRINUSE:
             raise listen_error(purpose, address, error) from None
-        return asyncio.get_running_loop().create_task(_retry(purpose, address, listen))
+        return asyncio.get_running_loop().create_task(_retry_until_released(purpose, address, listen))
     return None
 
 
-async def _retry(purpose: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
+async def _retry_until_released(
+    purpose: str, address: Address, listen: Callable[[], Awaitable[None]]
+) -> None:
+    """Retry until the other process releases the address.
+
+    Gives up on any other error, which waiting does not resolve; the gateway then runs without this address.
+    """
     while True:
         log.error("address_taken", purpose=purpose, address=address, again_in_s=RETRY_INTERVAL)
         await asyncio.sleep(RETRY_INTERVAL)
