--- a/registry/follow.py
+++ b/registry/follow.py
@@ -20,7 +20,7 @@
 log = logs.get_logger(__name__)
 
 INSTANCES_TARGET = "/registry/instances"
-LIFE_HEADER = "Registry-Life"  # the life of the list; a greater one supersedes all sequence numbers
+LIFE_HEADER = "Registry-Life"  # epoch of the list; sequence numbers are compared within the same life
 POLL_WAIT = 5.0  # seconds of a long poll; until it ends, a hung service looks like an idle one
 ANSWER_TIMEOUT = 2.0  # seconds on top of the long poll
 CONNECT_TIMEOUT = 1.0
@@ -97,7 +97,7 @@
         self.failures = 0  # consecutive
         self.last_errors: dict[Address, str] = {}  # why each service was last abandoned
         self.counts: Counter[str] = Counter()
-        self.needs_full_list = False  # the last changes did not apply to the current list
+        self.needs_full_list = False  # the last update did not apply to the current list
         self.confirmed_at: float | None = None  # loop time at which a service last confirmed the list
         self.confirmed_age = 0.0  # seconds: the age that the service itself reported then
 
@@ -136,19 +136,19 @@
             connection = Connection(reader, writer, f"{address[0]}:{address[1]}")
             first = True
             while True:
-                answer = await self._call(connection, 0.0 if first else self.wait)
-                if not await self._handle_answer(answer):
+                response = await self._request_update(connection, 0.0 if first else self.wait)
+                if not await self._apply_response(response):
                     return
                 if first:
                     log.info("source_followed", address=address, seq=self.ledger.seq)
                     self.last_errors.pop(address, None)
                 first, self.failures = False, 0
-                if not answer.reusable:
+                if not response.reusable:
                     return
         finally:
             writer.transport.abort()
 
-    async def _call(self, connection: Connection, wait: float) -> Response:
+    async def _request_update(self, connection: Connection, wait: float) -> Response:
         """Request an update. The first call of a connection does not wait, to detect a hung service early."""
         target = INSTANCES_TARGET
         if self.ledger.seq and not self.needs_full_list:
@@ -156,12 +156,15 @@
         async with asyncio.timeout(wait + self.answer_timeout):
             return await connection.call(target)
 
-    async def _handle_answer(self, answer: Response) -> bool:
-        """Apply a response. Returns False if this service has an older list than the ledger."""
-        if answer.status != 200:
-            raise Invalid(f"answered {answer.status}")
+    async def _apply_response(self, response: Response) -> bool:
+        """Apply the update in a response, and record how old the service says that its list is.
+
+        Returns False if this service has an older list than the ledger; the caller then tries the next one.
+        """
+        if response.status != 200:
+            raise Invalid(f"answered {response.status}")
         update = parse_update(
-            answer.body, parse_digits(answer.headers.get(LIFE_HEADER.lower(), ""), LIFE_HEADER)
+            response.body, parse_digits(response.headers.get(LIFE_HEADER.lower(), ""), LIFE_HEADER)
         )
         current = (self.ledger.life, self.ledger.seq)
         if (update.life, update.seq) < current:
@@ -174,7 +177,7 @@
                 held_seq=current[1],
             )
             return False
-        if not update.whole and update.seq < self.ledger.seq:  # the changes are based on another list
+        if not update.whole and update.seq < self.ledger.seq:  # the changes belong to a newer life
             self.needs_full_list = True
             raise Invalid("received changes do not apply to the current list")
         if (update.life, update.seq) > current:
@@ -182,6 +185,6 @@
             self.counts["taken"] += 1
         self.needs_full_list = False
         self.confirmed_at = asyncio.get_running_loop().time()
-        age = answer.headers.get("age", "0")
+        age = response.headers.get("age", "0")
         self.confirmed_age = float(age) if age.isdigit() else 0.0
         return True
