--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -39,7 +39,7 @@
 THROTTLE_BELOW = 0.25
 RESUME_ABOVE = 0.6
 
-# An owner not heard from for this long is asked to answer; without an answer within the same time the next
+# An owner that sent nothing for this long is asked to answer; without an answer within the same time the next
 # candidate is notified.
 ANSWER_TIMEOUT = 200 * MS
 OWNER_HASH_MULTIPLIER = 2_654_435_761  # spreads customers over the gateways of their sets
@@ -360,16 +360,20 @@
         return None
 
     def _send_attempt(self, request: Request, host: Host) -> None:
-        """Send the request to a server; every send passes here."""
+        """Send the request to a server; every send passes here.
+
+        The first attempt spends the request's units.
+        """
         if not request.attempts:
-            # An answer of the owner that comes later must not send the request again.
+            # No longer waits for the owner: an answer that arrives later must not send the request again.
             request.account.waiting_units.pop(request.event.request, None)
             self._spend(request)
         if not host.open_attempts:
             if self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT:
                 host.open_connections = 0
+            # From now on the server's silence counts against it.
             host.last_active = self.now
-        # The attempt may have to wait for its connection, but not beyond the dedup window.
+        # A retry that waits for a connection beyond the dedup window might be executed a second time.
         window_end = request.dedup_window_end
         send_by = window_end - DEADLINE_MARGIN if window_end else 0
         attempt = Attempt(host, self.now, host.open_attempts + BASE_LOAD, len(self.attempts))
@@ -401,9 +405,11 @@
         self._advance(request)
 
     def _attempt_elsewhere(self, event: api.AttemptElsewhere) -> None:
-        """Register an attempt of the previous process during an upgrade.
+        """Register an open attempt of the predecessor during an upgrade.
 
-        Its load and its outcome count here, while the previous process answers the client.
+        It counts towards the server's load and the customer's open requests, and its outcome towards the
+        health stats. Its units are spent already. The predecessor answers the client, so the request is not
+        one of this gateway's ``requests``, and its deadline and random draw are not used.
         """
         host = self.hosts.get(event.server)
         if host is None:
@@ -847,7 +853,7 @@
                 if message.to_owner:
                     self._broadcast_if_throttled(account)
                 else:
-                    self._resume_waiting(account, event.sender)
+                    self._resume_waiting_request(account, event.sender)
         if message.expects_answer:
             rows = (
                 self._answer_row(account, event.sender, wanted, message.to_owner)
@@ -855,8 +861,11 @@
             )
             self._send_message(event.sender, messages.fit_rows(rows))
 
-    def _resume_waiting(self, account: Account, sender: int) -> None:
-        """Continue the request that has waited longest for this owner's answer."""
+    def _resume_waiting_request(self, account: Account, sender: int) -> None:
+        """Continue the request that has waited longest for an answer of this owner.
+
+        Each waiting request has sent its own query, so one answer continues one request.
+        """
         for request in map(self.requests.get, account.waiting_units):
             if request and self._owner(account, request.owner_index) == sender:
                 request.owner_replied = True
@@ -867,7 +876,7 @@
     def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
         """The row that answers a query.
 
-        Units that the peer was told are available are reserved at once, or others would be told of them too.
+        Units reported to the peer as available are reserved at once, or they would be reported to others too.
         A peer that queries again has not used them, so the earlier reservation is returned.
         """
         if to_owner:
