--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -57,14 +57,14 @@
     """The part of the membership state that the gateway's decisions depend on.
 
     ``absent``: members that are dead or have left; ``cut_off``: no messages are received from anyone;
-    ``unheard``: most members that we receive from do not receive our messages; ``doubtful``: this process was
-    paused and has not yet received fresh messages from enough members; ``active_of_total``: number of active
-    members, and of all that have not left, this gateway included in both.
+    ``outbound_down``: most members that we receive from do not receive our messages; ``doubtful``: this
+    process was paused and has not yet received fresh messages from enough members; ``active_of_total``:
+    number of active members, and of all that have not left, this gateway included in both.
     """
 
     absent: frozenset[int] = frozenset()
     cut_off: bool = False
-    unheard: bool = False
+    outbound_down: bool = False
     doubtful: bool = False
     active_of_total: tuple[int, int] = (1, 1)
 
@@ -79,7 +79,7 @@
     state: State = State.UNKNOWN
     evidence_at: int = 0  # time of the evidence for a suspicion: when the failed probe was sent
     suspected_at: int = 0  # when the suspicion became known here
-    last_checked: int = 0  # when we probed it ourselves during that suspicion
+    suspect_probed_at: int = 0  # when we probed it ourselves during that suspicion
     indirect_acks: int = 0  # consecutive probes that were answered through relays only
     cleared_at: int = 0  # when evidence from others last ended our suspicion
     clear_count: int = 0  # how often they did since the last message received from it
