--- a/birchdrum/__init__.py
+++ b/birchdrum/__init__.py
@@ -1,1 +1,4 @@
-"""The command line over the gateway and the list service."""
+"""The ``birchdrum`` command: runs and controls gateways, the registry, a local demo fleet and the lab.
+
+It also loads, validates and converts configuration files of gateways.
+"""
--- a/birchdrum/__main__.py
+++ b/birchdrum/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m birchdrum``: the same as the installed command."""
+"""Entry point of the command line: ``python -m birchdrum`` is equivalent to the ``birchdrum`` command."""
 
 from __future__ import annotations
 
--- a/ops/__init__.py
+++ b/ops/__init__.py
@@ -1,1 +1,4 @@
-"""What every program here shows its operators: logs, metrics, and the HTTP they are read by."""
+"""Shared by the gateway, the registry, the command line and the lab.
+
+Logging, Prometheus metrics, an HTTP server, units in configuration, validation of files, and atomic writes.
+"""
--- a/orchidlane/__init__.py
+++ b/orchidlane/__init__.py
@@ -1,1 +1,4 @@
-"""orchidlane: the decisions of a quota-keeping gateway for a shared API."""
+"""The gateway's decision logic and message formats: quotas, server selection, retries and membership.
+
+Nothing here does I/O except ``wirehost``, which runs gateways over standard input and output.
+"""
--- a/saffrongw/__init__.py
+++ b/saffrongw/__init__.py
@@ -1,1 +1,4 @@
-"""saffrongw: the api gateway on real sockets round the decisions of ``orchidlane``."""
+"""The API gateway as a process: sockets, timers, configuration, discovery, metrics and upgrades.
+
+It passes events to the decision module, ``orchidlane``, and executes the actions that it returns.
+"""
