--- a/lab/defects.py
+++ b/lab/defects.py
@@ -91,6 +91,7 @@
     """Does not pass on the addresses that it knows."""
 
     def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        """Process the datagram with the known peers hidden, so that a reply lists none of their addresses."""
         known, self.peers = self.peers, {}
         actions = super().receive(now, source, data)
         self.peers = known | self.peers
@@ -101,6 +102,7 @@
     """Binds a rank to the source address of any message of its current or a newer life."""
 
     def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+        """Process the datagram, then bind its rank to the source even if it answers no HELLO of ours."""
         actions = super().receive(now, source, data)
         with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
--- a/lab/kernel.py
+++ b/lab/kernel.py
@@ -56,6 +56,7 @@
         self.rng, self.batch = rng, list[float]()
 
     def __call__(self) -> float:
+        """Return the next number of the batch; an empty batch is first refilled from the generator."""
         if not self.batch:
             self.batch = self.rng.random(BATCH_SIZE).tolist()
         return self.batch.pop()
--- a/saffrongw/clock.py
+++ b/saffrongw/clock.py
@@ -12,4 +12,5 @@
         self.base = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
+        """Return the Unix time in microseconds; later changes of the system clock do not affect it."""
         return (self.base + time.monotonic_ns()) // 1_000
