--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -285,8 +285,11 @@
         return parse_hosts(json.loads(body), self.zones)
 
     def answered(self, host_list: HostList, keep_alive: bool) -> None:
-        """Poll again at once if the connection is kept alive, so that the watch has no gap, then pass on the
-        list. A lower version means that discovery restarted with another list: the whole list is requested.
+        """Pass on the list, then poll again at once if the connection is kept alive, so that the watch has no
+        gap. A request sent before a long list is applied could be answered meanwhile, and clients would wait
+        until both lists are applied.
+
+        A lower version means that discovery restarted with another list: the whole list is requested.
         """
         self.backoff = BACKOFF_MIN
         if self.refused_interval > REFUSED_INTERVAL_MIN:
@@ -297,14 +300,14 @@
             not host_list.whole and self.version is not None and host_list.version < self.version
         )
         self.version = None if version_decreased else host_list.version
-        if keep_alive:
-            self._poll_again()
-        else:
-            self._reconnect_later()
         if host_list.malformed:
             log.warning("discovery_odd_entries", left_out=host_list.malformed, version=host_list.version)
         if host_list.whole or host_list.hosts:
             self.on_update(host_list)
+        if keep_alive:
+            self._poll_again()
+        else:
+            self._reconnect_later()
 
     def response_failed(self, exchange: Exchange, error: Exception) -> None:
         """The response was malformed: the current list may be out of date, so the whole list is requested."""
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -16,7 +16,7 @@
 from orchidlane import messages
 from saffrongw import discovery
 from saffrongw.config import parse_hosts
-from saffrongw.discovery import Watch, first_call_spread
+from saffrongw.discovery import Exchange, Watch, first_call_spread
 from saffrongw.peers import Peers
 
 ZONES = ("hall-a", "hall-b")
@@ -69,6 +69,23 @@
     assert agent.connections == 1
 
 
+@asyncio_test
+async def test_a_list_is_applied_before_the_next_one_is_requested(monkeypatch):
+    """Guards against clients that wait for several lists, as each response arrives while one is applied."""
+    order, send_request = [], Exchange.send_request
+
+    def record_request(exchange: Exchange, target: str, host: str) -> None:
+        order.append("requested")
+        send_request(exchange, target, host)
+
+    monkeypatch.setattr(Exchange, "send_request", record_request)
+    loop, agent = asyncio.get_running_loop(), Agent([{"seq": 5, "whole": True, "hosts": [instance("a")]}])
+    server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
+    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, lambda _: order.append("applied")).start()
+    await until(lambda: len(order) == 3)
+    assert order == ["requested", "applied", "requested"]
+
+
 @asyncio_test
 async def test_timeouts_and_malformed_responses_lead_to_a_request_of_the_whole_list():
     whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
