--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -15,8 +15,8 @@
 from ops import logs
 
 from . import entries, leases
-from .copies import Agent, Follower
 from .primary import Primary
+from .replicas import Agent, Follower
 from .service import Service
 from .store import FOLLOWER, PRIMARY, Store, StoreError, backup
 
