--- a/registry/reading.py
+++ b/registry/reading.py
@@ -8,8 +8,8 @@
 from ops.http import Connection, HTTPError, Request
 
 from .entries import parse_digits
-from .follow import LIFE_HEADER
 from .ledger import Ledger
+from .upstream import LIFE_HEADER
 
 INSTANCES_PATH = ["registry", "instances"]
 MAX_WAIT_MS = 60_000  # milliseconds
--- a/registry/replicas.py
+++ b/registry/replicas.py
@@ -11,9 +11,9 @@
 
 from . import keep
 from .entries import DELETED, Entry, Invalid, ListUpdate, Record
-from .follow import Address, UpstreamWatch
 from .service import Service, StoredService
 from .store import FOLLOWER, Store, StoreError, is_transient
+from .upstream import Address, UpstreamWatch
 
 log = logs.get_logger(__name__)
 
--- a/registry/service.py
+++ b/registry/service.py
@@ -12,10 +12,10 @@
 from ops import logs
 from ops.http import Connection, HTTPError, Request, Server
 
-from .follow import Address, UpstreamWatch
 from .ledger import Ledger
 from .reading import INSTANCES_PATH, WatchEndpoint
 from .store import Store
+from .upstream import Address, UpstreamWatch
 
 if TYPE_CHECKING:
     from ops.metrics import MetricsPage
