--- a/registry/replicas.py
+++ b/registry/replicas.py
@@ -9,7 +9,7 @@
 
 from ops import logs
 
-from . import keep
+from . import snapshot
 from .entries import DELETED, Entry, Invalid, ListUpdate, Record
 from .service import Service, StoredService
 from .store import FOLLOWER, Store, StoreError, is_transient
@@ -97,7 +97,7 @@
         """Load the list file, if there is a valid one."""
         if self.list_file:
             try:
-                keep.load(self.list_file, self.ledger)
+                snapshot.load(self.list_file, self.ledger)
                 self.upstream.restore_age(self.list_file)
             except FileNotFoundError:
                 log.info("kept_list_missing", file=self.list_file)
@@ -121,7 +121,7 @@
 
     def _save_now(self, life: int, body: bytes) -> None:
         try:
-            keep.save(self.list_file, life, body)
+            snapshot.save(self.list_file, life, body)
         except OSError as error:
             self.counts["not_kept"] += 1
             log.warning("kept_list_not_written", file=self.list_file, error=error)
