--- a/registry/service.py
+++ b/registry/service.py
@@ -13,9 +13,9 @@
 from ops.http import Connection, HTTPError, Request, Server
 
 from .ledger import Ledger
-from .reading import INSTANCES_PATH, WatchEndpoint
 from .store import Store
 from .upstream import Address, UpstreamWatch
+from .watch_endpoint import INSTANCES_PATH, WatchEndpoint
 
 if TYPE_CHECKING:
     from ops.metrics import MetricsPage
