--- a/registry/primary.py
+++ b/registry/primary.py
@@ -32,7 +32,7 @@
 )
 from .leases import CHECK_INTERVAL, Leases
 from .ledger import Ledger
-from .meeting import Rendezvous
+from .rendezvous import Rendezvous
 from .service import SHUTDOWN_TIMEOUT, StoredService, to_json
 from .store import PRIMARY, Store, StoreError, is_transient
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -14,7 +14,7 @@
 from lab.placing import Network
 from ops.http import HTTPError, Invalid
 from orchidlane import member_messages as messages
-from registry import meeting as registry_meeting
+from registry import rendezvous as registry_rendezvous
 from saffrongw import meeting, places
 
 KEY = messages.tag_key("lab")
@@ -140,7 +140,7 @@
 
 def test_the_rendezvous_returns_the_latest_of_the_same_cluster_and_the_successor_of_the_caller():
     now = [0.0]
-    rendezvous = registry_meeting.Rendezvous(lambda: now[0])
+    rendezvous = registry_rendezvous.Rendezvous(lambda: now[0])
     for rank in range(40):
         now[0] = float(rank) / 10
         rendezvous.announce("valley", announcement(rank, 5, 7_000 + rank))
@@ -171,7 +171,7 @@
     ],
 )
 def test_the_rendezvous_refuses_malformed_announcements(malformed):
-    rendezvous = registry_meeting.Rendezvous(lambda: 0.0)
+    rendezvous = registry_rendezvous.Rendezvous(lambda: 0.0)
     with pytest.raises(Invalid):
         rendezvous.announce("valley", announcement() | malformed)
     with pytest.raises(Invalid):
@@ -180,9 +180,9 @@
 
 
 def test_the_rendezvous_is_bounded_and_drops_expired_leases(monkeypatch):
-    monkeypatch.setattr(registry_meeting, "MAX_ANNOUNCEMENTS", 3)
+    monkeypatch.setattr(registry_rendezvous, "MAX_ANNOUNCEMENTS", 3)
     now = [0.0]
-    rendezvous = registry_meeting.Rendezvous(lambda: now[0])
+    rendezvous = registry_rendezvous.Rendezvous(lambda: now[0])
     for rank in range(3):
         rendezvous.announce("valley", announcement(rank))
     with pytest.raises(HTTPError, match="full"):
