--- a/birchdrum/commands_settings.py
+++ b/birchdrum/commands_settings.py
@@ -22,10 +22,10 @@
 
     The rules are: together, within a bounded time, or never.
     """
-    from . import contradiction
+    from . import compatibility
 
-    key_width = max(map(len, contradiction.SHARED_KEYS))
-    for path, (rule, why) in contradiction.SHARED_KEYS.items():
+    key_width = max(map(len, compatibility.SHARED_KEYS))
+    for path, (rule, why) in compatibility.SHARED_KEYS.items():
         fields = {"key": path, "rule": rule, "why": why}
         click.echo(json.dumps(fields) if as_json else f"{path:{key_width}}  {rule:8}  {why}")
 
@@ -41,21 +41,21 @@
     """
     import msgspec
 
-    from . import configuration, contradiction
+    from . import compatibility, configuration
 
     try:
         old_config, new_config = (configuration.load(file, environment={}).config for file in (old, new))
     except configuration.ConfigurationError as error:
         raise CommandError(USAGE_ERROR, *error.lines) from None
-    changes = contradiction.changes(old_config, new_config)
+    changes = compatibility.changes(old_config, new_config)
     if as_json:
-        fields = {"changes": changes, "rule": contradiction.strictest(changes) if changes else None}
+        fields = {"changes": changes, "rule": compatibility.strictest(changes) if changes else None}
         click.echo(msgspec.json.encode(fields).decode())
         return
     for change in changes:
         click.echo(str(change))
     click.echo(
-        f"as a whole: {contradiction.strictest(changes)}"
+        f"as a whole: {compatibility.strictest(changes)}"
         if changes
         else "nothing that gateways share differs"
     )
--- a/birchdrum/contradiction.py
+++ b/birchdrum/compatibility.py
@@ -166,7 +166,7 @@
 
 if unmatched := unmatched_keys():
     raise TypeError(
-        f"birchdrum/contradiction.py: keys without a rule, or rules without a key: {', '.join(unmatched)}"
+        f"birchdrum/compatibility.py: keys without a rule, or rules without a key: {', '.join(unmatched)}"
     )
 
 
--- a/tests/test_contradiction.py
+++ b/tests/test_contradiction.py
@@ -9,7 +9,7 @@
 import tomlkit
 from command import refused, run
 
-from birchdrum import contradiction
+from birchdrum import compatibility
 from birchdrum.model import Config
 from registry.agreement import NEVER, TOGETHER, WITHIN
 
@@ -70,14 +70,14 @@
     class ExtendedConfig(Config):
         quota_style: str = "plain"
 
-    assert contradiction.unmatched_keys() == []
-    assert contradiction.unmatched_keys(ExtendedConfig) == ["quota_style"]
+    assert compatibility.unmatched_keys() == []
+    assert compatibility.unmatched_keys(ExtendedConfig) == ["quota_style"]
     lines = run("settings", "rules").stdout.splitlines()
-    assert len(lines) == len(contradiction.SHARED_KEYS) > 40
+    assert len(lines) == len(compatibility.SHARED_KEYS) > 40
     assert json.loads(run("settings", "rules", "--json").stdout.splitlines()[1]) == {
         "key": "classes.*.effect",
         "rule": NEVER,
-        "why": contradiction.SHARED_KEYS["classes.*.effect"][1],
+        "why": compatibility.SHARED_KEYS["classes.*.effect"][1],
     }
 
 
