--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -34,7 +34,7 @@
 from lab.registration import Registration
 
 from . import calling
-from .trouble import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
+from .fault_injection import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
 REQUEST_CLASSES = (RequestClass("reading", "repeatable", 2.0), RequestClass("order", "by_key", 3.0))
