--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -122,7 +122,7 @@
     import time
 
     from . import calling
-    from . import members as views
+    from . import membership_views as views
 
     try:
         gateways = calling.select_gateways(at, fleet, only)
