--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -71,13 +71,13 @@
         as_json: bool,
         host: str = "",
     ) -> None:
-        from . import calling
+        from . import gateway_client
 
         try:
-            gateways = calling.select_gateways(at, fleet, only)
-        except calling.InvalidCall as error:
+            gateways = gateway_client.select_gateways(at, fleet, only)
+        except gateway_client.InvalidCall as error:
             raise CommandError(USAGE_ERROR, str(error)) from None
-        answers = calling.call_all(gateways, f"{operation} {host}".strip(), within)
+        answers = gateway_client.call_all(gateways, f"{operation} {host}".strip(), within)
         for answer in answers:
             click.echo(json.dumps(answer.fields()) if as_json else str(answer))
         if any(answer.reply is None for answer in answers):
@@ -121,12 +121,12 @@
     """
     import time
 
-    from . import calling
+    from . import gateway_client
     from . import membership_views as views
 
     try:
-        gateways = calling.select_gateways(at, fleet, only)
-    except calling.InvalidCall as error:
+        gateways = gateway_client.select_gateways(at, fleet, only)
+    except gateway_client.InvalidCall as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     while True:
         member_views = views.gather(gateways, within)
@@ -169,11 +169,11 @@
 
     Exit code 0 served, 3 refused, 4 failed, 1 not reached or not answered in time.
     """
-    from . import calling
+    from . import gateway_client
 
     try:
-        result = calling.request(gateway, **request)
-    except calling.InvalidCall as error:
+        result = gateway_client.request(gateway, **request)
+    except gateway_client.InvalidCall as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     click.echo(json.dumps(result.fields()) if as_json else str(result))
     sys.exit({"served": SUCCESS, "refused": REFUSED, "failed": FAILED}.get(result.outcome, NOT_POSSIBLE))
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -33,7 +33,7 @@
 from lab.hosts import Host, Machine
 from lab.registration import Registration
 
-from . import calling
+from . import gateway_client
 from .fault_injection import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
@@ -206,7 +206,7 @@
     controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
 
     async def all_ready() -> bool:
-        answers = await calling.call_each(controls, "HEALTH", 1.0)
+        answers = await gateway_client.call_each(controls, "HEALTH", 1.0)
         return all(answer.accepted for answer in answers)
 
     await _wait_until_ready(fleet, all_ready, "the gateways")
@@ -235,7 +235,7 @@
 async def poll_health(fleet: Fleet) -> None:
     """Updates the gateways' health, which is shown when a fault is injected."""
     controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
-    answers = await calling.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
+    answers = await gateway_client.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
     fleet.health = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
 
 
--- a/birchdrum/membership_views.py
+++ b/birchdrum/membership_views.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from . import calling
+from . import gateway_client
 
 STATE_SYMBOLS = {"alive": "+", "suspect": "?", "gone": "x", "left": "-", "unknown": "."}
 
@@ -73,11 +73,11 @@
         return lines + (self.disagreements or (["all hold the same"] if self.tables else []))
 
 
-def gather(gateways: dict[str, calling.HostPort], timeout: float) -> MembershipViews:
+def gather(gateways: dict[str, gateway_client.HostPort], timeout: float) -> MembershipViews:
     """Requests the tables of all gateways concurrently."""
     tables = {}
     missing = {}
-    for answer in calling.call_all(gateways, "MEMBERS", timeout):
+    for answer in gateway_client.call_all(gateways, "MEMBERS", timeout):
         if answer.accepted and answer.reply:
             tables[answer.name] = json.loads(answer.reply.removeprefix("done "))
         else:
