--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -16,7 +16,7 @@
 
 
 def check(raw: dict[str, Any]) -> tuple[Config | None, list[Violation]]:
-    """Returns the typed configuration and no errors, or None and all errors."""
+    """Return the typed configuration and no errors, or None and all errors."""
     config, errors = validate(raw, Config)
     if config is None:
         return None, errors
@@ -25,7 +25,7 @@
 
 
 def check_relations(config: Config) -> Iterator[Violation]:
-    """Yields an error for each value that conflicts with another one or is out of range."""
+    """Yield an error for each value that conflicts with another one or is out of range."""
     yield from _check_fleet(config)
     yield from _check_zone(config)
     yield from _check_limits(config)
--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -37,7 +37,7 @@
     name = "duration"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """Returns the duration in seconds."""
+        """Return the duration in seconds."""
         from ops.units import Duration
 
         if isinstance(value, float):
@@ -54,7 +54,7 @@
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """Returns the host and the port."""
+        """Return the host and the port."""
         from ops.units import Address
 
         if isinstance(value, tuple):
--- a/birchdrum/commands_control.py
+++ b/birchdrum/commands_control.py
@@ -24,7 +24,7 @@
 
 
 def gateway_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds the options that select the gateways to call."""
+    """Add the options that select the gateways to call."""
     for option in reversed(
         (
             click.option(
--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -13,7 +13,7 @@
 
 
 def configuration_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds the argument for the configuration file and the options that override its keys."""
+    """Add the argument for the configuration file and the options that override its keys."""
     for option in reversed(
         (
             click.argument("file", required=False, type=FILE_PATH),
@@ -36,7 +36,7 @@
 
 
 def collect_overrides(sets: Sequence[str], **named_flags: str | None) -> dict[str, str]:
-    """Maps flags to configuration keys; raises CommandError if ``--set`` is malformed."""
+    """Map flags to configuration keys; raises CommandError if ``--set`` is malformed."""
     flags = {name.replace("log_", "log."): text for name, text in named_flags.items() if text is not None}
     for assignment in sets:
         key, separator, text = assignment.partition("=")
@@ -47,7 +47,7 @@
 
 
 def find_configuration_file(file: Path | None) -> Path:
-    """Returns the file given by argument or environment; raises CommandError unless there is exactly one."""
+    """Return the file given by argument or environment; raises CommandError unless there is exactly one."""
     import os
 
     candidates = {"FILE": str(file) if file else None}
@@ -66,7 +66,7 @@
 
 
 def load_configuration(file: Path, flags: dict[str, str]) -> Any:
-    """Loads the configuration; raises CommandError with all its errors."""
+    """Load the configuration; raises CommandError with all its errors."""
     from . import configuration
 
     try:
--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -87,7 +87,7 @@
 
 
 def _parse_seeds(text: str) -> list[int]:
-    """Parses numbers and ranges such as ``1-5,9``; raises CommandError."""
+    """Parse numbers and ranges such as ``1-5,9``; raises CommandError."""
     seeds: list[int] = []
     try:
         for segment in text.split(","):
--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -13,7 +13,7 @@
 
 
 def _registry_command(name: str, parser: argparse.ArgumentParser, description: str) -> click.Command:
-    """Builds a click command from an argument parser of ``python -m registry``, which checks the values."""
+    """Build a click command from an argument parser of ``python -m registry``, which checks the values."""
     params: list[click.Parameter] = []
     for action in parser._actions:
         if isinstance(action, argparse._HelpAction):
@@ -78,11 +78,11 @@
     """The list service's commands, built on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of the commands."""
+        """Return the names of the commands."""
         return ["serve", "agent", "backup"]
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Builds one command."""
+        """Build one command."""
         from registry.__main__ import build_parser
 
         parser = _subparsers(build_parser()).get(name)
--- a/birchdrum/compatibility.py
+++ b/birchdrum/compatibility.py
@@ -132,7 +132,7 @@
 
 
 def _struct_type(field_type: Any) -> type[msgspec.Struct] | None:
-    """Returns the struct type in a field's type, also where it is optional or the element of a list."""
+    """Return the struct type in a field's type, also where it is optional or the element of a list."""
     if isinstance(field_type, type) and issubclass(field_type, msgspec.Struct):
         return field_type
     if typing.get_origin(field_type) is typing.Annotated or typing.get_origin(field_type) in (
@@ -144,7 +144,7 @@
 
 
 def shared_keys(struct_type: type[msgspec.Struct] = Config, prefix: str = "") -> Iterator[str]:
-    """Yields the keys that need a rule: all but local keys and the names of list elements."""
+    """Yield the keys that need a rule: all but local keys and the names of list elements."""
     for name, hint in typing.get_type_hints(struct_type, include_extras=True).items():
         path = prefix + name
         nested_type = _struct_type(hint)
@@ -160,7 +160,7 @@
 
 
 def unmatched_keys(struct_type: type[msgspec.Struct] = Config) -> list[str]:
-    """Returns keys without a rule and rules without a key."""
+    """Return keys without a rule and rules without a key."""
     return sorted(set(shared_keys(struct_type)) ^ SHARED_KEYS.keys())
 
 
@@ -171,7 +171,7 @@
 
 
 def changes(old: Config, new: Config) -> list[Change]:
-    """Returns the differences in shared keys, in the order of ``SHARED_KEYS``."""
+    """Return the differences in shared keys, in the order of ``SHARED_KEYS``."""
     old_values = to_plain(old)
     new_values = to_plain(new)
     found_changes: list[Change] = []
@@ -186,7 +186,7 @@
 
 
 def _list_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
-    """Yields changed order, and added and removed elements, of a list whose elements have names."""
+    """Yield changed order, and added and removed elements, of a list whose elements have names."""
     rule, why = SHARED_KEYS[path]
     old_rows = _rows_by_name(old_values, path)
     new_rows = _rows_by_name(new_values, path)
@@ -200,7 +200,7 @@
 
 
 def _element_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
-    """Yields changes of one key in the elements that both configurations have."""
+    """Yield changes of one key in the elements that both configurations have."""
     rule, why = SHARED_KEYS[path]
     list_path, _, key = path.partition(".*.")
     old_rows = _rows_by_name(old_values, list_path)
@@ -213,7 +213,7 @@
 
 
 def _value_changes(path: str, old_values: dict[str, Any], new_values: dict[str, Any]) -> Iterator[Change]:
-    """Yields the change of a key outside lists, if there is one."""
+    """Yield the change of a key outside lists, if there is one."""
     rule, why = SHARED_KEYS[path]
     old_value = _value_at(old_values, path)
     new_value = _value_at(new_values, path)
@@ -222,7 +222,7 @@
 
 
 def strictest(found_changes: list[Change]) -> str:
-    """Returns the strictest rule among the changes; it applies to the new version as a whole."""
+    """Return the strictest rule among the changes; it applies to the new version as a whole."""
     return max((change.rule for change in found_changes), key=RULES.index, default=TOGETHER)
 
 
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -1,8 +1,8 @@
-"""Loads a gateway's configuration from a file, environment variables and command-line flags, in this order.
+"""Loads a gateway's configuration from a file, environment variables and command-line flags.
 
-The file is either TOML in birchdrum's format or JSON in the platform's format. Both are converted to the
-platform's format, which ``saffrongw.config`` parses, so that ``saffrongw`` has a single parser and does not
-depend on this package.
+Variables override the file, and flags override both. The file is either TOML in birchdrum's format or JSON in
+the platform's format. Both are converted to the platform's format, which ``saffrongw.config`` parses, so that
+``saffrongw`` has a single parser and does not depend on this package.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 ENVIRONMENT_PREFIX = "BIRCHDRUM_"
 RESERVED_VARIABLES = frozenset(
     {"BIRCHDRUM_CONFIG", "BIRCHDRUM_PYTHON", "BIRCHDRUM_WORKERS"}
-)  # no configuration keys
-MAX_FILE_BYTES = 16 * 1024 * 1024  # ten times a list of 10,000 hosts
+)  # not configuration keys
+MAX_FILE_BYTES = 16 * 1024 * 1024  # ten times the size of a file with 10,000 hosts
 
 
 class ConfigurationError(ValueError):
@@ -49,7 +49,7 @@
 
 
 def read_file(file: Path) -> tuple[dict[str, Any], bool]:
-    """Returns a file's values, and whether it is the platform's JSON; raises ConfigurationError."""
+    """Return a file's values, and whether it is the platform's JSON; raises ConfigurationError."""
     try:
         if file.is_dir():
             raise ConfigurationError([f"{file}: is a directory, expected a file"])
@@ -82,7 +82,7 @@
 
 
 def from_environment(environment: Mapping[str, str]) -> dict[str, str]:
-    """Maps each environment variable to the key that it sets; two underscores stand for a dot."""
+    """Map the name of each environment variable to the key that it sets; two underscores stand for a dot."""
     names = [
         name for name in environment if name.startswith(ENVIRONMENT_PREFIX) and name not in RESERVED_VARIABLES
     ]
@@ -92,7 +92,7 @@
 def load(
     file: Path, flags: Mapping[str, str] | None = None, environment: Mapping[str, str] | None = None
 ) -> LoadedConfiguration:
-    """Loads and checks the configuration; raises ConfigurationError with all errors.
+    """Load and check the configuration; raises ConfigurationError with all errors.
 
     ``flags`` maps keys to their values as text.
     """
@@ -130,7 +130,7 @@
 def _restore_platform_extras(
     config: Config, platform_values: dict[str, Any], overridden: set[str], file: Path
 ) -> Config:
-    """Adds what only the platform's file can express, except for keys that a flag or variable overrides."""
+    """Add what only the platform's file can express, except for keys that a flag or variable overrides."""
     unrestored = checking.check(convert.from_platform(platform_values))[0]
     base = config if unrestored is None else unrestored
     extras = convert.platform_extras(platform_values, convert.to_platform(to_plain(base)))
@@ -160,7 +160,7 @@
 
 
 def _override(values: dict[str, Any], key: str, text: UntypedText) -> None:
-    """Sets one key; list elements are addressed by index, as in ``plans.0.rate``."""
+    """Set one key; list elements are addressed by index, as in ``plans.0.rate``."""
     *parents, last = key.split(".")
     node: Any = values
     for segment in parents:
@@ -186,7 +186,7 @@
 
 
 def as_toml(loaded: LoadedConfiguration, all_keys: bool = False) -> str:
-    """Formats the configuration as a TOML file that loads to the same configuration.
+    """Format the configuration as a TOML file that loads to the same configuration.
 
     Keys that have their default are left out unless ``all_keys`` is set.
     """
@@ -198,7 +198,7 @@
 
 
 def _without_defaults(values: dict[str, Any], loaded: LoadedConfiguration) -> dict[str, Any]:
-    """Leaves out keys that have their default value."""
+    """Return the values without the keys that have their default."""
     config = loaded.config
     always_written = {"listen", "discovery", "classes", "plans"}
     minimal = Config(
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -133,7 +133,7 @@
 
 
 def get(node: Any, path: str, separator: str) -> Any:
-    """Returns the value at a path, or MISSING."""
+    """Return the value at a path, or MISSING."""
     for segment in path.split(separator):
         if not isinstance(node, dict) or segment not in node:
             return MISSING
@@ -142,7 +142,7 @@
 
 
 def put(node: Json, path: str, value: Any, separator: str) -> None:
-    """Sets the value at a path and creates the tables above it."""
+    """Set the value at a path and create the tables above it."""
     *parents, last = path.split(separator)
     for segment in parents:
         node = node.setdefault(segment, {})
@@ -165,7 +165,7 @@
 
 
 def to_platform(values: Json) -> Json:
-    """Converts a valid configuration, with durations and sizes as texts, to the platform's format."""
+    """Convert a valid configuration, with durations and sizes as texts, to the platform's format."""
     result: Json = {}
     for path, (platform_path, conversions) in FIELDS.items():
         value = get(values, path, ".")
@@ -196,7 +196,7 @@
 
 
 def from_platform(platform_values: Json) -> Json:
-    """Converts the platform's file to birchdrum's format, without the ``[platform]`` table.
+    """Convert the platform's file to birchdrum's format, without the ``[platform]`` table.
 
     ``platform_extras`` computes that table.
     """
@@ -220,7 +220,7 @@
 
 
 def platform_extras(platform_values: Json, round_trip: Json) -> Json:
-    """Computes the ``[platform]`` table that makes the round trip exact.
+    """Compute the ``[platform]`` table that makes the round trip exact.
 
     ``round_trip`` is the platform's file converted to birchdrum's format and back.
     """
@@ -240,7 +240,7 @@
 
 
 def _differences(expected: Any, actual: Any, parent_pointer: str) -> Iterator[tuple[str, Any]]:
-    """Yields JSON pointers of differing or missing values, and MISSING for keys that must be removed."""
+    """Yield JSON pointers of differing or missing values, and MISSING for keys that must be removed."""
     if isinstance(expected, dict) and isinstance(actual, dict):
         for key in [*expected, *(key for key in actual if key not in expected)]:
             pointer = f"{parent_pointer}/{key.replace('~', '~0').replace('/', '~1')}"
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -83,13 +83,13 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Splits ``HOST:PORT`` into host and port."""
+    """Split ``HOST:PORT`` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def gateway_toml(fleet: Fleet, rank: int) -> str:
-    """Returns the TOML configuration of one gateway."""
+    """Return the TOML configuration of one gateway."""
     this_gateway = fleet.gateways[rank]
     relay = fleet.fault.datagrams if fleet.fault else None
     peers = [
@@ -126,7 +126,7 @@
 
 
 def create_customers(count: int, gateways: int) -> list[Customer]:
-    """Creates customers of all plans and demands, their gateway sets spread round the fleet."""
+    """Create customers of all plans and demands, with gateway sets that cover the fleet evenly."""
     result = []
     for index in range(count):
         plan = list(PLANS)[index % len(PLANS)]
@@ -139,7 +139,7 @@
 async def start_fleet(
     folder: Path, gateways: int, hosts: int, count: int, seed: int, fault: FaultInjection | None
 ) -> Fleet:
-    """Starts the fleet, the list service first; raises DemoError."""
+    """Start the fleet, the list service first; raises DemoError."""
     free_ports = iter(ports.allocate(2 + 4 * gateways))
 
     def address() -> str:
@@ -233,7 +233,7 @@
 
 
 async def poll_health(fleet: Fleet) -> None:
-    """Updates the gateways' health, which is shown when a fault is injected."""
+    """Update the gateways' health, which is shown when a fault is injected."""
     controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
     answers = await gateway_client.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
     fleet.health = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
@@ -249,7 +249,7 @@
 
 
 async def check_processes(fleet: Fleet) -> None:
-    """Raises DemoError if a process has exited unexpectedly."""
+    """Raise DemoError if a process has exited unexpectedly."""
     expected = fleet.fault.expected_exits if fleet.fault else ()
     for child in fleet.children.exited():
         if child in expected:
@@ -258,7 +258,7 @@
 
 
 def _answers_http(address: str) -> bool:
-    """Whether an HTTP server answers at the address."""
+    """Return whether an HTTP server answers at the address."""
     try:
         _http_get(address, "/registry/instances")
     except (OSError, http.client.HTTPException):
@@ -278,7 +278,7 @@
 
 
 def refusals_by_cause(addresses: list[str]) -> Counter[str]:
-    """Counts refusals by cause over all gateways, from their metrics; skips gateways that don't answer."""
+    """Count refusals by cause from the metrics of all gateways, except those that don't answer."""
     causes: Counter[str] = Counter()
     for address in addresses:
         try:
@@ -293,7 +293,7 @@
 
 
 async def stop_fleet(fleet: Fleet) -> None:
-    """Stops clients, gateways, hosts and the list service, in this order."""
+    """Stop clients, gateways, hosts and the list service, in this order."""
     expires = time.monotonic() + SHUTDOWN_TIMEOUT
     if fleet.fault:
         await fleet.fault.stop()
@@ -315,7 +315,7 @@
 
 
 def summary(fleet: Fleet) -> dict[str, Any]:
-    """Returns the figures of the run so far, for the JSON output and the tables."""
+    """Return the figures of the run so far, for the JSON output and the tables."""
     clients = fleet.clients
     assert clients is not None
     elapsed = (fleet.stopped_at or time.monotonic()) - fleet.started_at
@@ -367,7 +367,7 @@
 
 
 def find_problems(figures: dict[str, Any]) -> list[str]:
-    """Lists the problems of a run; empty if there are none."""
+    """Return the problems of a run; empty if there are none."""
     total = figures["total"]
     problems = []
     if not total["served"] and total["sent"] >= MIN_SENT:
@@ -382,7 +382,7 @@
 
 
 def render(fleet: Fleet) -> Group:
-    """Renders the live table."""
+    """Render the live table."""
     figures = summary(fleet)
     total = figures["total"]
     customer_table = Table(
@@ -443,7 +443,7 @@
 
 
 def summary_lines(figures: dict[str, Any]) -> list[str]:
-    """Formats the summary as lines of text."""
+    """Format the summary as lines of text."""
     total = figures["total"]
     lines = [
         f"{figures['seconds']:.0f} s: "
@@ -540,7 +540,7 @@
     seed: int,
     trouble: str | None = None,
 ) -> int:
-    """Runs the demo until Ctrl-C or for ``span`` seconds; returns the exit code."""
+    """Run the demo until Ctrl-C or for ``span`` seconds and return the exit code."""
     with tempfile.TemporaryDirectory(prefix="birchdrum-demo-") as folder:
         try:
             return asyncio.run(_run(span, as_json, Path(folder), gateways, hosts, customers, seed, trouble))
--- a/birchdrum/fault_injection.py
+++ b/birchdrum/fault_injection.py
@@ -57,12 +57,12 @@
         return self.started_at > 0 and not self.ended_at
 
     def timing(self) -> tuple[float, float]:
-        """Returns the seconds from the start of the run to the fault, and the duration of the fault."""
+        """Return the seconds from the start of the run to the fault, and the duration of the fault."""
         longest = DURATION if self.run_seconds is None else self.run_seconds / RUN_DIVISOR
         return min(START_DELAY, longest), min(DURATION, longest)
 
     def create_relay(self, peers: dict[str, tuple[str, int]], seed: int) -> DatagramRelay:
-        """Creates the datagram relay that a cut needs; gateways must be configured with its addresses."""
+        """Create the datagram relay that a cut needs; gateways must be configured with its addresses."""
         self.links = Links(seed)
         self.datagrams = DatagramRelay(self.links, peers)
         return self.datagrams
@@ -70,7 +70,7 @@
     async def inject(
         self, gateway_name: str, child: Child, others: list[str], restart: Callable[[], Awaitable[Child]]
     ) -> None:
-        """Waits for the start time, injects the fault and removes it after its duration."""
+        """Wait for the start time, inject the fault and remove it after its duration."""
         self.gateway_name = gateway_name
         delay, duration = self.timing()
         await asyncio.sleep(delay)
@@ -102,7 +102,7 @@
         self.ended_at = time.monotonic()
 
     async def stop(self) -> None:
-        """Cancels the fault and closes the relay."""
+        """Cancel the fault and close the relay."""
         if self.task:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
@@ -110,7 +110,7 @@
             self.datagrams.close()
 
     def record_loss(self, rank: int, duration: float) -> None:
-        """Records that a client got no answer from this gateway for ``duration`` seconds."""
+        """Record that a client got no answer from this gateway for ``duration`` seconds."""
         now = time.monotonic()
         self.losses.append(Loss(now - duration, now, rank))
 
@@ -121,7 +121,7 @@
         return loss.gave_up_at >= self.started_at and loss.sent_at <= affected_until
 
     def summary(self, run_started_at: float) -> dict[str, Any]:
-        """Returns the figures for the demo's summary; times are relative to the start of the run."""
+        """Return the figures for the demo's summary; times are relative to the start of the run."""
         caused_by_fault = sum(map(self._is_caused_by_fault, self.losses))
         return {
             "what": self.kind,
@@ -136,7 +136,7 @@
 
 
 def describe(figures: dict[str, Any]) -> str:
-    """Describes the fault and the requests that it cost, in one line."""
+    """Describe the fault and the requests that it cost, in one line."""
     if figures["began_s"] is None:
         return f"the fault {figures['what']} did not start: increase --for"
     cause = {
--- a/birchdrum/gateway_client.py
+++ b/birchdrum/gateway_client.py
@@ -43,7 +43,7 @@
         return self.reply is not None and self.reply.startswith("done")
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         reached = self.reply is not None
         return {
             "gateway": self.name,
@@ -62,7 +62,7 @@
 def select_gateways(
     addresses: Sequence[HostPort], fleet: Path | None, only: Sequence[str]
 ) -> dict[str, HostPort]:
-    """Returns the names and addresses of the gateways to call; raises InvalidCall."""
+    """Return the names and addresses of the gateways to call; raises InvalidCall."""
     gateways = {"{}:{}".format(*address): address for address in addresses}
     if fleet is not None:
         listed = _read_fleet_file(fleet)
@@ -95,12 +95,12 @@
 
 
 def call_all(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
-    """Makes one control call to all gateways concurrently; returns their answers in order."""
+    """Make one control call to all gateways concurrently and return their answers in order."""
     return asyncio.run(call_each(gateways, line, timeout))
 
 
 async def call_each(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
-    """Like ``call_all``, for use in a running event loop."""
+    """Do the same as ``call_all``, in a running event loop."""
     return await asyncio.gather(
         *(_call_one(name, address, line, timeout) for name, address in gateways.items())
     )
@@ -141,7 +141,7 @@
     value: str
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         return {
             "outcome": self.outcome,
             "id": self.number,
@@ -166,7 +166,7 @@
     key: str | None,
     number: str | None,
 ) -> Result:
-    """Sends one request and waits for the answer; raises InvalidCall if the body file can't be read."""
+    """Send one request and wait for the answer; raises InvalidCall if the body file can't be read."""
     number = number or secrets.token_hex(8)
     command = protocol.request(
         kind,
--- a/birchdrum/membership_views.py
+++ b/birchdrum/membership_views.py
@@ -50,11 +50,11 @@
         return findings
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         return {"views": self.tables, "missing": self.missing, "disagreements": self.disagreements}
 
     def lines(self) -> list[str]:
-        """Formats a matrix with one row per gateway and one column per rank."""
+        """Format a matrix with one row per gateway and one column per rank."""
         lines = [f"{name}: {reason}" for name, reason in self.missing.items()]
         if self.tables:
             ranks = sorted({int(rank) for table in self.tables.values() for rank in table["members"]})
@@ -74,7 +74,7 @@
 
 
 def gather(gateways: dict[str, gateway_client.HostPort], timeout: float) -> MembershipViews:
-    """Requests the tables of all gateways concurrently."""
+    """Request the tables of all gateways concurrently."""
     tables = {}
     missing = {}
     for answer in gateway_client.call_all(gateways, "MEMBERS", timeout):
