--- a/ops/checking.py
+++ b/ops/checking.py
@@ -1,6 +1,6 @@
 """Conversion of decoded files to msgspec types, which reports all violations at once and not only the first.
 
-Used by the command line and the lab, never imported by ``run``.
+Used by the command line and the lab; ``python -m saffrongw`` doesn't import it.
 """
 
 from __future__ import annotations
--- a/ops/http.py
+++ b/ops/http.py
@@ -125,7 +125,7 @@
         self.timer = self.loop.call_later(delay, callback)
 
     def _on_request_timeout(self) -> None:
-        """The request was not complete within the timeout."""
+        """Answer an incomplete request with 408, or abort a connection that has sent nothing."""
         self.server.counts["closed_slow"] += 1
         if self.request_head or self.http.trailing_data[0]:
             self._reject_and_close(HTTPError(408, "timed out waiting for the complete request"))
@@ -266,12 +266,12 @@
             self._set_timer(LINGER_TIMEOUT, self.transport.abort)
 
     def pause_writing(self) -> None:
-        """The client reads too slowly: its next requests wait."""
+        """Defer the next requests of a client that reads too slowly, and limit how long it may pause."""
         self.writing_paused = True
         self.write_timer = self.loop.call_later(self.server.write_timeout, self._on_write_timeout)
 
     def resume_writing(self) -> None:
-        """The client has read enough to go on."""
+        """Continue with the deferred requests, as the client has read enough."""
         self.writing_paused = False
         if self.write_timer:
             self.write_timer.cancel()
@@ -283,7 +283,7 @@
         self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The client has half-closed: a pending response is still sent, but a watch is closed."""
+        """Handle a half-close: a pending response is still sent, but a long poll is closed."""
         self.input_closed = True
         return (
             self.response_pending and self.on_disconnect is None and self.http.our_state is h11.SEND_RESPONSE
--- a/ops/logs.py
+++ b/ops/logs.py
@@ -20,8 +20,8 @@
 FIELD_LENGTH_MAX = 400  # characters
 FORMATS = ("text", "json")
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-# A field that exempts an event with an interval of its own from the rate limit, as a flood of lines must not
-# suppress the periodic stats.
+# Field of an event that is exempt from the rate limit, as a flood of lines must not suppress the periodic
+# stats. It is not written to the log.
 UNLIMITED = "figures"
 
 Event = MutableMapping[str, Any]
@@ -128,7 +128,7 @@
     It may be called again to change them.
     """
     if form not in FORMATS or level not in LEVELS:
-        raise ValueError(f"log form is one of {', '.join(FORMATS)}, level one of {', '.join(LEVELS)}")
+        raise ValueError(f"log form must be one of {', '.join(FORMATS)}, level one of {', '.join(LEVELS)}")
     render: list[Any] = [structlog.processors.JSONRenderer()]
     if form == "text":
         order = ["timestamp", "level", "event"]
