--- a/registry/__main__.py
+++ b/registry/__main__.py
@@ -162,8 +162,8 @@
 
 def build_service(args: argparse.Namespace) -> Service:
     """Build the service that the options describe; raises StoreError."""
-    files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    connections = max(1, min(args.connections, files - RESERVED_DESCRIPTORS))
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    connections = max(1, min(args.connections, max_descriptors - RESERVED_DESCRIPTORS))
     if args.call == "agent":
         return Agent(connections, args.follow, args.keep)
     store = Store(args.store)
--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -4,14 +4,15 @@
 ``orchidlane/agreed.py`` is the gateway's side. A change has one of three rules:
 
     together  old and new values may be in force at the same time: effective immediately
-    within    they may for a bounded time: effective once every holder can apply the new version; a holder
-              that has not been notified by then has an expired lease
-    never     they may not: each holder first reports that it is prepared, and from then on acts by neither;
-              effective once every holder is prepared, has left, or must have an expired lease
-
-A holder measures its lease from sending its query, on a clock that may be slow by ``DRIFT``. The source
-measures it from sending the answer and adds the same margin, so a lease that has expired at the source has
-also expired at the holder.
+    within    they may for a bounded time: effective once every holder has reported that it can apply the new
+              version (it is prepared), has left, or must have an expired lease; a holder acts by the old
+              version until its next answer, or until its lease expires
+    never     they may not: effective under the same condition, but a prepared holder acts by neither version
+              until the new one is in effect
+
+A holder measures its lease from sending its query, and shortens it by ``DRIFT`` in case its clock is slow.
+The source measures it from sending the answer and extends it by ``DRIFT``, so a lease that has expired at the
+source has also expired at the holder.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 MS = 1_000  # microseconds
 DRIFT = 0.001  # the greatest relative error of a clock's rate
 LEASE_MS = 3_000
-PARKS_PER_LEASE = 3  # a query is parked for at most this fraction of a lease (long poll)
+LONG_POLLS_PER_LEASE = 3  # a query is parked (long poll) for at most a third of a lease
 TOGETHER, WITHIN, NEVER = "together", "within", "never"
 RULES = (TOGETHER, WITHIN, NEVER)
 
@@ -67,7 +68,7 @@
 
 
 class Source:
-    """The coordinator that assigns versions and grants leases on them."""
+    """The coordinator that puts proposed versions into effect and grants leases on them."""
 
     def __init__(
         self, now: int, state: PersistedState, lease_ms: int = LEASE_MS, restored: bool = False
@@ -94,10 +95,10 @@
         version is pending, and for a version that is not newer.
         """
         if self.state.pending:
-            raise Conflict(f"version {self.state.pending} is still on its way: withdraw it, or wait")
+            raise Conflict(f"version {self.state.pending} is still pending: withdraw it, or wait")
         if version <= max(self.state.version, self.state.last):
             raise Conflict(
-                f"version {max(self.state.version, self.state.last)} was there already: propose a greater one"
+                f"version {max(self.state.version, self.state.last)} was already proposed: use a greater one"
             )
         self.proposed_at = now
         if rule == TOGETHER:
@@ -115,7 +116,7 @@
         """Handle a holder's query and return the answer, or None if it is parked until ``due_answers``."""
         key = query["holder"], query["life"]
         holder = self.holders.setdefault(key, HolderState(now))
-        if query["asked"] > holder.last_query:  # otherwise a reordered older query
+        if query["asked"] > holder.last_query:  # else the query is older and was reordered
             holder.last_query, holder.version = query["asked"], query["version"]
             holder.prepared, holder.refused = query["prepared"], query["refused"]
         self.advance(now)
@@ -136,7 +137,7 @@
             if holder.parked_since is not None
             and (
                 holder.answered_state != self.state
-                or now - holder.parked_since >= self.lease_us // PARKS_PER_LEASE
+                or now - holder.parked_since >= self.lease_us // LONG_POLLS_PER_LEASE
             )
         ]
 
--- a/registry/entries.py
+++ b/registry/entries.py
@@ -19,7 +19,7 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
 MAX_BLOCK = 2**31 - 1
 MAX_SHARE = 1_000.0
-MIN_LEASE_MS, MAX_LEASE_MS = 1_000, 86_400_000  # milliseconds
+MIN_LEASE_MS, MAX_LEASE_MS = 1_000, 86_400_000
 
 
 @dataclass(frozen=True)
@@ -27,13 +27,13 @@
     """One host, with the fields that the discovery protocol defines."""
 
     host: str
-    dial: str
-    site: str
+    dial: str  # the address that gateways connect to
+    site: str  # its zone
     kind: str  # its class
-    block: int
+    block: int  # its cell
     health: str
-    share: float
-    born_ms: int
+    share: float  # relative capacity
+    born_ms: int  # when its process started, in milliseconds of Unix time
 
     @cached_property
     def json_text(self) -> str:
@@ -183,7 +183,7 @@
     if type(raw["whole"]) is not bool or not isinstance(raw["hosts"], list):
         raise Invalid("whole must be a boolean and hosts a list")
     states = (SERVING, DRAINING) if raw["whole"] else STATES
-    entries = tuple(parse_entry(line, states) for line in raw["hosts"])
+    entries = tuple(parse_entry(raw_entry, states) for raw_entry in raw["hosts"])
     if raw["whole"] and len({entry.host for entry in entries}) != len(entries):
         raise Invalid("full list contains a host twice")
     return ListUpdate(life, parse_integer(raw["seq"], "seq"), raw["whole"], entries)
--- a/registry/leases.py
+++ b/registry/leases.py
@@ -10,9 +10,11 @@
 from collections.abc import Callable, Collection
 
 CHECK_INTERVAL = 0.25  # seconds between two checks for expired leases
-LATE_FRACTION = 0.75  # of a lease without renewal: such hosts count as late once another lease has expired
-DEFAULT_HOLD_SHARE = 0.2  # of all hosts: the most that are removed without an operator's confirmation
-HOLD_WINDOW = 60.0  # seconds: the removals that count against the share
+LATE_FRACTION = (
+    0.75  # of a lease without renewal: once a lease has expired, such hosts count against the share
+)
+DEFAULT_HOLD_SHARE = 0.2  # of all hosts: at most so many are removed in HOLD_WINDOW without an operator
+HOLD_WINDOW = 60.0  # seconds for which a removal counts against the share
 
 
 class Leases:
@@ -23,8 +25,8 @@
         self.last_check = clock()
         self.running_time = 0.0  # seconds that this service has been running
         self.renewals: dict[str, tuple[float, float]] = {}  # last renewal in running time, lease in seconds
-        self.expiring: set[str] = set()  # removal is queued
-        self.removal_times: deque[float] = deque()  # when leases expired within HOLD_WINDOW
+        self.expiring: set[str] = set()  # hosts whose removal is queued
+        self.removal_times: deque[float] = deque()  # of the last HOLD_WINDOW, in running time
         self.held: frozenset[str] = frozenset()  # expired but kept, because too many expired at once
 
     def renew(self, host: str, lease_ms: int) -> None:
--- a/registry/ledger.py
+++ b/registry/ledger.py
@@ -22,7 +22,7 @@
         self.max_changes = max_changes
         self.life = self.seq = 0
         self.records: dict[str, Record] = {}
-        self.removed: dict[str, tuple[int, Entry]] = {}  # by a retained change, with its seq
+        self.removed: dict[str, tuple[int, Entry]] = {}  # hosts removed by a retained change, with its seq
         self.seqs: list[int] = []  # sequence numbers of the retained changes, ascending
         self.changes: list[tuple[Entry, ...]] = []  # parallel to seqs
         self.bodies_built = 0
@@ -31,7 +31,7 @@
     def load(
         self, life: int, records: Iterable[Record], log: Iterable[tuple[int, tuple[Entry, ...]]]
     ) -> None:
-        """Replace the content by what a store or file contains."""
+        """Replace the content by these records and the change log."""
         self.life, self._body_cache = life, {}
         self.records = {record.entry.host: record for record in records}
         log = list(log)
--- a/registry/metrics.py
+++ b/registry/metrics.py
@@ -15,10 +15,10 @@
     """The part of a primary, follower or agent that the metrics are read from."""
 
     def figures(self) -> dict[str, Any]:
-        """The values of ``GET /figures``."""
+        """Return the values of ``GET /figures``."""
 
     def health_problem(self) -> str | None:
-        """Why ``GET /health`` fails, or None if it succeeds."""
+        """Return why ``GET /health`` fails, or None if it succeeds."""
 
 
 GAUGES = {
@@ -31,7 +31,7 @@
 
 
 def page(service: Service) -> MetricsPage:
-    """The metrics page of a primary, follower or agent."""
+    """Return the metrics page of a primary, follower or agent."""
     return MetricsPage(lambda: families(service))
 
 
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -40,7 +40,7 @@
 
 MAX_BATCH = 256  # writes per transaction
 MAX_QUEUED_WRITES = 4_096
-MAX_CLOCK_AHEAD_MS = 86_400_000  # by which a host's clock may be ahead of this one
+MAX_CLOCK_AHEAD_MS = 86_400_000  # one day: by which a host's clock may be ahead of this one
 
 
 def now_us() -> int:
@@ -140,7 +140,8 @@
     async def on_start(self) -> None:
         """Load the store and commit a sequence number of this start.
 
-        After a restore, numbers assigned after the backup was made are thus never taken for known ones.
+        After a restore from a backup, a number that was assigned after the backup is thus unknown to this
+        list, and a reader that has it gets the full list.
         """
         role = self.store.load(self.ledger)
         if role != PRIMARY and not self.promote:
@@ -153,6 +154,7 @@
                 h: Record(r.entry, seq, r.lease_ms or self.default_lease_ms)
                 for h, r in self.ledger.records.items()
             }
+        # A life is the sequence number of the list's creation, which is a time in microseconds.
         age = (now_us() - life) / 1e6 if self.ledger.life else 0.0
         if role == PRIMARY and 0 <= age < self.settle:
             self.readable_at = asyncio.get_running_loop().time() + self.settle - age
@@ -247,16 +249,20 @@
 
         def register(draft: Draft, seq: int) -> tuple[Entry, Record]:
             if draft.get(host):
-                started = draft.check_version(host, version).entry.born_ms
+                known_born_ms = draft.check_version(host, version).entry.born_ms
             else:
-                removed_version, started = draft.last_removal(host)
+                removed_version, known_born_ms = draft.last_removal(host)
                 if removed_version != version:
                     raise HTTPError(409, "version conflict: the host was removed", version=removed_version)
                 if draft.host_count >= self.max_hosts:
                     raise HTTPError(403, f"the list is full: {self.max_hosts} hosts")
-            if requested_born_ms is not None and requested_born_ms < started:
-                raise HTTPError(409, "a later start of this host is known", version=version, born_ms=started)
-            born_ms = max(now_us() // 1_000, started + 1) if requested_born_ms is None else requested_born_ms
+            if requested_born_ms is not None and requested_born_ms < known_born_ms:
+                raise HTTPError(
+                    409, "a later start of this host is known", version=version, born_ms=known_born_ms
+                )
+            born_ms = (
+                max(now_us() // 1_000, known_born_ms + 1) if requested_born_ms is None else requested_born_ms
+            )
             registered = replace(entry, born_ms=born_ms)
             return registered, Record(registered, seq, lease_ms)
 
--- a/registry/rendezvous.py
+++ b/registry/rendezvous.py
@@ -16,7 +16,7 @@
 
 MAX_ANNOUNCEMENTS = 4_096  # over all clusters; also bounds a response, to about 300 KB
 MAX_RANK = 65_535
-MAX_LEASE_MS = 300_000  # milliseconds
+MAX_ANNOUNCEMENT_LEASE_MS = 300_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,31 +48,35 @@
         parse_address(raw["dial"])
         rank = parse_integer(raw["rank"], "rank", maximum=MAX_RANK)
         life = parse_integer(raw["life"], "life", 1)
-        lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_LEASE_MS)
-        now, at = self.clock(), (cluster, rank)
-        current = self.announcements.get(at)
-        is_predecessor = current is not None and current.expires_at > now and current.life > life
-        if not is_predecessor:
+        lease_ms = parse_integer(raw["lease_ms"], "lease_ms", MIN_LEASE_MS, MAX_ANNOUNCEMENT_LEASE_MS)
+        now, key = self.clock(), (cluster, rank)
+        current = self.announcements.get(key)
+        is_older_process = current is not None and current.expires_at > now and current.life > life
+        if not is_older_process:
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 self._remove_expired(now)
             if current is None and len(self.announcements) >= MAX_ANNOUNCEMENTS:
                 raise HTTPError(403, f"the table is full: {MAX_ANNOUNCEMENTS} gateways")
-            self.announcements[at] = Announcement(rank, life, raw["dial"], now, now + lease_ms / 1_000)
-        # Of two processes with one rank, the predecessor also receives its successor's address, and yields.
+            self.announcements[key] = Announcement(rank, life, raw["dial"], now, now + lease_ms / 1_000)
+        # Of two processes with one rank, the older also receives the address of the newer one, and yields.
         others = [
             announcement
-            for (of_cluster, other_rank), announcement in self.announcements.items()
-            if of_cluster == cluster
+            for (other_cluster, other_rank), announcement in self.announcements.items()
+            if other_cluster == cluster
             and announcement.expires_at > now
-            and (other_rank != rank or is_predecessor)
+            and (other_rank != rank or is_older_process)
         ]
         ordered = sorted(
             others,
             key=lambda announcement: (announcement.rank == rank, announcement.announced_at),
             reverse=True,
         )
-        return {"gateways": [{"rank": s.rank, "life": s.life, "dial": s.dial} for s in ordered]}
+        return {
+            "gateways": [{"rank": other.rank, "life": other.life, "dial": other.dial} for other in ordered]
+        }
 
     def _remove_expired(self, now: float) -> None:
-        for at in [at for at, announcement in self.announcements.items() if announcement.expires_at <= now]:
-            del self.announcements[at]
+        for key in [
+            key for key, announcement in self.announcements.items() if announcement.expires_at <= now
+        ]:
+            del self.announcements[key]
--- a/registry/replicas.py
+++ b/registry/replicas.py
@@ -17,7 +17,7 @@
 
 log = logs.get_logger(__name__)
 
-SAVE_INTERVAL = 1.0  # seconds between two writes of an agent's list file
+SAVE_INTERVAL = 1.0  # seconds between two writes of an agent's snapshot
 
 
 class Follower(StoredService):
@@ -86,23 +86,23 @@
 
     role = "agent"
 
-    def __init__(self, connections: int, services: list[Address], list_file: Path | None) -> None:
+    def __init__(self, connections: int, services: list[Address], snapshot_file: Path | None) -> None:
         super().__init__(connections)
         self.upstream = UpstreamWatch(services, self.ledger, self.apply_update)
-        self.list_file = list_file
+        self.snapshot_file = snapshot_file
         self.save_requested = asyncio.Event()
         self.disk = ThreadPoolExecutor(1)
 
     async def on_start(self) -> None:
-        """Load the list file, if there is a valid one."""
-        if self.list_file:
+        """Load the snapshot, if there is a valid one."""
+        if self.snapshot_file:
             try:
-                snapshot.load(self.list_file, self.ledger)
-                self.upstream.restore_age(self.list_file)
+                snapshot.load(self.snapshot_file, self.ledger)
+                self.upstream.restore_age(self.snapshot_file)
             except FileNotFoundError:
-                log.info("kept_list_missing", file=self.list_file)
+                log.info("kept_list_missing", file=self.snapshot_file)
             except (OSError, ValueError) as error:
-                log.warning("kept_list_unusable", file=self.list_file, error=error)
+                log.warning("kept_list_unusable", file=self.snapshot_file, error=error)
             self.spawn(self._save_loop())
         self.spawn(self.upstream.run())
 
@@ -121,10 +121,10 @@
 
     def _save_now(self, life: int, body: bytes) -> None:
         try:
-            snapshot.save(self.list_file, life, body)
+            snapshot.save(self.snapshot_file, life, body)
         except OSError as error:
             self.counts["not_kept"] += 1
-            log.warning("kept_list_not_written", file=self.list_file, error=error)
+            log.warning("kept_list_not_written", file=self.snapshot_file, error=error)
 
     async def _save_loop(self) -> None:
         while True:
@@ -137,6 +137,6 @@
 
     async def on_stop(self) -> None:
         """Save the last list."""
-        if self.list_file and self.save_requested.is_set():
+        if self.snapshot_file and self.save_requested.is_set():
             self._save_now(self.ledger.life, self.ledger.body(None))
         self.disk.shutdown()
--- a/registry/service.py
+++ b/registry/service.py
@@ -87,7 +87,7 @@
     def handle_gateway(self, connection: Connection, request: Request, cluster: str) -> None:
         """Handle a gateway's announcement; only a primary accepts these, so that all share one table."""
         primary = ":".join(map(str, self.upstream.services[0]))
-        raise HTTPError(421, f"gateways meet at the primary, {primary}", primary=primary)
+        raise HTTPError(421, f"announcements go to the primary, {primary}", primary=primary)
 
     def handle_operator(self, connection: Connection, request: Request) -> None:
         """Handle an operator's request."""
@@ -175,13 +175,13 @@
             self.stop.set()
 
     async def on_start(self) -> None:
-        """Called before the first reader is accepted."""
+        """Load the list and start the tasks of this role, before the first reader is accepted."""
 
     async def finish_writes(self) -> None:
-        """Called on shutdown to finish queued writes."""
+        """Finish the queued writes on shutdown."""
 
     async def on_stop(self) -> None:
-        """Called after the last connection is closed."""
+        """Release the resources of this role, after the last connection is closed."""
 
 
 class StoredService(Service):
--- a/registry/snapshot.py
+++ b/registry/snapshot.py
@@ -1,4 +1,4 @@
-"""The agent's list file, from which it restarts when no registry service can be reached."""
+"""The snapshot of an agent's list, from which it starts when no registry service can be reached."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def save(path: Path, life: int, body: bytes) -> None:
-    """Replace the file atomically with the full list."""
+    """Replace the snapshot file atomically with the full list."""
     head = hashlib.blake2b(b"%d\n%b" % (life, body), digest_size=16).hexdigest()
     new = Path(f"{path}.new")
     with new.open("wb") as file:
@@ -24,7 +24,7 @@
 
 
 def load(path: Path, ledger: Ledger) -> None:
-    """Load a list file; raises Invalid or OSError and then leaves the ledger unchanged."""
+    """Load a snapshot file; raises Invalid or OSError and then leaves the ledger unchanged."""
     head, _, body = path.read_bytes().partition(b"\n")
     expected, _, life = head.partition(b" ")
     if (
--- a/registry/store.py
+++ b/registry/store.py
@@ -70,7 +70,7 @@
     def create(self, role: str, life: int) -> None:
         """Create an empty store atomically: it is renamed into place once complete."""
         if self.path.exists():
-            raise StoreError(f"{self.path} is there already: start without --new, or move it away")
+            raise StoreError(f"{self.path} already exists: start without --new, or move it away")
         new = Path(f"{self.path}.new")
         for old in (new, Path(f"{new}-journal"), Path(f"{self.path}-journal")):
             old.unlink(missing_ok=True)  # left by an interrupted start, or by a store that was lost
@@ -107,7 +107,7 @@
         if about["format"] != str(FORMAT):
             raise Invalid(f"unsupported format {about['format']}")
         life, seq = int(about["life"]), int(about["seq"])
-        records = [self._record(host, value) for host, value in self._rows("hosts")]
+        records = [self._parse_record(host, value) for host, value in self._rows("hosts")]
         log = [(key, self._parse_changes(value)) for key, value in self._rows("log")]
         if (log[-1][0] if log else 0) != seq or any(record.version > seq for record in records):
             raise Invalid("inconsistent sequence numbers")
@@ -121,7 +121,7 @@
             yield key, value
 
     @staticmethod
-    def _record(host: str, value: str) -> Record:
+    def _parse_record(host: str, value: str) -> Record:
         raw = parse_json(value.encode())
         check_fields(raw, ("entry", "version", "lease"))
         record = Record(
@@ -143,7 +143,7 @@
         seq: int,
         changes: Iterable[tuple[int, tuple[Entry, ...]]],
         records: dict[str, Record | None],
-        kept: int,
+        max_changes: int,
         role: str | None = None,
         replace_all: bool = False,
     ) -> None:
@@ -168,7 +168,9 @@
                     self._put("hosts", host, value)
             for number, entries in changes:
                 self._put("log", number, f'{{"told":[{",".join(entry.json_text for entry in entries)}]}}')
-            last = db.execute("SELECT key FROM log ORDER BY key DESC LIMIT 1 OFFSET ?", (kept,)).fetchone()
+            last = db.execute(
+                "SELECT key FROM log ORDER BY key DESC LIMIT 1 OFFSET ?", (max_changes,)
+            ).fetchone()
             if last:
                 db.execute("DELETE FROM log WHERE key <= ?", last)
             self._put("about", "seq", str(seq))
@@ -197,7 +199,7 @@
     if not path.exists():
         raise StoreError(f"{path} does not exist")
     if to.exists():
-        raise StoreError(f"{to} is there already")
+        raise StoreError(f"{to} already exists")
     new = Path(f"{to}.new")
     new.unlink(missing_ok=True)
     source = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=5.0)
--- a/registry/upstream.py
+++ b/registry/upstream.py
@@ -23,7 +23,7 @@
 LIFE_HEADER = "Registry-Life"  # epoch of the list; sequence numbers are compared within the same life
 POLL_WAIT = 5.0  # seconds of a long poll; until it ends, a hung service looks like an idle one
 ANSWER_TIMEOUT = 2.0  # seconds on top of the long poll
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT = 1.0  # seconds
 MIN_BACKOFF, MAX_BACKOFF = 0.1, 5.0  # seconds, doubled each time all services have failed
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
@@ -108,7 +108,7 @@
         return asyncio.get_running_loop().time() - self.confirmed_at + self.confirmed_age
 
     def restore_age(self, file: Path) -> None:
-        """Take the age of a list that was loaded from ``file`` from the time of its last write."""
+        """Set the list's age from the modification time of the file that it was loaded from."""
         self.confirmed_at = asyncio.get_running_loop().time()
         self.confirmed_age = max(0.0, time.time() - file.stat().st_mtime)
 
--- a/registry/watch_endpoint.py
+++ b/registry/watch_endpoint.py
@@ -12,7 +12,7 @@
 from .upstream import LIFE_HEADER
 
 INSTANCES_PATH = ["registry", "instances"]
-MAX_WAIT_MS = 60_000  # milliseconds
+MAX_WAIT_MS = 60_000
 
 
 class WatchEndpoint:
@@ -22,9 +22,8 @@
         self, ledger: Ledger, age: Callable[[], float | None], unavailable_reason: Callable[[], str | None]
     ) -> None:
         self.ledger, self.age, self.unavailable_reason = ledger, age, unavailable_reason
-        self.watches: dict[
-            Connection, asyncio.TimerHandle
-        ] = {}  # long polls with their timers; all have the ledger's seq as index
+        # Long polls with their timers; all have the ledger's seq as index.
+        self.watches: dict[Connection, asyncio.TimerHandle] = {}
 
     def handle(self, connection: Connection, request: Request) -> None:
         """Handle ``GET /registry/instances`` with the optional parameters ``index`` and ``wait``."""
@@ -62,7 +61,7 @@
         self._answer(connection, self.ledger.seq)
 
     def notify(self, index: int) -> None:
-        """Answer all long polls, which have this index; on shutdown it is still the ledger's current seq."""
+        """Answer all long polls; their index is the seq before the change, or on shutdown the current one."""
         watches, self.watches = self.watches, {}
         for connection, timer in watches.items():
             timer.cancel()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule", "version", "message"), [(TOGETHER, 1, "was there"), (WITHIN, 3, "on its way")]
+    ("rule", "version", "message"), [(TOGETHER, 1, "was already proposed"), (WITHIN, 3, "is still pending")]
 )
 def test_a_second_proposal_and_a_version_that_is_not_newer_are_rejected(rule, version, message):
     source = make_source()
@@ -183,7 +183,7 @@
     with pytest.raises(Conflict, match=message):
         source.propose(T0, version, rule)
     source.withdraw()
-    with pytest.raises(Conflict, match="was there"):
+    with pytest.raises(Conflict, match="was already proposed"):
         source.propose(T0, 2 if rule == WITHIN else 1, NEVER)
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -224,5 +224,5 @@
         ]:
             assert (await call(primary.listen, method, target, announcement())).status == status
         misdirected = meeting.RendezvousClient(address(follower.listen), "valley", cores[0], lambda: 0)
-        with pytest.raises(ValueError, match="421: gateways meet at the primary"):
+        with pytest.raises(ValueError, match="421: announcements go to the primary"):
             await asyncio.wait_for(misdirected._announce(), 5)
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -194,9 +194,9 @@
         for number in range(60):
             await node.put(f"s-{number}")
         assert "is in use" in await registry.failed_start(*registry.service().arguments())
-        assert "is there already" not in await registry.failed_start(*registry.service().arguments("--new"))
+        assert "already exists" not in await registry.failed_start(*registry.service().arguments("--new"))
         await node.stop()
-        assert "is there already" in await registry.failed_start(*node.arguments("--new"))
+        assert "already exists" in await registry.failed_start(*node.arguments("--new"))
         assert "is a primary's" in await registry.failed_start(*node.arguments("--follow", "127.0.0.1:1"))
         raw = node.store.read_bytes()
         node.store.write_bytes(raw[: len(raw) // 2])
