--- a/birchdrum/cli.py
+++ b/birchdrum/cli.py
@@ -59,7 +59,7 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the summary as JSON, without the live table.")
 def demo(span: float | None, as_json: bool, trouble: str | None, **size: int) -> None:
-    """Run a small fleet on loopback: list service, gateways, simulated hosts, and clients with quotas.
+    """Run a small fleet on loopback: registry, gateways, simulated hosts, and clients with quotas.
 
     Shows a live table of the results that clients see, then a summary, and stops everything that it started.
     Exit code 0 if requests were served, none was lost and no process failed, else 1.
--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -1,7 +1,7 @@
-"""Shared by all commands: exit codes, which scripts rely on, parameter types, and the error that ends one.
+"""Exit codes, parameter types and the error class that all commands share.
 
-Exit codes: 0 success, 1 not possible here and now, 2 invalid call or configuration, 3 refused, 4 failed,
-130 interrupted by Ctrl-C. An error is reported as one line on standard error; an invalid configuration as
+Scripts rely on the exit codes: 0 success, 1 not possible here and now, 2 invalid call or configuration,
+3 refused, 4 failed, 130 interrupted by Ctrl-C. An error is reported as one line on standard error; an invalid configuration as
 one line for each problem.
 """
 
--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -36,7 +36,7 @@
     loaded = _load_scenario(str(file))
     rate = scenario.request_rate(loaded)
     click.echo(
-        f"{file}: {rate:.0f} first tries a second, hosts in use {scenario.host_utilization(loaded):.0%}"
+        f"{file}: {rate:.0f} first tries per second, host utilization {scenario.host_utilization(loaded):.0%}"
     )
 
 
@@ -70,19 +70,19 @@
     from lab import runs
 
     try:
-        plays = runs.plan_simulations(
+        simulations = runs.plan_simulations(
             _load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways
         )
     except runs.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     rule_broken = False
-    for play in plays:
-        result, cost = play.run()
-        rule_broken |= play.variant == "birchdrum" and bool(result["broken"])
+    for simulation in simulations:
+        result, cost = simulation.run()
+        rule_broken |= simulation.variant == "birchdrum" and bool(result["broken"])
         if as_json:
-            click.echo(json.dumps({"variant": play.variant, **result}, sort_keys=True))
+            click.echo(json.dumps({"variant": simulation.variant, **result}, sort_keys=True))
         else:
-            click.echo(runs.summary_line(play, result, cost))
+            click.echo(runs.summary_line(simulation, result, cost))
     sys.exit(NOT_POSSIBLE if rule_broken else SUCCESS)
 
 
@@ -145,15 +145,19 @@
             for scenario in map(_load_scenario, scenarios)
             for size in sizes or (None,)
         ]
-        plays = experiment.matrix(sized_scenarios, _parse_seeds(seeds), variants or ("birchdrum",), against)
+        planned_runs = experiment.matrix(
+            sized_scenarios, _parse_seeds(seeds), variants or ("birchdrum",), against
+        )
         console = Console(stderr=True)
         with Progress(console=console, transient=True, disable=not console.is_terminal) as progress:
-            task = progress.add_task("playing", total=len(plays))
+            task = progress.add_task("playing", total=len(planned_runs))
 
             def report_progress(done: int, total: int, what: str) -> None:
                 progress.update(task, completed=done, description=what)
 
-            outcome = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, report_progress))
+            outcome = asyncio.run(
+                experiment.run(planned_runs, out, workers or os.cpu_count() or 1, report_progress)
+            )
     except runs.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     except OSError as error:
@@ -161,7 +165,7 @@
     for row in experiment.differences(outcome):
         click.echo(str(row))
     if outcome.reused:
-        click.echo(f"{outcome.reused} of {len(plays)} plays were kept in {out}")
+        click.echo(f"{outcome.reused} of {len(planned_runs)} results were reused from {out}")
     if outcome.failures:
         raise CommandError(NOT_POSSIBLE, *outcome.failures)
 
@@ -203,7 +207,7 @@
 ) -> None:
     """Run real processes with the faults of SCHEDULES: files, or names of included ones.
 
-    Without SCHEDULES, lists the included ones. Starts gateways, list service, agents, hosts and clients on
+    Without SCHEDULES, lists the included ones. Starts gateways, registries, agents, hosts and clients on
     loopback with a relay between them, injects the faults, and checks the records written to --out, which are
     all that is left behind. Exit code 0 if no rule was broken, 4 if one was, 1 if the fleet could not run.
     """
@@ -287,18 +291,22 @@
     Exit code 0 if all invariants hold, 4 if one is violated; prints the faults that lead to it.
     """
     from lab import defects
-    from lab import model as states
+    from lab import model as model_checker
     from orchidlane.membership import Membership
 
-    if unknown := set(kinds) - set(states.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(states.KINDS)}")
+    if unknown := set(kinds) - set(model_checker.KINDS):
+        raise CommandError(
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(model_checker.KINDS)}"
+        )
     if defect is not None and defect not in defects.CORE_DEFECTS:
         raise CommandError(
             USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.CORE_DEFECTS)}"
         )
     core = defects.CORE_DEFECTS[defect] if defect else Membership
-    result = states.check(core, members, window, faults, kinds or states.KINDS)
-    click.echo(f"{result.states} states, {result.paths} paths, {result.revisited} of them known by then")
+    result = model_checker.check(core, members, window, faults, kinds or model_checker.KINDS)
+    click.echo(
+        f"{result.states} states, {result.paths} paths, {result.revisited} more that ended in a known state"
+    )
     for violation in result.violations:
         click.echo(f"BROKEN {violation}")
     sys.exit(FAILED if result.violations else SUCCESS)
@@ -403,16 +411,18 @@
     """
     import numpy as np
 
-    from lab import agreement as virtual
+    from lab import agreement as simulation
     from registry.agreement import NEVER, WITHIN
 
-    if unknown := set(kinds) - set(virtual.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(virtual.KINDS)}")
+    if unknown := set(kinds) - set(simulation.KINDS):
+        raise CommandError(
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(simulation.KINDS)}"
+        )
     rule_broken = False
-    for kind in kinds or virtual.KINDS:
+    for kind in kinds or simulation.KINDS:
         for seed in _parse_seeds(seeds):
             change_interval = 4.0 if kind == "calm" else 0.5  # seconds between two changes
-            world = virtual.World(size, seed, virtual.KINDS[kind], change_interval=change_interval)
+            world = simulation.World(size, seed, simulation.KINDS[kind], change_interval=change_interval)
             world.run(span)
             never_overlaps = len(world.overlaps(NEVER))
             longest = world.max_overlap_ratio(WITHIN)
@@ -420,13 +430,11 @@
             p50, p99 = np.percentile(world.propagation_times() or [0.0], [50, 99])
             lapsed = world.counts["lapsed"] / max(1, world.counts["decisions"])
             prefix = f"{kind:8} {size} gateways, seed {seed}: {world.counts['changes']} changes"
-            contradicted = (
-                f"{never_overlaps} that never may did, others for {longest:.2f} of the bound at most"
-            )
+            overlaps = f"{never_overlaps} under never, under within at most {longest:.2f} of the bound"
             propagation = f"p50 {p50:.3f} p99 {p99:.3f} s"
             click.echo(
-                f"{prefix}; contradicted: {contradicted}; with the last gateway after {propagation};"
-                f" {lapsed:.1%} of the decisions out of lease"
+                f"{prefix}; overlaps: {overlaps}; at the last gateway after {propagation};"
+                f" {lapsed:.1%} of the decisions without a lease"
             )
     sys.exit(FAILED if rule_broken else SUCCESS)
 
--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -1,4 +1,4 @@
-"""``birchdrum registry``: the list service, with the options of ``python -m registry``."""
+"""``birchdrum registry``: the host registry, with the options of ``python -m registry``."""
 
 from __future__ import annotations
 
@@ -52,13 +52,13 @@
 
 
 def _run_registry(arguments: Sequence[str]) -> None:
-    from registry import __main__ as service
+    from registry import __main__ as registry_main
 
-    parser = service.build_parser("birchdrum registry")
+    parser = registry_main.build_parser("birchdrum registry")
     parser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
     for subparser in _subparsers(parser).values():
         subparser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
-    code = service.main(arguments, parser)
+    code = registry_main.main(arguments, parser)
     if code:
         sys.exit(code)
 
@@ -75,7 +75,7 @@
 
 
 class Registry(click.Group):
-    """The list service's commands, built on demand."""
+    """The registry's commands, built on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of the commands."""
@@ -90,5 +90,5 @@
 
 
 registry = Registry(
-    "registry", help="Run the list service as primary, follower or agent, or back up its store."
+    "registry", help="Run the host registry as primary, follower or agent, or back up its store."
 )
--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -131,8 +131,8 @@
     config: Config, platform_values: dict[str, Any], overridden: set[str], file: Path
 ) -> Config:
     """Add what only the platform's file can express, except for keys that a flag or variable overrides."""
-    unrestored = checking.check(convert.from_platform(platform_values))[0]
-    base = config if unrestored is None else unrestored
+    file_config = checking.check(convert.from_platform(platform_values))[0]
+    base = config if file_config is None else file_config
     extras = convert.platform_extras(platform_values, convert.to_platform(to_plain(base)))
     overridden_paths = {"/" + convert.FIELDS[key][0] for key in overridden if key in convert.FIELDS}
     if "values" in extras:
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -1,6 +1,6 @@
 """Runs a small fleet on loopback.
 
-The list service and the gateways are processes; hosts and clients are simulated in this process.
+The registry and the gateways are processes; hosts and clients are simulated in this process.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
     folder: Path
     children: Children
     gateways: list[GatewayAddresses]
-    registry: tuple[str, str]  # its service address and its control address
+    registry: tuple[str, str]  # its address for readers and writers, and the one for operators
     hosts: list[Host] = field(default_factory=list)
     registrations: list[Registration] = field(default_factory=list)
     clients: Clients | None = None
@@ -137,9 +137,9 @@
 
 
 async def start_fleet(
-    folder: Path, gateways: int, hosts: int, count: int, seed: int, fault: FaultInjection | None
+    folder: Path, gateways: int, hosts: int, customers: int, seed: int, fault: FaultInjection | None
 ) -> Fleet:
-    """Start the fleet, the list service first; raises DemoError."""
+    """Start the fleet, the registry first; raises DemoError."""
     free_ports = iter(ports.allocate(2 + 4 * gateways))
 
     def address() -> str:
@@ -154,14 +154,14 @@
     if fault and fault.kind == "cut":
         fault.create_relay({gateway.name: parse_address(gateway.peer) for gateway in gateway_addresses}, seed)
     try:
-        await _start_components(fleet, hosts, count, seed)
+        await _start_components(fleet, hosts, customers, seed)
     except BaseException:
         await stop_fleet(fleet)
         raise
     return fleet
 
 
-async def _start_components(fleet: Fleet, hosts: int, count: int, seed: int) -> None:
+async def _start_components(fleet: Fleet, hosts: int, customers: int, seed: int) -> None:
     folder = fleet.folder
     children = fleet.children
     # Gateways must read only the files written here. With TMPDIR set, they would look for a predecessor
@@ -187,7 +187,7 @@
             Registration(service, host.name, dial, ZONES[index % len(ZONES)], block=index // 4)
         )
     await _wait_until_ready(
-        fleet, lambda: asyncio.to_thread(_answers_http, fleet.registry[0]), "the list service"
+        fleet, lambda: asyncio.to_thread(_answers_http, fleet.registry[0]), "the registry"
     )
     for registration in fleet.registrations:
         if not await registration.register():
@@ -210,9 +210,9 @@
         return all(answer.accepted for answer in answers)
 
     await _wait_until_ready(fleet, all_ready, "the gateways")
-    front = LoadBalancer([parse_address(gateway.listen) for gateway in fleet.gateways])
+    load_balancer = LoadBalancer([parse_address(gateway.listen) for gateway in fleet.gateways])
     fleet.clients = Clients(
-        front, create_customers(count, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
+        load_balancer, create_customers(customers, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
     )
     fleet.clients.start()
     fleet.started_at = time.monotonic()
@@ -293,7 +293,7 @@
 
 
 async def stop_fleet(fleet: Fleet) -> None:
-    """Stop clients, gateways, hosts and the list service, in this order."""
+    """Stop clients, gateways, hosts and the registry, in this order."""
     expires = time.monotonic() + SHUTDOWN_TIMEOUT
     if fleet.fault:
         await fleet.fault.stop()
@@ -321,18 +321,18 @@
     elapsed = (fleet.stopped_at or time.monotonic()) - fleet.started_at
     rows: list[dict[str, Any]] = []
     for customer in clients.customers:
-        account = clients.stats_by_customer[customer.number]
+        customer_stats = clients.stats_by_customer[customer.number]
         allowance = customer.quota * elapsed + customer.burst
-        latencies = sorted(account.latencies)
+        latencies = sorted(customer_stats.latencies)
         rows.append(
             {
                 "customer": f"{customer.number:016x}",
                 "plan": customer.plan,
-                "sent": account.sent,
-                **{name: account.outcomes[name] for name in ("served", "refused", "failed", "lost")},
+                "sent": customer_stats.sent,
+                **{name: customer_stats.outcomes[name] for name in ("served", "refused", "failed", "lost")},
                 "asked_of_quota": round(customer.rate * customer.units / customer.quota, 3),
-                "used_of_quota": round(account.units / allowance, 3),
-                "beyond_units": round(account.over_quota_units, 1),
+                "used_of_quota": round(customer_stats.units / allowance, 3),
+                "beyond_units": round(customer_stats.over_quota_units, 1),
                 "median_ms": round(1000 * latencies[len(latencies) // 2], 1) if latencies else None,
             }
         )
@@ -386,11 +386,11 @@
     figures = summary(fleet)
     total = figures["total"]
     customer_table = Table(
-        title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C ends it", title_justify="left"
+        title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C to stop", title_justify="left"
     )
     for name in ("customer", "plan", "sent", "served", "refused", "failed", "lost"):
         customer_table.add_column(name, justify="right" if name not in ("customer", "plan") else "left")
-    for name in ("asks of quota", "got of quota", "median ms"):
+    for name in ("asked of quota", "used of quota", "median ms"):
         customer_table.add_column(name, justify="right")
     for row in figures["customers"]:
         customer_table.add_row(
@@ -426,11 +426,11 @@
         customer_table,
         f"refused, as reported by the gateways: {causes}",
         host_table,
-        *_addresses(fleet),
+        *_usage_lines(fleet),
     )
 
 
-def _addresses(fleet: Fleet) -> list[str]:
+def _usage_lines(fleet: Fleet) -> list[str]:
     first = fleet.gateways[0]
     lines = [
         f"{gateway.name}: clients {gateway.listen}, operators {gateway.control}, metrics http://{gateway.metrics}/metrics"
@@ -458,8 +458,8 @@
             f"customer {row['customer']} ({row['plan']}): asked for {row['asked_of_quota']:.0%} of its quota,"
             f" got {row['used_of_quota']:.0%}; served {row['served']}, refused {row['refused']}"
         )
-    shares = ", ".join(f"{row['host']} {row['begun']}" for row in figures["hosts"])
-    lines.append(f"begun at hosts: {shares}")
+    begun = ", ".join(f"{row['host']} {row['begun']}" for row in figures["hosts"])
+    lines.append(f"requests begun by host: {begun}")
     return lines
 
 
@@ -493,7 +493,7 @@
     is_live = console.is_terminal and not as_json
     metrics = [gateway.metrics for gateway in fleet.gateways]
     if not is_live and not as_json:
-        print("\n".join(_addresses(fleet)), flush=True)
+        print("\n".join(_usage_lines(fleet)), flush=True)
     try:
         with (
             Live(console=console, auto_refresh=False, transient=True)
--- a/birchdrum/fault_injection.py
+++ b/birchdrum/fault_injection.py
@@ -145,5 +145,7 @@
         "cut": "a cut between gateways loses no requests: each one enforces its share of the quotas",
     }[figures["what"]]
     when = f"at {figures['began_s']:g} s, for {figures['lasted_s']:g} s, {figures['gateway']}"
-    lost = f"{figures['lost_by_it']} requests lost by it ({cause}), {figures['lost_besides']} besides"
+    lost = (
+        f"{figures['lost_by_it']} requests lost to it ({cause}), {figures['lost_besides']} for other reasons"
+    )
     return f"{when} {DESCRIPTIONS[figures['what']]}: {lost}"
--- a/birchdrum/gateway_client.py
+++ b/birchdrum/gateway_client.py
@@ -1,4 +1,4 @@
-"""Manual calls: a control call to several gateways at once, and a single client request."""
+"""A client of gateways: sends a control call to several of them at once, or a single client request."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One gateway's reply to a control call; None if there was none, ``failure`` then gives the reason."""
+    """A gateway's answer to a control call; without one, ``reply`` is None and ``failure`` the reason."""
 
     name: str
     address: HostPort
@@ -133,10 +133,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The result of one request; ``outcome`` is served, refused, failed, or nobody for no answer."""
+    """The result of one request; ``outcome`` is served, refused, failed, or nobody if no answer came."""
 
     outcome: str
-    number: str
+    request_id: str
     seconds: float
     value: str
 
@@ -144,7 +144,7 @@
         """Return the fields of the JSON output."""
         return {
             "outcome": self.outcome,
-            "id": self.number,
+            "id": self.request_id,
             "took_ms": round(self.seconds * 1e3, 3),
             "value": self.value,
         }
@@ -178,7 +178,7 @@
         first=first,
         spread=spread,
         key=key,
-        body=None if body is None else _body(body),
+        body=None if body is None else _read_body(body),
     )
     started = time.monotonic()
 
@@ -198,7 +198,7 @@
     return result(protocol.outcome(reply), text)
 
 
-def _body(text: str) -> bytes:
+def _read_body(text: str) -> bytes:
     if not text.startswith("@"):
         return text.encode()
     try:
--- a/birchdrum/membership_views.py
+++ b/birchdrum/membership_views.py
@@ -25,14 +25,14 @@
 
     @property
     def disagreements(self) -> list[str]:
-        """Lists differences between the tables, and problems that gateways report of their own view."""
+        """The differences between the tables, and problems that gateways report of their own view."""
         findings = []
         for name, table in self.tables.items():
             for key, text in (
                 ("yielded", "has yielded to another process under its rank"),
-                ("cut_off", "hears nobody"),
-                ("unheard", "is not heard by most of those that it hears"),
-                ("doubtful", "stood still and knows nothing fresh yet"),
+                ("cut_off", "receives from no other gateway"),
+                ("unheard", "does not reach most of the gateways that it receives from"),
+                ("doubtful", "was paused and has not received from enough gateways since"),
             ):
                 if table[key]:
                     findings.append(f"{name} {text}")
@@ -43,10 +43,13 @@
                 if table["rank"] != rank:
                     ranks_by_state.setdefault(_compared_state(table, rank), []).append(str(table["rank"]))
             if len(ranks_by_state) > 1:
-                parts = (f"{state} by {', '.join(ranks)}" for state, ranks in sorted(ranks_by_state.items()))
+                parts = (
+                    f"{state} according to {', '.join(ranks)}"
+                    for state, ranks in sorted(ranks_by_state.items())
+                )
                 findings.append(f"rank {rank}: {'; '.join(parts)}")
         links = sorted({tuple(link) for table in tables for link in table["links_down"]})
-        findings += [f"nothing passes from rank {source} to rank {target}" for source, target in links]
+        findings += [f"no messages pass from rank {source} to rank {target}" for source, target in links]
         return findings
 
     def fields(self) -> dict[str, Any]:
@@ -70,7 +73,7 @@
                 )
             legend = ", ".join(f"{symbol} {state}" for state, symbol in STATE_SYMBOLS.items())
             lines.append(f"@ itself, {legend}")
-        return lines + (self.disagreements or (["all hold the same"] if self.tables else []))
+        return lines + (self.disagreements or (["all views agree"] if self.tables else []))
 
 
 def gather(gateways: dict[str, gateway_client.HostPort], timeout: float) -> MembershipViews:
--- a/registry/leases.py
+++ b/registry/leases.py
@@ -10,9 +10,7 @@
 from collections.abc import Callable, Collection
 
 CHECK_INTERVAL = 0.25  # seconds between two checks for expired leases
-LATE_FRACTION = (
-    0.75  # of a lease without renewal: once a lease has expired, such hosts count against the share
-)
+LATE_FRACTION = 0.75  # of a lease without renewal: once a lease has expired, these hosts count as expiring
 DEFAULT_HOLD_SHARE = 0.2  # of all hosts: at most so many are removed in HOLD_WINDOW without an operator
 HOLD_WINDOW = 60.0  # seconds for which a removal counts against the share
 
