--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -1,8 +1,8 @@
 """Exit codes, parameter types and the error class that all commands share.
 
 Scripts rely on the exit codes: 0 success, 1 not possible here and now, 2 invalid call or configuration,
-3 refused, 4 failed, 130 interrupted by Ctrl-C. An error is reported as one line on standard error; an invalid configuration as
-one line for each problem.
+3 refused, 4 failed, 130 interrupted by Ctrl-C. An error is reported as one line on standard
+error, an invalid configuration as one line for each problem.
 """
 
 from __future__ import annotations
