--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -239,16 +239,16 @@
             raise CommandError(USAGE_ERROR, *error.lines) from None
 
     async def run_one(name: str, seed: int) -> bool:
-        results = out / f"{Path(name).stem}-{seed}"
-        verdict = await campaign.run(loaded[name], seed, results, module, None, before)
+        run_folder = out / f"{Path(name).stem}-{seed}"
+        verdict = await campaign.run(loaded[name], seed, run_folder, module, None, before)
         click.echo(
             json.dumps(verdict.fields()) if as_json else "\n".join(campaign.summary_lines(name, verdict))
         )
         if verdict.breaches and shrink:
 
             async def breaks_rule(faults: list[schedule.PlannedFault]) -> bool:
-                smaller = out / f"{results.name}-shrunk"
-                shrunk = await campaign.run(loaded[name], seed, smaller, module, faults, before)
+                shrunk_folder = out / f"{run_folder.name}-shrunk"
+                shrunk = await campaign.run(loaded[name], seed, shrunk_folder, module, faults, before)
                 return bool(shrunk.breaches)
 
             fewest = await campaign.shrink(verdict.faults, breaks_rule)
--- a/birchdrum/gateway_client.py
+++ b/birchdrum/gateway_client.py
@@ -125,6 +125,7 @@
 
 
 def _connection_failure(error: OSError) -> str:
+    """Describe a failed connection, without asyncio's text that repeats the address."""
     while error.errno is None and isinstance(error.__context__, OSError):
         error = error.__context__
     text = error.strerror or str(error)
--- a/birchdrum/membership_views.py
+++ b/birchdrum/membership_views.py
@@ -12,6 +12,7 @@
 
 
 def _compared_state(table: dict[str, Any], rank: int) -> str:
+    """Return a member's state for comparison: views may differ in whether a present member is suspected."""
     state = str(table["members"][str(rank)][0])
     return "here" if state in ("alive", "suspect") else state
 
--- a/ops/units.py
+++ b/ops/units.py
@@ -35,7 +35,7 @@
         return cls(f"{base}{next(iter(cls.UNITS))}")
 
     def __str__(self) -> str:
-        """Write it with the largest unit that gives a whole number."""
+        """Format the quantity in the largest unit that gives a whole number."""
         unit = max(
             (unit for unit, size in self.UNITS.items() if self.base % size == 0), key=self.UNITS.__getitem__
         )
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -112,7 +112,7 @@
         self.leases = Leases(time.monotonic, hold_share)
         self.rendezvous = Rendezvous(time.monotonic)
         self.max_hosts = max_hosts
-        self.settle = settle
+        self.settle = settle  # seconds after its creation during which a list can't be read
         self.default_lease_ms = default_lease_ms
         self.seq_above = seq_above
         self.promote = promote
@@ -149,6 +149,7 @@
         seq = self.next_seq(self.ledger.seq)
         life, records = self.ledger.life, {}
         if not life or role != PRIMARY:
+            # A new or promoted list starts a new life. A follower's store has no leases.
             life = seq
             records = {
                 h: Record(r.entry, seq, r.lease_ms or self.default_lease_ms)
--- a/registry/service.py
+++ b/registry/service.py
@@ -195,7 +195,11 @@
 
     def health_problem(self) -> str | None:
         """Report failing writes, which need an operator."""
-        return "writes fail: no room on disk" if self.write_failed else super().health_problem()
+        return (
+            "writes fail: the disk is full or the store is locked"
+            if self.write_failed
+            else super().health_problem()
+        )
 
     async def commit(self, *args: Any, **more: Any) -> None:
         """Run Store.write to completion, even if the caller is cancelled."""
