--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -1,4 +1,4 @@
-"""Leased agreement on settings versions: a new version takes effect only once no gateway can act by the old.
+"""Leased agreement on settings versions: gateways act by a version only while they hold a lease on it.
 
 The module does no I/O and reads no clock; callers pass microseconds of a monotonic clock.
 ``orchidlane/agreed.py`` is the gateway's side. A change has one of three rules:
--- a/registry/leases.py
+++ b/registry/leases.py
@@ -21,7 +21,7 @@
     def __init__(self, clock: Callable[[], float], share: float = DEFAULT_HOLD_SHARE) -> None:
         self.clock, self.hold_share = clock, share
         self.last_check = clock()
-        self.running_time = 0.0  # seconds that this service has been running
+        self.running_time = 0.0  # seconds that this process has run, without the time it was stopped
         self.renewals: dict[str, tuple[float, float]] = {}  # last renewal in running time, lease in seconds
         self.expiring: set[str] = set()  # hosts whose removal is queued
         self.removal_times: deque[float] = deque()  # of the last HOLD_WINDOW, in running time
--- a/registry/snapshot.py
+++ b/registry/snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot of an agent's list, from which it starts when no registry service can be reached."""
+"""The snapshot of an agent's list, which it serves after a start until a registry service answers."""
 
 from __future__ import annotations
 
