--- a/birchdrum/compatibility.py
+++ b/birchdrum/compatibility.py
@@ -122,7 +122,7 @@
 
     def __str__(self) -> str:
         if self.was is None or self.becomes is None:
-            what = "is added" if self.was is None else "is removed"
+            what = "comes in" if self.was is None else "goes"
             return f"{self.path} {what}: {self.rule}, {self.why}"
         return f"{self.path}: {_json_text(self.was)} -> {_json_text(self.becomes)}: {self.rule}, {self.why}"
 
