--- a/birchdrum/command.py
+++ b/birchdrum/command.py
@@ -1,8 +1,8 @@
-"""Shared by all commands: exit codes, which scripts rely on, parameter types, and the error that ends one.
+"""Exit codes, parameter types and the error class that all commands share.
 
-Exit codes: 0 success, 1 not possible here and now, 2 invalid call or configuration, 3 refused, 4 failed,
-130 interrupted by Ctrl-C. An error is reported as one line on standard error; an invalid configuration as
-one line for each problem.
+Scripts rely on the exit codes: 0 success, 1 not possible here and now, 2 invalid call or configuration,
+3 refused, 4 failed, 130 interrupted by Ctrl-C. An error is reported as one line on standard
+error, an invalid configuration as one line for each problem.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     name = "duration"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """Returns the duration in seconds."""
+        """Return the duration in seconds."""
         from ops.units import Duration
 
         if isinstance(value, float):
@@ -54,7 +54,7 @@
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """Returns the host and the port."""
+        """Return the host and the port."""
         from ops.units import Address
 
         if isinstance(value, tuple):
--- a/birchdrum/commands_registry.py
+++ b/birchdrum/commands_registry.py
@@ -1,4 +1,4 @@
-"""``birchdrum registry``: the list service, with the options of ``python -m registry``."""
+"""``birchdrum registry``: the host registry, with the options of ``python -m registry``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _registry_command(name: str, parser: argparse.ArgumentParser, description: str) -> click.Command:
-    """Builds a click command from an argument parser of ``python -m registry``, which checks the values."""
+    """Build a click command from an argument parser of ``python -m registry``, which checks the values."""
     params: list[click.Parameter] = []
     for action in parser._actions:
         if isinstance(action, argparse._HelpAction):
@@ -52,13 +52,13 @@
 
 
 def _run_registry(arguments: Sequence[str]) -> None:
-    from registry import __main__ as service
+    from registry import __main__ as registry_main
 
-    parser = service.build_parser("birchdrum registry")
+    parser = registry_main.build_parser("birchdrum registry")
     parser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
     for subparser in _subparsers(parser).values():
         subparser.error = _raise_usage_error  # type: ignore[method-assign, assignment]
-    code = service.main(arguments, parser)
+    code = registry_main.main(arguments, parser)
     if code:
         sys.exit(code)
 
@@ -75,14 +75,14 @@
 
 
 class Registry(click.Group):
-    """The list service's commands, built on demand."""
+    """The registry's commands, built on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of the commands."""
+        """Return the names of the commands."""
         return ["serve", "agent", "backup"]
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Builds one command."""
+        """Build one command."""
         from registry.__main__ import build_parser
 
         parser = _subparsers(build_parser()).get(name)
@@ -90,5 +90,5 @@
 
 
 registry = Registry(
-    "registry", help="Run the list service as primary, follower or agent, or back up its store."
+    "registry", help="Run the host registry as primary, follower or agent, or back up its store."
 )
--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -1,6 +1,6 @@
 """Runs a small fleet on loopback.
 
-The list service and the gateways are processes; hosts and clients are simulated in this process.
+The registry and the gateways are processes; hosts and clients are simulated in this process.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from lab.hosts import Host, Machine
 from lab.registration import Registration
 
-from . import calling
-from .trouble import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
+from . import gateway_client
+from .fault_injection import DESCRIPTIONS, VICTIM_RANK, FaultInjection, describe
 
 ZONES = ("building-a", "building-b")
 REQUEST_CLASSES = (RequestClass("reading", "repeatable", 2.0), RequestClass("order", "by_key", 3.0))
@@ -71,7 +71,7 @@
     folder: Path
     children: Children
     gateways: list[GatewayAddresses]
-    registry: tuple[str, str]  # its service address and its control address
+    registry: tuple[str, str]  # its address for readers and writers, and the one for operators
     hosts: list[Host] = field(default_factory=list)
     registrations: list[Registration] = field(default_factory=list)
     clients: Clients | None = None
@@ -83,13 +83,13 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Splits ``HOST:PORT`` into host and port."""
+    """Split ``HOST:PORT`` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def gateway_toml(fleet: Fleet, rank: int) -> str:
-    """Returns the TOML configuration of one gateway."""
+    """Return the TOML configuration of one gateway."""
     this_gateway = fleet.gateways[rank]
     relay = fleet.fault.datagrams if fleet.fault else None
     peers = [
@@ -126,7 +126,7 @@
 
 
 def create_customers(count: int, gateways: int) -> list[Customer]:
-    """Creates customers of all plans and demands, their gateway sets spread round the fleet."""
+    """Create customers of all plans and demands, with gateway sets that cover the fleet evenly."""
     result = []
     for index in range(count):
         plan = list(PLANS)[index % len(PLANS)]
@@ -137,9 +137,9 @@
 
 
 async def start_fleet(
-    folder: Path, gateways: int, hosts: int, count: int, seed: int, fault: FaultInjection | None
+    folder: Path, gateways: int, hosts: int, customers: int, seed: int, fault: FaultInjection | None
 ) -> Fleet:
-    """Starts the fleet, the list service first; raises DemoError."""
+    """Start the fleet, the registry first; raises DemoError."""
     free_ports = iter(ports.allocate(2 + 4 * gateways))
 
     def address() -> str:
@@ -154,14 +154,14 @@
     if fault and fault.kind == "cut":
         fault.create_relay({gateway.name: parse_address(gateway.peer) for gateway in gateway_addresses}, seed)
     try:
-        await _start_components(fleet, hosts, count, seed)
+        await _start_components(fleet, hosts, customers, seed)
     except BaseException:
         await stop_fleet(fleet)
         raise
     return fleet
 
 
-async def _start_components(fleet: Fleet, hosts: int, count: int, seed: int) -> None:
+async def _start_components(fleet: Fleet, hosts: int, customers: int, seed: int) -> None:
     folder = fleet.folder
     children = fleet.children
     # Gateways must read only the files written here. With TMPDIR set, they would look for a predecessor
@@ -187,7 +187,7 @@
             Registration(service, host.name, dial, ZONES[index % len(ZONES)], block=index // 4)
         )
     await _wait_until_ready(
-        fleet, lambda: asyncio.to_thread(_answers_http, fleet.registry[0]), "the list service"
+        fleet, lambda: asyncio.to_thread(_answers_http, fleet.registry[0]), "the registry"
     )
     for registration in fleet.registrations:
         if not await registration.register():
@@ -206,13 +206,13 @@
     controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
 
     async def all_ready() -> bool:
-        answers = await calling.call_each(controls, "HEALTH", 1.0)
+        answers = await gateway_client.call_each(controls, "HEALTH", 1.0)
         return all(answer.accepted for answer in answers)
 
     await _wait_until_ready(fleet, all_ready, "the gateways")
-    front = LoadBalancer([parse_address(gateway.listen) for gateway in fleet.gateways])
+    load_balancer = LoadBalancer([parse_address(gateway.listen) for gateway in fleet.gateways])
     fleet.clients = Clients(
-        front, create_customers(count, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
+        load_balancer, create_customers(customers, len(fleet.gateways)), REQUEST_CLASSES, seeds[hosts]
     )
     fleet.clients.start()
     fleet.started_at = time.monotonic()
@@ -233,9 +233,9 @@
 
 
 async def poll_health(fleet: Fleet) -> None:
-    """Updates the gateways' health, which is shown when a fault is injected."""
+    """Update the gateways' health, which is shown when a fault is injected."""
     controls = {gateway.name: parse_address(gateway.control) for gateway in fleet.gateways}
-    answers = await calling.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
+    answers = await gateway_client.call_each(controls, "HEALTH", REFRESH_INTERVAL / 2)
     fleet.health = [answer.reply or f"no answer: {answer.failure}" for answer in answers]
 
 
@@ -249,7 +249,7 @@
 
 
 async def check_processes(fleet: Fleet) -> None:
-    """Raises DemoError if a process has exited unexpectedly."""
+    """Raise DemoError if a process has exited unexpectedly."""
     expected = fleet.fault.expected_exits if fleet.fault else ()
     for child in fleet.children.exited():
         if child in expected:
@@ -258,7 +258,7 @@
 
 
 def _answers_http(address: str) -> bool:
-    """Whether an HTTP server answers at the address."""
+    """Return whether an HTTP server answers at the address."""
     try:
         _http_get(address, "/registry/instances")
     except (OSError, http.client.HTTPException):
@@ -278,7 +278,7 @@
 
 
 def refusals_by_cause(addresses: list[str]) -> Counter[str]:
-    """Counts refusals by cause over all gateways, from their metrics; skips gateways that don't answer."""
+    """Count refusals by cause from the metrics of all gateways, except those that don't answer."""
     causes: Counter[str] = Counter()
     for address in addresses:
         try:
@@ -293,7 +293,7 @@
 
 
 async def stop_fleet(fleet: Fleet) -> None:
-    """Stops clients, gateways, hosts and the list service, in this order."""
+    """Stop clients, gateways, hosts and the registry, in this order."""
     expires = time.monotonic() + SHUTDOWN_TIMEOUT
     if fleet.fault:
         await fleet.fault.stop()
@@ -315,24 +315,24 @@
 
 
 def summary(fleet: Fleet) -> dict[str, Any]:
-    """Returns the figures of the run so far, for the JSON output and the tables."""
+    """Return the figures of the run so far, for the JSON output and the tables."""
     clients = fleet.clients
     assert clients is not None
     elapsed = (fleet.stopped_at or time.monotonic()) - fleet.started_at
     rows: list[dict[str, Any]] = []
     for customer in clients.customers:
-        account = clients.stats_by_customer[customer.number]
+        customer_stats = clients.stats_by_customer[customer.number]
         allowance = customer.quota * elapsed + customer.burst
-        latencies = sorted(account.latencies)
+        latencies = sorted(customer_stats.latencies)
         rows.append(
             {
                 "customer": f"{customer.number:016x}",
                 "plan": customer.plan,
-                "sent": account.sent,
-                **{name: account.outcomes[name] for name in ("served", "refused", "failed", "lost")},
+                "sent": customer_stats.sent,
+                **{name: customer_stats.outcomes[name] for name in ("served", "refused", "failed", "lost")},
                 "asked_of_quota": round(customer.rate * customer.units / customer.quota, 3),
-                "used_of_quota": round(account.units / allowance, 3),
-                "beyond_units": round(account.over_quota_units, 1),
+                "used_of_quota": round(customer_stats.units / allowance, 3),
+                "beyond_units": round(customer_stats.over_quota_units, 1),
                 "median_ms": round(1000 * latencies[len(latencies) // 2], 1) if latencies else None,
             }
         )
@@ -367,7 +367,7 @@
 
 
 def find_problems(figures: dict[str, Any]) -> list[str]:
-    """Lists the problems of a run; empty if there are none."""
+    """Return the problems of a run; empty if there are none."""
     total = figures["total"]
     problems = []
     if not total["served"] and total["sent"] >= MIN_SENT:
@@ -382,15 +382,15 @@
 
 
 def render(fleet: Fleet) -> Group:
-    """Renders the live table."""
+    """Render the live table."""
     figures = summary(fleet)
     total = figures["total"]
     customer_table = Table(
-        title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C ends it", title_justify="left"
+        title=f"birchdrum demo, {figures['seconds']:.0f} s - Ctrl-C to stop", title_justify="left"
     )
     for name in ("customer", "plan", "sent", "served", "refused", "failed", "lost"):
         customer_table.add_column(name, justify="right" if name not in ("customer", "plan") else "left")
-    for name in ("asks of quota", "got of quota", "median ms"):
+    for name in ("asked of quota", "used of quota", "median ms"):
         customer_table.add_column(name, justify="right")
     for row in figures["customers"]:
         customer_table.add_row(
@@ -426,11 +426,11 @@
         customer_table,
         f"refused, as reported by the gateways: {causes}",
         host_table,
-        *_addresses(fleet),
+        *_usage_lines(fleet),
     )
 
 
-def _addresses(fleet: Fleet) -> list[str]:
+def _usage_lines(fleet: Fleet) -> list[str]:
     first = fleet.gateways[0]
     lines = [
         f"{gateway.name}: clients {gateway.listen}, operators {gateway.control}, metrics http://{gateway.metrics}/metrics"
@@ -443,7 +443,7 @@
 
 
 def summary_lines(figures: dict[str, Any]) -> list[str]:
-    """Formats the summary as lines of text."""
+    """Format the summary as lines of text."""
     total = figures["total"]
     lines = [
         f"{figures['seconds']:.0f} s: "
@@ -458,8 +458,8 @@
             f"customer {row['customer']} ({row['plan']}): asked for {row['asked_of_quota']:.0%} of its quota,"
             f" got {row['used_of_quota']:.0%}; served {row['served']}, refused {row['refused']}"
         )
-    shares = ", ".join(f"{row['host']} {row['begun']}" for row in figures["hosts"])
-    lines.append(f"begun at hosts: {shares}")
+    begun = ", ".join(f"{row['host']} {row['begun']}" for row in figures["hosts"])
+    lines.append(f"requests begun by host: {begun}")
     return lines
 
 
@@ -493,7 +493,7 @@
     is_live = console.is_terminal and not as_json
     metrics = [gateway.metrics for gateway in fleet.gateways]
     if not is_live and not as_json:
-        print("\n".join(_addresses(fleet)), flush=True)
+        print("\n".join(_usage_lines(fleet)), flush=True)
     try:
         with (
             Live(console=console, auto_refresh=False, transient=True)
@@ -540,7 +540,7 @@
     seed: int,
     trouble: str | None = None,
 ) -> int:
-    """Runs the demo until Ctrl-C or for ``span`` seconds; returns the exit code."""
+    """Run the demo until Ctrl-C or for ``span`` seconds and return the exit code."""
     with tempfile.TemporaryDirectory(prefix="birchdrum-demo-") as folder:
         try:
             return asyncio.run(_run(span, as_json, Path(folder), gateways, hosts, customers, seed, trouble))
--- a/birchdrum/calling.py
+++ b/birchdrum/gateway_client.py
@@ -1,4 +1,4 @@
-"""Manual calls: a control call to several gateways at once, and a single client request."""
+"""A client of gateways: sends a control call to several of them at once, or a single client request."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One gateway's reply to a control call; None if there was none, ``failure`` then gives the reason."""
+    """A gateway's answer to a control call; without one, ``reply`` is None and ``failure`` the reason."""
 
     name: str
     address: HostPort
@@ -43,7 +43,7 @@
         return self.reply is not None and self.reply.startswith("done")
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         reached = self.reply is not None
         return {
             "gateway": self.name,
@@ -62,7 +62,7 @@
 def select_gateways(
     addresses: Sequence[HostPort], fleet: Path | None, only: Sequence[str]
 ) -> dict[str, HostPort]:
-    """Returns the names and addresses of the gateways to call; raises InvalidCall."""
+    """Return the names and addresses of the gateways to call; raises InvalidCall."""
     gateways = {"{}:{}".format(*address): address for address in addresses}
     if fleet is not None:
         listed = _read_fleet_file(fleet)
@@ -95,12 +95,12 @@
 
 
 def call_all(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
-    """Makes one control call to all gateways concurrently; returns their answers in order."""
+    """Make one control call to all gateways concurrently and return their answers in order."""
     return asyncio.run(call_each(gateways, line, timeout))
 
 
 async def call_each(gateways: dict[str, HostPort], line: str, timeout: float) -> list[Answer]:
-    """Like ``call_all``, for use in a running event loop."""
+    """Do the same as ``call_all``, in a running event loop."""
     return await asyncio.gather(
         *(_call_one(name, address, line, timeout) for name, address in gateways.items())
     )
@@ -125,6 +125,7 @@
 
 
 def _connection_failure(error: OSError) -> str:
+    """Describe a failed connection, without asyncio's text that repeats the address."""
     while error.errno is None and isinstance(error.__context__, OSError):
         error = error.__context__
     text = error.strerror or str(error)
@@ -133,18 +134,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The result of one request; ``outcome`` is served, refused, failed, or nobody for no answer."""
+    """The result of one request; ``outcome`` is served, refused, failed, or nobody if no answer came."""
 
     outcome: str
-    number: str
+    request_id: str
     seconds: float
     value: str
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         return {
             "outcome": self.outcome,
-            "id": self.number,
+            "id": self.request_id,
             "took_ms": round(self.seconds * 1e3, 3),
             "value": self.value,
         }
@@ -166,7 +167,7 @@
     key: str | None,
     number: str | None,
 ) -> Result:
-    """Sends one request and waits for the answer; raises InvalidCall if the body file can't be read."""
+    """Send one request and wait for the answer; raises InvalidCall if the body file can't be read."""
     number = number or secrets.token_hex(8)
     command = protocol.request(
         kind,
@@ -178,7 +179,7 @@
         first=first,
         spread=spread,
         key=key,
-        body=None if body is None else _body(body),
+        body=None if body is None else _read_body(body),
     )
     started = time.monotonic()
 
@@ -198,7 +199,7 @@
     return result(protocol.outcome(reply), text)
 
 
-def _body(text: str) -> bytes:
+def _read_body(text: str) -> bytes:
     if not text.startswith("@"):
         return text.encode()
     try:
--- a/birchdrum/members.py
+++ b/birchdrum/membership_views.py
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from . import calling
+from . import gateway_client
 
 STATE_SYMBOLS = {"alive": "+", "suspect": "?", "gone": "x", "left": "-", "unknown": "."}
 
 
 def _compared_state(table: dict[str, Any], rank: int) -> str:
+    """Return a member's state for comparison: views may differ in whether a present member is suspected."""
     state = str(table["members"][str(rank)][0])
     return "here" if state in ("alive", "suspect") else state
 
@@ -25,14 +26,14 @@
 
     @property
     def disagreements(self) -> list[str]:
-        """Lists differences between the tables, and problems that gateways report of their own view."""
+        """The differences between the tables, and problems that gateways report of their own view."""
         findings = []
         for name, table in self.tables.items():
             for key, text in (
                 ("yielded", "has yielded to another process under its rank"),
-                ("cut_off", "hears nobody"),
-                ("unheard", "is not heard by most of those that it hears"),
-                ("doubtful", "stood still and knows nothing fresh yet"),
+                ("cut_off", "receives from no other gateway"),
+                ("unheard", "does not reach most of the gateways that it receives from"),
+                ("doubtful", "was paused and has not received from enough gateways since"),
             ):
                 if table[key]:
                     findings.append(f"{name} {text}")
@@ -43,18 +44,21 @@
                 if table["rank"] != rank:
                     ranks_by_state.setdefault(_compared_state(table, rank), []).append(str(table["rank"]))
             if len(ranks_by_state) > 1:
-                parts = (f"{state} by {', '.join(ranks)}" for state, ranks in sorted(ranks_by_state.items()))
+                parts = (
+                    f"{state} according to {', '.join(ranks)}"
+                    for state, ranks in sorted(ranks_by_state.items())
+                )
                 findings.append(f"rank {rank}: {'; '.join(parts)}")
         links = sorted({tuple(link) for table in tables for link in table["links_down"]})
-        findings += [f"nothing passes from rank {source} to rank {target}" for source, target in links]
+        findings += [f"no messages pass from rank {source} to rank {target}" for source, target in links]
         return findings
 
     def fields(self) -> dict[str, Any]:
-        """Returns the fields of the JSON output."""
+        """Return the fields of the JSON output."""
         return {"views": self.tables, "missing": self.missing, "disagreements": self.disagreements}
 
     def lines(self) -> list[str]:
-        """Formats a matrix with one row per gateway and one column per rank."""
+        """Format a matrix with one row per gateway and one column per rank."""
         lines = [f"{name}: {reason}" for name, reason in self.missing.items()]
         if self.tables:
             ranks = sorted({int(rank) for table in self.tables.values() for rank in table["members"]})
@@ -70,14 +74,14 @@
                 )
             legend = ", ".join(f"{symbol} {state}" for state, symbol in STATE_SYMBOLS.items())
             lines.append(f"@ itself, {legend}")
-        return lines + (self.disagreements or (["all hold the same"] if self.tables else []))
+        return lines + (self.disagreements or (["all views agree"] if self.tables else []))
 
 
-def gather(gateways: dict[str, calling.HostPort], timeout: float) -> MembershipViews:
-    """Requests the tables of all gateways concurrently."""
+def gather(gateways: dict[str, gateway_client.HostPort], timeout: float) -> MembershipViews:
+    """Request the tables of all gateways concurrently."""
     tables = {}
     missing = {}
-    for answer in calling.call_all(gateways, "MEMBERS", timeout):
+    for answer in gateway_client.call_all(gateways, "MEMBERS", timeout):
         if answer.accepted and answer.reply:
             tables[answer.name] = json.loads(answer.reply.removeprefix("done "))
         else:
