--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from listing import Registry, call
 
+from lab.address_discovery import Network
 from lab.defects import DoesNotPassOn, TakesHearsay, TakesSource
-from lab.placing import Network
 from ops.http import HTTPError, Invalid
 from orchidlane import member_messages as messages
 from registry import meeting as registry_meeting
