--- a/birchdrum/demo.py
+++ b/birchdrum/demo.py
@@ -28,7 +28,7 @@
 from rich.table import Table
 
 from lab import ports
-from lab.children import Child, Children
+from lab.child_processes import Child, Children
 from lab.clients import Clients, Customer, LoadBalancer, RequestClass
 from lab.hosts import Host, Machine
 from lab.registration import Registration
--- a/birchdrum/trouble.py
+++ b/birchdrum/trouble.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lab.children import Child
+from lab.child_processes import Child
 from lab.cluster.relay import DatagramRelay, Links
 from lab.cluster.schedule import PlannedFault
 
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -22,7 +22,7 @@
 import tomlkit
 
 from lab import ports
-from lab.children import Child, Children
+from lab.child_processes import Child, Children
 from lab.clients import Clients, Customer, LoadBalancer, RequestClass
 from lab.hosts import Host, Machine
 from lab.registration import Registration
