--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -15,10 +15,10 @@
 
 from .judge import TokenBucket
 from .node import DecisionModule
-from .virtual import Factory
+from .simulator import Factory
 
 if TYPE_CHECKING:
-    from .virtual import World
+    from .simulator import World
 
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.NOT_CONNECTED)
 RETRY_AFTER_MAX = 1_000_000
--- a/lab/node.py
+++ b/lab/node.py
@@ -18,7 +18,7 @@
 from .station import Station, Ticket
 
 if TYPE_CHECKING:
-    from .virtual import World
+    from .simulator import World
 
 IDLE_TIMEOUT_FRACTION = 0.6  # of the hosts' idle timeout; as in hosts.py
 CONNECT_TIMEOUT = 250_000  # microseconds
--- a/lab/runs.py
+++ b/lab/runs.py
@@ -11,7 +11,7 @@
 
 from .baselines import VARIANTS
 from .scenario import Scenario, consistency_errors
-from .virtual import World
+from .simulator import World
 
 
 class InvalidRunError(ValueError):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from command import refused, run
 from msgspec.structs import replace
 
-from lab import experiment, judge, runs, scenario, virtual
+from lab import experiment, judge, runs, scenario, simulator
 from lab.station import FAILED, FULL, LATE, SERVED, Machine, Station, Ticket
 from ops.checking import to_plain
 from ops.units import Duration
@@ -261,7 +261,7 @@
     once_kinds = [replace(kind, effect="once") for kind in SMALL.kinds]
     troubles = [trouble("drain-hosts", share=1.0)] if rule == "sent after a drain" else []
     small = replace(SMALL, kinds=once_kinds, troubles=troubles)
-    world = virtual.World(small, 1, lambda settings, seed, now, world: FaultyGateway(settings, world, rule))
+    world = simulator.World(small, 1, lambda settings, seed, now, world: FaultyGateway(settings, world, rule))
     result = world.run()
     assert set(result["broken"]) == {rule}
     breach = result["breaches"][0]
