--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -20,11 +20,11 @@
 @lab.command("list")
 def list_scenarios() -> None:
     """List the included scenarios and the variants that can be compared."""
-    from lab import runs, scenario
+    from lab import scenario, simulations
 
     for name, file in scenario.shipped().items():
         click.echo(f"{name:20} {scenario.load(file).about}")
-    click.echo(f"variants: {', '.join(runs.variants())}")
+    click.echo(f"variants: {', '.join(simulations.variants())}")
 
 
 @lab.command("check")
@@ -67,13 +67,13 @@
     A seed gives every variant the same arrivals, and always the same result, byte for byte. Exit code 0 if
     the gateway broke no rule, else 1.
     """
-    from lab import runs
+    from lab import simulations
 
     try:
-        plays = runs.plan_simulations(
+        plays = simulations.plan_simulations(
             _load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways
         )
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     rule_broken = False
     for play in plays:
@@ -82,7 +82,7 @@
         if as_json:
             click.echo(json.dumps({"variant": play.variant, **result}, sort_keys=True))
         else:
-            click.echo(runs.summary_line(play, result, cost))
+            click.echo(simulations.summary_line(play, result, cost))
     sys.exit(NOT_POSSIBLE if rule_broken else SUCCESS)
 
 
@@ -133,7 +133,7 @@
     from rich.progress import Progress
 
     try:
-        from lab import experiment, runs
+        from lab import experiment, simulations
     except ModuleNotFoundError as missing:
         raise CommandError(
             NOT_POSSIBLE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]"
@@ -141,7 +141,7 @@
 
     try:
         sized_scenarios = [
-            runs.with_gateways(scenario, size)
+            simulations.with_gateways(scenario, size)
             for scenario in map(_load_scenario, scenarios)
             for size in sizes or (None,)
         ]
@@ -154,7 +154,7 @@
                 progress.update(task, completed=done, description=what)
 
             outcome = asyncio.run(experiment.run(plays, out, workers or os.cpu_count() or 1, report_progress))
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     except OSError as error:
         raise CommandError(NOT_POSSIBLE, f"{out}: {(error.strerror or str(error)).lower()}") from None
@@ -170,11 +170,11 @@
 @click.argument("file", type=FILE_PATH)
 def play_again(file: Path) -> None:
     """Repeat the run of a stored result from its file alone; exit code 0 if it gives the same, else 1."""
-    from lab import experiment, runs
+    from lab import experiment, simulations
 
     try:
         identical, text = experiment.rerun_from_file(file)
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     click.echo(text)
     sys.exit(SUCCESS if identical else NOT_POSSIBLE)
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -24,8 +24,8 @@
 from ops.files import write_atomically
 
 from .baselines import VARIANTS
-from .runs import InvalidRunError
 from .scenario import Scenario
+from .simulations import InvalidRunError
 
 RESULT_FORMAT = 1
 REPOSITORY_ROOT = Path(__file__).parent.parent
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -14,7 +14,7 @@
 import orchidlane
 from ops.checking import validate
 
-from . import runs
+from . import simulations
 from .earlier_decisions import provide_current_names
 from .scenario import Scenario, consistency_errors
 
@@ -23,8 +23,8 @@
     """Run the simulation described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
     scenario, errors = validate(description["scenario"], Scenario)
     if scenario is None or (errors := list(consistency_errors(scenario))):
-        raise runs.InvalidRunError("; ".join(map(str, errors)))
-    result, cost = runs.Simulation(scenario, int(description["seed"]), description["variant"]).run()
+        raise simulations.InvalidRunError("; ".join(map(str, errors)))
+    result, cost = simulations.Simulation(scenario, int(description["seed"]), description["variant"]).run()
     timing = {
         "seconds": round(cost.seconds, 3),
         "decision_us": round(cost.decision_us, 1),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from command import refused, run
 from msgspec.structs import replace
 
-from lab import experiment, judge, runs, scenario, simulator
+from lab import experiment, judge, scenario, simulations, simulator
 from lab.station import FAILED, FULL, LATE, SERVED, Machine, Station, Ticket
 from ops.checking import to_plain
 from ops.units import Duration
@@ -158,7 +158,7 @@
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
     """Runs the small scenario with changes; returns the result."""
-    return runs.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
+    return simulations.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
 @pytest.mark.parametrize("troubles", TROUBLES, ids=lambda rows: rows[0].what)
@@ -195,7 +195,7 @@
     Splitting quotas evenly refuses customers whose requests arrive unevenly; the whole quota at each gateway
     lets greedy customers exceed it.
     """
-    normal = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
+    normal = {name: play(variant=name, lasts=Duration("12s")) for name in simulations.variants()}
     greedy_customers = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
     names = ("birchdrum", "whole-quota", "oracle")
     greedy = {name: play(variant=name, lasts=Duration("12s"), customers=greedy_customers) for name in names}
