--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -406,13 +406,15 @@
     from lab import agreement as virtual
     from registry.agreement import NEVER, WITHIN
 
-    if unknown := set(kinds) - set(virtual.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(virtual.KINDS)}")
+    if unknown := set(kinds) - set(virtual.FAULT_PROFILES):
+        raise CommandError(
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(virtual.FAULT_PROFILES)}"
+        )
     rule_broken = False
-    for kind in kinds or virtual.KINDS:
+    for kind in kinds or virtual.FAULT_PROFILES:
         for seed in _parse_seeds(seeds):
             change_interval = 4.0 if kind == "calm" else 0.5  # seconds between two changes
-            world = virtual.World(size, seed, virtual.KINDS[kind], change_interval=change_interval)
+            world = virtual.World(size, seed, virtual.FAULT_PROFILES[kind], change_interval=change_interval)
             world.run(span)
             never_overlaps = len(world.overlaps(NEVER))
             longest = world.max_overlap_ratio(WITHIN)
--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -41,7 +41,7 @@
 
 
 # Fault profiles by name
-KINDS = {
+FAULT_PROFILES = {
     "calm": Faults(),
     "loss": Faults(loss=0.3, duplication=0.2, late=0.05),
     "cuts": Faults(disconnects=2.0),
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lab import agreement_model
-from lab.agreement import DRIFT, KINDS, World
+from lab.agreement import DRIFT, FAULT_PROFILES, World
 from orchidlane.agreed import EffectiveSettings, Holder
 from registry.agreement import (
     LEASE_MS,
@@ -76,13 +76,13 @@
 
 
 def run_world(kind: str, seed: int, size: int = 8, duration: float = 90, **options) -> World:
-    world = World(size, seed, KINDS[kind], **options)
+    world = World(size, seed, FAULT_PROFILES[kind], **options)
     world.run(duration)
     return world
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("kind", [kind for kind in KINDS if kind != "calm"])
+@pytest.mark.parametrize("kind", [kind for kind in FAULT_PROFILES if kind != "calm"])
 def test_old_and_new_values_overlap_no_longer_than_the_bound(kind, seed):
     world = run_world(kind, seed)
     assert world.overlaps(NEVER) == []
@@ -114,7 +114,7 @@
 
 
 def test_without_faults_changes_spread_quickly_and_no_lease_expires():
-    world = World(50, 1, KINDS["calm"], change_interval=4.0)
+    world = World(50, 1, FAULT_PROFILES["calm"], change_interval=4.0)
     world.run(4)
     before = world.counts["lapsed"]
     world.run(60)
