--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -290,14 +290,16 @@
     from lab import model as states
     from orchidlane.membership import Membership
 
-    if unknown := set(kinds) - set(states.KINDS):
-        raise CommandError(USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(states.KINDS)}")
+    if unknown := set(kinds) - set(states.FAULT_KINDS):
+        raise CommandError(
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(states.FAULT_KINDS)}"
+        )
     if defect is not None and defect not in defects.CORE_DEFECTS:
         raise CommandError(
             USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.CORE_DEFECTS)}"
         )
     core = defects.CORE_DEFECTS[defect] if defect else Membership
-    result = states.check(core, members, window, faults, kinds or states.KINDS)
+    result = states.check(core, members, window, faults, kinds or states.FAULT_KINDS)
     click.echo(f"{result.states} states, {result.paths} paths, {result.revisited} of them known by then")
     for violation in result.violations:
         click.echo(f"BROKEN {violation}")
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -26,7 +26,7 @@
 PAUSE_STEPS = (8, 20)  # shorter and longer than a lease
 LATE_STEPS = 9  # delay of a late message
 SETTLE_STEPS = 60  # after the last fault, until all holders must have the last version
-KINDS = (*MESSAGE_FAULTS, "pause", "restart", "source")
+FAULT_KINDS = (*MESSAGE_FAULTS, "pause", "restart", "source")
 
 
 @dataclass(slots=True)
@@ -199,7 +199,7 @@
     size: int = 2,
     window: int = 36,
     max_faults: int = 1,
-    kinds: Collection[str] = KINDS,
+    kinds: Collection[str] = FAULT_KINDS,
     max_violations: int = 10,
 ) -> SearchResult:
     """Check every placement of up to ``max_faults`` faults within a window of steps.
--- a/lab/model.py
+++ b/lab/model.py
@@ -27,7 +27,7 @@
 FAULT_INTERVAL = 3  # faults are tried at every third step of the window
 SEED = 7
 MESSAGE_FAULTS = ("lose", "double", "late")
-KINDS = (*MESSAGE_FAULTS, "pause", "restart")
+FAULT_KINDS = (*MESSAGE_FAULTS, "pause", "restart")
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,7 +221,7 @@
     size: int = 2,
     window: int = 24,
     max_faults: int = 1,
-    kinds: Collection[str] = KINDS,
+    kinds: Collection[str] = FAULT_KINDS,
     max_violations: int = 10,
 ) -> SearchResult:
     """Check every placement of up to ``max_faults`` faults within a window of steps.
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -240,7 +240,7 @@
         (2, 2, ("lose", "late")),
         (2, 2, ("pause", "source")),
         (2, 2, ("restart", "lose")),
-        (3, 1, agreement_model.KINDS),
+        (3, 1, agreement_model.FAULT_KINDS),
     ],
 )
 def test_the_bound_holds_for_every_placement_of_a_few_faults(size, faults, kinds):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,9 +11,9 @@
 @pytest.mark.parametrize(
     ("size", "window", "faults", "kinds"),
     [
-        (2, 24, 1, model.KINDS),
-        (3, 18, 1, model.KINDS),
-        (2, 9, 2, model.KINDS),
+        (2, 24, 1, model.FAULT_KINDS),
+        (3, 18, 1, model.FAULT_KINDS),
+        (2, 9, 2, model.FAULT_KINDS),
         (3, 9, 2, ("late", "restart")),
     ],
 )
@@ -26,9 +26,9 @@
 @pytest.mark.parametrize(
     ("defect", "faults", "kinds", "description"),
     [
-        ("no-incarnation", 1, model.KINDS, "still considers"),
-        ("no-refutation", 1, model.KINDS, "still considers"),
-        ("no-self-doubt", 1, model.KINDS, "is not doubtful"),
+        ("no-incarnation", 1, model.FAULT_KINDS, "still considers"),
+        ("no-refutation", 1, model.FAULT_KINDS, "still considers"),
+        ("no-self-doubt", 1, model.FAULT_KINDS, "is not doubtful"),
         ("old-lives-count", 2, ("late", "restart"), "went back"),
     ],
 )
