--- a/lab/address_discovery.py
+++ b/lab/address_discovery.py
@@ -44,7 +44,7 @@
         self.seeds = random_generator(seed, "places")
         self.nodes: dict[Address, Node] = {}
         self.transmitted: list[tuple[Address, Address, bytes]] = []  # source, destination, body
-        self.greetings_sent: Counter[Address] = Counter()
+        self.datagrams_sent: Counter[Address] = Counter()
 
     def start(self, rank: int, port: int, join: Iterable[int] = (), life: int = 0) -> Node:
         """Start a process on this port; ``join``: ports of the members that it contacts first."""
@@ -111,7 +111,7 @@
     def _execute(self, address: Address, node: Node, actions: Iterable[places.Action]) -> None:
         for action in actions:
             if isinstance(action, places.SendDatagram):
-                self.greetings_sent[address] += 1
+                self.datagrams_sent[address] += 1
                 self.transmitted.append((address, action.address, action.body))
                 self.send(address, action.address, action.body)
             elif isinstance(action, places.AddressChanged):
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -65,12 +65,12 @@
     """Datagrams replayed from another address change no binding and cause a bounded number of messages."""
     land = joined_fleet(seed, factory)
     bindings = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items()}
-    before, seen = land.greetings_sent.total(), list(land.transmitted)
+    before, seen = land.datagrams_sent.total(), list(land.transmitted)
     for source, to, body in seen:
         land.send(("10.9.9.9", source[1]), to, body)
     land.run(2)
     assert {at: seat.peer_addresses for at, seat in land.nodes.items()} == bindings
-    assert land.greetings_sent.total() - before <= 4 * len(seen)
+    assert land.datagrams_sent.total() - before <= 4 * len(seen)
 
 
 def check_false_reports(factory, seed: int) -> None:
@@ -110,13 +110,13 @@
         land.start(rank, 7_000 + rank, [7_000] if rank else [])
     land.run_until(land.converged, 120)
     land.run(20)
-    before = dict(land.greetings_sent)
+    before = dict(land.datagrams_sent)
     new = land.start(99, 7_099, [7_050])
     duration = land.run_until(land.converged, 30)
     assert duration < 8
-    assert land.greetings_sent["10.0.0.1", 7_099] < 3 * 100
+    assert land.datagrams_sent["10.0.0.1", 7_099] < 3 * 100
     for at, sent in before.items():  # each of them may contact its ``join`` address
-        assert land.greetings_sent[at] - sent < (200 if at[1] == 7_000 else 60)
+        assert land.datagrams_sent[at] - sent < (200 if at[1] == 7_000 else 60)
     assert not new.core.has_candidates
 
 
