--- a/lab/simulator.py
+++ b/lab/simulator.py
@@ -116,7 +116,7 @@
         config, scenario = self.scenario.hosts, self.scenario
         machine = Machine(
             slots=config.slots,
-            waiting=config.waiting,
+            queue_capacity=config.waiting,
             work={
                 request_class.name.encode(): request_class.work.base / 1e6 for request_class in scenario.kinds
             },
--- a/lab/station.py
+++ b/lab/station.py
@@ -27,7 +27,7 @@
     """Capacity and behaviour of a host; times in seconds."""
 
     slots: int = 16  # requests that run concurrently
-    waiting: int = 64  # capacity of the queue for a slot
+    queue_capacity: int = 64  # requests that wait for a slot
     work: dict[bytes, float] = field(default_factory=dict)  # mean service time of each class at full speed
     default_work: float = 0.05  # mean service time of classes missing in ``work``
     spread: float = 0.6  # coefficient of variation of service times; 0: always the mean
@@ -116,7 +116,7 @@
         """Accept a complete request: start, queue or reject it."""
         if self.running < self.machine.slots:
             self._start(ticket)
-        elif len(self.queue) < self.machine.waiting:
+        elif len(self.queue) < self.machine.queue_capacity:
             self.queue.append(ticket)
         else:
             self._reject(ticket, FULL)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -63,7 +63,7 @@
     clock = Clock()
     generator = np.random.default_rng(7)
     mean_work = 0.05
-    machine = Machine(slots=servers, waiting=10**9, default_work=mean_work, exponential=True)
+    machine = Machine(slots=servers, queue_capacity=10**9, default_work=mean_work, exponential=True)
     station = Station(machine, np.random.default_rng(8), clock.now, clock.call_later)
     rate = servers * utilization / mean_work
     waits = []
@@ -97,7 +97,9 @@
 def test_each_ticket_reports_its_outcome_exactly_once():
     clock = Clock()
     outcomes = []
-    machine = Machine(slots=2, waiting=5, default_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
+    machine = Machine(
+        slots=2, queue_capacity=5, default_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0
+    )
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, outcomes.append) for i in range(100)]
     for i, ticket in enumerate(tickets):
