--- a/lab/cluster/campaign.py
+++ b/lab/cluster/campaign.py
@@ -30,7 +30,7 @@
     figures: dict[str, Any]
 
     def fields(self) -> dict[str, Any]:
-        """The verdict as JSON-compatible values."""
+        """Return the verdict as JSON-compatible values."""
         return {
             "seed": self.seed,
             "out": str(self.out),
@@ -41,7 +41,7 @@
 
 
 def figures(run_data: record.RunData) -> dict[str, Any]:
-    """Counts of clients' results and of log events; the time until all member views were equal."""
+    """Return counts of client outcomes and log events, and the time until all member views were equal."""
     agreed_ms = run_data.run["agreed"]
     end_ms = run_data.run["over"]
     event_counts = Counter(event.name for event in run_data.events if event.ms >= run_data.run["began"])
@@ -60,7 +60,7 @@
     faults: list[PlannedFault] | None = None,
     previous_revision: str | None = None,
 ) -> Verdict:
-    """Runs the schedule once and writes its files into ``out``, which is emptied first.
+    """Run the schedule once, write its files into ``out``, which is emptied first, and return the verdict.
 
     ``faults`` replaces the faults of the schedule and the seed. Raises ``fleet.FleetError``.
     """
@@ -74,7 +74,7 @@
 
 
 def summary_lines(name: str, verdict: Verdict) -> list[str]:
-    """The verdict in readable lines."""
+    """Return the verdict in readable lines."""
     summary = [f"{name}, seed {verdict.seed}: {len(verdict.breaches)} rules broken, files in {verdict.out}"]
     summary += [f"  {fault}" for fault in verdict.faults] if verdict.breaches else []
     summary += [f"  BROKEN {breach}" for breach in verdict.breaches]
@@ -83,8 +83,10 @@
 
 
 async def shrink(faults: list[PlannedFault], breaks_rule: FaultsTest) -> list[PlannedFault]:
-    """Reduces the faults to a minimal set that still breaks a rule: delta debugging (ddmin), which leaves out
-    halves first, then smaller and smaller parts, down to single faults."""
+    """Reduce the faults to a minimal set that still breaks a rule, by delta debugging (ddmin).
+
+    It leaves out halves first, then smaller and smaller parts, down to single faults.
+    """
     part_count = 2
     while len(faults) > 1:
         part_size = -(-len(faults) // part_count)
@@ -101,8 +103,10 @@
 
 
 async def run_until_signalled(work: Awaitable[int]) -> int:
-    """Runs ``work``, cancelled by SIGINT, SIGTERM and SIGHUP so that it cleans up; returns its exit code, or
-    130 if it was cancelled."""
+    """Run ``work``, cancelled by SIGINT, SIGTERM and SIGHUP so that it cleans up.
+
+    Return its exit code, or 130 if it was cancelled.
+    """
     loop = asyncio.get_running_loop()
     task = asyncio.ensure_future(work)
     for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -14,10 +14,10 @@
 from .schedule import Link, PlannedFault
 
 NEVER_MS = 1 << 62  # end of a fault that was not undone
-CAUSE_WINDOW_MS = 8_000  # before a log event; its cause may lie within
+CAUSE_WINDOW_MS = 8_000  # how long before a log event its cause may lie
 DETECTION_TIMEOUT_MS = 6_000  # until all running members have declared a killed one gone
 LINK_REPORT_TIMEOUT_MS = 6_000  # until a failed direction is reported
-STANDSTILL_REPORT_TIMEOUT_MS = 2_000  # until a resumed process reports that it stood still
+PAUSE_REPORT_TIMEOUT_MS = 2_000  # until a resumed process reports its pause
 TWIN_YIELD_TIMEOUT_MS = 10_000  # until one of two processes of the same rank has yielded
 START_TIMEOUT_MS = 8_000  # for a restarted process to become a member
 DETECTABLE_PAUSE_MIN_MS = 600  # a shorter pause may go undetected
@@ -46,7 +46,7 @@
     fault: PlannedFault
 
     def overlaps(self, first: int, last: int) -> bool:
-        """Whether the fault was active at any moment between the two times."""
+        """Return whether the fault was active at any moment between the two times."""
         return self.began <= last and self.ended >= first
 
 
@@ -68,15 +68,17 @@
         return (span for span in self.spans if span.fault.what in wanted and span.overlaps(start, end))
 
     def _was_unavailable(self, node: str, start: int, end: int) -> bool:
-        """Whether a process was down, starting, paused or had a twin at any moment between."""
+        """Return whether a process was down, starting, paused or had a twin at any moment between."""
         restarts = self._spans_of(("kill", "leave", "upgrade", "move"), start - START_TIMEOUT_MS, end)
         if any(node in span.fault.nodes for span in restarts):
             return True
         return any(node in span.fault.nodes for span in self._spans_of(("pause", "twin"), start, end))
 
     def _failed_links(self, start: int, end: int) -> set[Link]:
-        """Directed links that were cut, or impaired beyond the tolerated loss and delay, at any moment
-        between."""
+        """Return the directed links that were cut or impaired at any moment between.
+
+        Impaired are links with more than the tolerated loss or delay, and throttled ones.
+        """
         failed = {link for span in self._spans_of(("cut",), start, end) for link in span.fault.links}
         for span in self._spans_of(("loss", "garble", "delay", "reorder", "throttle"), start, end):
             fault = span.fault
@@ -85,8 +87,10 @@
         return failed
 
     def _could_reach(self, source: str, target: str, start: int, end: int) -> bool:
-        """Whether updates could spread from source to target throughout, also by way of available
-        gateways."""
+        """Return whether updates could spread from source to target throughout, also through other gateways.
+
+        Only gateways that were available throughout pass them on.
+        """
         failed = self._failed_links(start, end)
         available = [name for name in self.data.gateways if not self._was_unavailable(name, start, end)]
         reached, frontier = {source}, [source]
@@ -101,14 +105,14 @@
         return False
 
     def breaches(self) -> list[Breach]:
-        """All broken rules, in order of time."""
+        """Return all broken rules, in order of time."""
         rules: list[Callable[[], Iterator[Breach]]] = [
             self.live_members_are_not_declared_gone,
             self.dead_members_are_detected,
             self.failed_directions_are_reported,
             self.recovered_directions_are_not_reported,
             self.final_views_agree,
-            self.standstill_is_reported_first,
+            self.pause_is_reported_first,
             self.unheard_members_report_it,
             self.exactly_one_twin_yields,
             self.incarnations_never_decrease,
@@ -126,7 +130,7 @@
     # -- rules ----------------------------------------------------------------------------------------------
 
     def live_members_are_not_declared_gone(self) -> Iterator[Breach]:
-        """A running member whose updates can reach the observer is not declared gone by it."""
+        """Check that no running member is declared gone by an observer that its updates can reach."""
         for event in self._events("member_changed", self.start_ms, NEVER_MS):
             if event.fields["state"] != "gone":
                 continue
@@ -139,7 +143,7 @@
                 yield self._breach("gone though there", event.ms, text)
 
     def dead_members_are_detected(self) -> Iterator[Breach]:
-        """All running members declare a killed one gone within the detection timeout."""
+        """Check that all running members notice within the detection timeout that one was killed or left."""
         for span in self._spans_of(("kill", "leave"), 0, NEVER_MS):
             deadline = span.began + DETECTION_TIMEOUT_MS
             if span.ended < deadline:
@@ -164,7 +168,7 @@
         )
 
     def failed_directions_are_reported(self) -> Iterator[Breach]:
-        """A direction that is cut while the opposite one works is reported as down."""
+        """Check that a direction that is cut while the opposite one works is reported as down."""
         for span in self._spans_of(("cut",), 0, NEVER_MS):
             deadline = span.began + LINK_REPORT_TIMEOUT_MS
             if span.ended < deadline:
@@ -187,7 +191,7 @@
                     yield self._breach("dead direction not named", deadline, text)
 
     def recovered_directions_are_not_reported(self) -> Iterator[Breach]:
-        """At the end no view has a direction as down if all links work."""
+        """Check that at the end no view has a direction as down if all links work."""
         recovered = not self._failed_links(self.end_ms, self.end_ms + 1)
         for name, view in self.data.member_views.items():
             if view and view["links_down"] and recovered and not view["yielded"]:
@@ -195,7 +199,7 @@
                 yield self._breach("whole direction named dead", self.end_ms, text)
 
     def final_views_agree(self) -> Iterator[Breach]:
-        """Once no fault is active, all views have exactly the running gateways as present."""
+        """Check that at the end, if all links work, all views have exactly the running gateways."""
         if self._failed_links(self.end_ms, self.end_ms + 1):
             return
         running = {int(name[3:]) for name in self.data.run["running"]}
@@ -215,8 +219,8 @@
                 text = f"{name} has {sorted(present)} as present, but {sorted(running)} are running"
                 yield self._breach("views differ", self.end_ms, text)
 
-    def standstill_is_reported_first(self) -> Iterator[Breach]:
-        """A process that was paused reports it before it reports anything about others."""
+    def pause_is_reported_first(self) -> Iterator[Breach]:
+        """Check that a process that was paused reports it before it reports anything about others."""
         for span in self._spans_of(("pause",), 0, NEVER_MS):
             if span.ended >= NEVER_MS or span.ended - span.began < DETECTABLE_PAUSE_MIN_MS:
                 continue
@@ -225,14 +229,14 @@
                     self._spans_of(
                         ("kill", "leave", "move", "pause"),
                         span.began,
-                        span.ended + STANDSTILL_REPORT_TIMEOUT_MS,
+                        span.ended + PAUSE_REPORT_TIMEOUT_MS,
                     )
                 )
                 if any(other is not span and name in other.fault.nodes for other in other_spans):
                     continue
                 # A paused process logs nothing.
                 event = self._first_member_event(name, span.began + DETECTABLE_PAUSE_MIN_MS // 2)
-                in_time = event is not None and event.ms <= span.ended + STANDSTILL_REPORT_TIMEOUT_MS
+                in_time = event is not None and event.ms <= span.ended + PAUSE_REPORT_TIMEOUT_MS
                 if event is None or not in_time or event.name != "member_stood_still":
                     reported = event.name if event else "nothing"
                     pause = (span.ended - span.began) / 1000
@@ -243,7 +247,7 @@
         return next((event for event in self.member_events if event.node == node and event.ms >= start), None)
 
     def unheard_members_report_it(self) -> Iterator[Breach]:
-        """A member whose messages reach no other member reports so, if it receives those of others."""
+        """Check that a member whose messages reach no other reports so, if it receives those of others."""
         for span in self._spans_of(("cut",), 0, NEVER_MS):
             deadline, links = span.began + LINK_REPORT_TIMEOUT_MS, set(span.fault.links)
             for name in self.data.gateways:
@@ -265,7 +269,7 @@
                     yield self._breach("unheard unknowing", deadline, text)
 
     def exactly_one_twin_yields(self) -> Iterator[Breach]:
-        """Of two processes with the same rank one yields, and not both."""
+        """Check that of two processes with the same rank exactly one yields."""
         for span in self._spans_of(("twin",), 0, NEVER_MS):
             for name in span.fault.nodes:
                 deadline = min(span.ended, span.began + TWIN_YIELD_TIMEOUT_MS)
@@ -276,17 +280,18 @@
                     yield self._breach("twins", span.began + TWIN_YIELD_TIMEOUT_MS, text)
 
     def incarnations_never_decrease(self) -> Iterator[Breach]:
-        """No process accepts an earlier life or incarnation of a member after a later one, except that a
-        process that was restarted knows nothing of the time before."""
+        """Check that no process accepts an earlier life or incarnation of a member after a later one.
+
+        A restarted process is an exception: it knows nothing of the time before.
+        """
         for node in {event.node for event in self.member_events}:
             restarts = [
                 span.began
                 for span in self._spans_of(("kill", "leave", "upgrade", "move", "twin"), 0, NEVER_MS)
                 if node in span.fault.nodes
             ]
-            latest: dict[
-                tuple[int, int], tuple[int, int]
-            ] = {}  # by member and the observer's restarts so far
+            # Life and incarnation, by member and the number of the observer's restarts so far.
+            latest: dict[tuple[int, int], tuple[int, int]] = {}
             for event in self._events("member_changed", 0, NEVER_MS):
                 if event.node != node or event.fields["was"] == "unknown":
                     continue
@@ -298,10 +303,10 @@
                 latest[key] = incarnation
 
     def no_request_is_lost_without_fault(self) -> Iterator[Breach]:
-        """A gateway that was available answers every request."""
+        """Check that a gateway that was available answers every request."""
         for line in self.data.clients:
             sent = line["ms"] - line["took_ms"]
-            start = sent - STANDSTILL_REPORT_TIMEOUT_MS
+            start = sent - PAUSE_REPORT_TIMEOUT_MS
             if line["came"] == "lost" and not self._was_unavailable(line["gateway"], start, line["ms"]):
                 text = (
                     f"{line['gateway']} did not answer request {line['id']}, sent {line['took_ms']} ms before"
@@ -309,7 +314,7 @@
                 yield self._breach("request lost", line["ms"], text)
 
     def no_process_exits_unexpectedly(self) -> Iterator[Breach]:
-        """Only processes that a fault stops may exit."""
+        """Check that only processes that a fault stops exit."""
         kinds = ("kill", "leave", "upgrade", "move", "twin")
         stopped = {name for span in self._spans_of(kinds, 0, NEVER_MS) for name in span.fault.nodes}
         for name in sorted(set(self.data.run["ended"])):
@@ -319,5 +324,5 @@
 
 
 def breaches(run_data: RunData) -> list[Breach]:
-    """All rules that a run broke."""
+    """Return all rules that a run broke."""
     return Checker(run_data).breaches()
--- a/lab/cluster/cost.py
+++ b/lab/cluster/cost.py
@@ -1,4 +1,4 @@
-"""CPU time that membership costs a gateway: the same fleet with and without it under the same load."""
+"""Measurement of the CPU time that membership costs a gateway: the same fleet and load with and without."""
 
 from __future__ import annotations
 
@@ -23,14 +23,16 @@
 
 
 def cpu_time_ns(pid: int) -> int:
-    """CPU time of all threads of a process, in nanoseconds."""
+    """Return the CPU time of all threads of a process, in nanoseconds."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks)
 
 
 async def _generate_load(fleet: Fleet, rate: float, seconds: float) -> int:
-    """Sends ``rate`` requests a second to the first gateway, from customers within their quotas. Returns the
-    number of requests sent."""
+    """Send ``rate`` requests a second to the first gateway, from customers within their quotas.
+
+    Return the number of requests sent.
+    """
     loop = asyncio.get_running_loop()
     gateway = fleet.gateways[0]
     end_time = loop.time() + seconds
@@ -55,8 +57,10 @@
 
 @contextlib.asynccontextmanager
 async def _running_fleet(schedule: Schedule, seed: int) -> AsyncIterator[tuple[Fleet, int]]:
-    """Runs a fleet; yields it and the process id of its first gateway. Stops it and removes its files
-    at exit."""
+    """Run a fleet, and provide it with the process id of its first gateway.
+
+    At exit stop it and remove its files.
+    """
     folder = Path(tempfile.mkdtemp(prefix="birchdrum-cost-"))
     guard = FolderGuard(folder)
     fleet = Fleet(schedule, seed, folder / "out", folder, "birchdrum", None)
@@ -72,7 +76,7 @@
 
 
 async def measure_pairs(schedule: Schedule, pair_count: int, rate: float, seconds: float) -> list[str]:
-    """Measures ``pair_count`` pairs and returns the lines of a table.
+    """Measure ``pair_count`` pairs, each with and without membership; return the lines of a table.
 
     Both fleets run all the time and are loaded alternately, so that other load on the machine affects both
     alike.
--- a/lab/cluster/fleet.py
+++ b/lab/cluster/fleet.py
@@ -1,5 +1,4 @@
-"""A fleet of gateway processes on loopback with relays between them, and its faults at their scheduled
-times."""
+"""A fleet of gateway processes on loopback with relays between them, and faults at their scheduled times."""
 
 from __future__ import annotations
 
@@ -54,8 +53,10 @@
 
 
 async def control_call(address: Address, line: str) -> str | None:
-    """Sends one line to a gateway's control port. Returns its answer, or None if the gateway can't be
-    reached."""
+    """Send one line to a gateway's control port and return its answer.
+
+    Return None if the gateway can't be reached.
+    """
     try:
         async with asyncio.timeout(CONTROL_TIMEOUT):
             reader, writer = await asyncio.open_connection(*address, limit=1 << 18)
@@ -69,7 +70,7 @@
 
 
 async def query_member_view(address: Address) -> dict[str, Any] | None:
-    """A gateway's member view (MEMBERS). None if it can't be reached or has no view."""
+    """Return a gateway's member view (MEMBERS); None if it can't be reached or has no view."""
     answer = await control_call(address, "MEMBERS")
     if answer is None or not answer.startswith("done {"):
         return None
@@ -132,8 +133,9 @@
         ]
         self.datagram_relay: DatagramRelay | None = None
         self.stream_relays: list[StreamRelay] = []
-        self.discovery_addresses: dict[str, Address] = {}  # relayed, by gateway
-        self.rendezvous_addresses: dict[str, Address] = {}  # of the list service, by gateway
+        self.discovery_addresses: dict[str, Address] = {}  # of the relay to its discovery service, by gateway
+        # By gateway: where it reaches the list service's rendezvous, relayed unless it uses an agent.
+        self.rendezvous_addresses: dict[str, Address] = {}
         self.hosts: list[Host] = []
         self.registrations: list[Registration] = []
         self.clients: Clients | None = None
@@ -146,7 +148,7 @@
     # -- start and stop -------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Starts the list service, hosts, agents and gateways, then clients. Raises FleetError."""
+        """Start the list service, hosts, agents and gateways, then clients; raises FleetError."""
         shared = self.schedule.found != "fixed"
         self.datagram_relay = DatagramRelay(self.links, {g.name: g.peer for g in self.gateways}, shared)
         await self._start_list_service()
@@ -217,7 +219,7 @@
                 discovery if discovery_service is self.list_service else self.list_service
             )
             self._write_configuration(gateway.name, gateway, discovery)
-            if self.previous_tree:  # that revision has no membership
+            if self.previous_tree:  # that revision may have no membership
                 self._write_configuration(f"{gateway.name}-before", gateway, discovery, cluster=None)
 
         async def start_gateway(gateway: Gateway) -> None:
@@ -231,7 +233,7 @@
 
     def _start_clients(self, seed_sequence: np.random.SeedSequence) -> None:
         count = len(self.gateways)
-        front = LoadBalancer([gateway.listen for gateway in self.gateways])
+        load_balancer = LoadBalancer([gateway.listen for gateway in self.gateways])
         customers = [
             Customer(
                 100 + i,
@@ -244,7 +246,7 @@
             )
             for i in range(self.schedule.customers)
         ]
-        self.clients = Clients(front, customers, REQUEST_CLASSES, seed_sequence)
+        self.clients = Clients(load_balancer, customers, REQUEST_CLASSES, seed_sequence)
         self.clients.observer = self._observe_client
         self.clients.start()
 
@@ -307,12 +309,12 @@
         return fleet
 
     def _shared_relay_address(self, name: str) -> Address:
-        """The relay's address at which all others reach this gateway."""
+        """Return the relay's address at which all others reach this gateway."""
         assert self.datagram_relay is not None
         return self.datagram_relay.address(("", name))
 
     async def start_process(self, gateway: Gateway, kind: str = "") -> Child:
-        """Starts a gateway's process; ``kind`` is empty, ``-before`` (previous revision) or ``-twin``."""
+        """Start a gateway's process; ``kind`` is empty, ``-before`` (previous revision) or ``-twin``."""
         name = gateway.name + kind
         scratch = self.folder / (name if kind == "-twin" else gateway.name)
         scratch.mkdir(exist_ok=True)
@@ -335,7 +337,7 @@
         return answer is not None and answer.startswith("done")
 
     async def views_agree(self) -> bool:
-        """Whether all running gateways see exactly each other as present and report only cut links as down.
+        """Return whether all running gateways see exactly each other as present, and only cut links as down.
 
         A process that yielded to its twin no longer keeps a view and is not checked.
         """
@@ -367,7 +369,7 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     async def stop(self) -> None:
-        """Stops all processes and closes all connections."""
+        """Stop all processes and close all connections."""
         deadline = time.monotonic() + STOP_TIMEOUT
 
         def remaining_time() -> float:
@@ -382,6 +384,7 @@
             if gateway.pauses and gateway.child and gateway.child.process.returncode is None:
                 gateway.child.process.send_signal(signal.SIGCONT)
         names = [child.name for child in self.children.started if child.name.startswith("gw-")]
+        # "-" is the name of no child; an empty list would stop all.
         await self.children.stop(remaining_time, names or ["-"])
         for registration in self.registrations:
             if registration.task:
@@ -424,7 +427,7 @@
     # -- faults ---------------------------------------------------------------------------------------------
 
     async def run_faults(self, faults: list[PlannedFault], duration: float) -> None:
-        """Starts and ends the faults at their times; returns at the end of the schedule."""
+        """Start and end the faults at their times; return at the end of the schedule."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         steps = [(fault.at, 0, i, fault) for i, fault in enumerate(faults)]
@@ -481,7 +484,7 @@
                 )
 
     async def _terminate_predecessor(self, gateway: Gateway, predecessor: Child) -> None:
-        """The platform's part of an upgrade: sends SIGTERM to the predecessor once its successor is ready."""
+        """Send SIGTERM to the predecessor once its successor is ready, as the platform does in an upgrade."""
         await self._wait_until(READY_TIMEOUT, lambda: self._is_ready(gateway), f"{gateway.name}'s successor")
         await asyncio.sleep(TERMINATION_DELAY)
         if predecessor.process.returncode is None:
@@ -512,21 +515,21 @@
                 gateway.twin.process.terminate()
 
     async def member_views(self) -> dict[str, Any]:
-        """The member views of all running gateways; None for one that does not answer."""
+        """Return the member views of all running gateways; None for one that does not answer."""
         running = [gateway for gateway in self.gateways if gateway.is_running]
         views = await asyncio.gather(*(query_member_view(gateway.control) for gateway in running))
         return {gateway.name: view for gateway, view in zip(running, views, strict=True)}
 
 
 def present_ranks(view: dict[str, Any]) -> set[int]:
-    """The ranks that a gateway sees as present, its own included."""
+    """Return the ranks that a gateway sees as present, its own included."""
     return {view["rank"]} | {
         int(rank) for rank, row in view["members"].items() if row[0] in ("alive", "suspect")
     }
 
 
 def _check_out(revision: str, folder: Path) -> Path:
-    """Extracts a git revision's tree into a folder. Raises FleetError."""
+    """Extract a git revision's tree into a folder and return the folder; raises FleetError."""
     folder.mkdir()
     root = Path(__file__).parent.parent.parent
     arguments = ["git", "archive", "--format=tar", revision]
@@ -566,7 +569,7 @@
     module: str = "birchdrum",
     previous_revision: str | None = None,
 ) -> None:
-    """Runs a fleet under these faults and writes the files of the run into ``out``.
+    """Run a fleet under these faults and write the files of the run into ``out``.
 
     With ``previous_revision`` gateways start as that git revision; processes that faults start run as the
     current one. Raises FleetError.
--- a/lab/cluster/guard.py
+++ b/lab/cluster/guard.py
@@ -22,7 +22,7 @@
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
 
     def remove(self) -> None:
-        """Removes the folder now and waits until that is done."""
+        """Remove the folder now and wait until that is done."""
         stdin: IO[bytes] | None = self.process.stdin
         if stdin:
             stdin.close()
@@ -30,9 +30,9 @@
 
 
 def main() -> None:
-    """Waits until the parent, or the kernel on the parent's exit, closes the pipe; then removes the folder.
+    """Wait until the parent, or the kernel on the parent's exit, closes the pipe; then remove the folder.
 
-    Ignores SIGINT, SIGTERM and SIGHUP: only the closed pipe ends it.
+    SIGINT, SIGTERM and SIGHUP are ignored: only the closed pipe ends the wait.
     """
     for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         signal.signal(signal_number, signal.SIG_IGN)
--- a/lab/cluster/record.py
+++ b/lab/cluster/record.py
@@ -17,7 +17,7 @@
 
 
 def now_ms() -> int:
-    """Current time on the clock of the files, in milliseconds."""
+    """Return the current time on the clock of the files, in milliseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
@@ -30,17 +30,17 @@
         self.files: dict[str, IO[str]] = {}
 
     def append_line(self, name: str, **fields: Any) -> None:
-        """Appends one JSON line with the current time to ``name``.jsonl."""
+        """Append one JSON line with the current time to ``name``.jsonl."""
         if name not in self.files:
             self.files[name] = (self.folder / f"{name}.jsonl").open("a", buffering=1)
         self.files[name].write(json.dumps({"ms": now_ms(), **fields}) + "\n")
 
     def write_json(self, name: str, value: Any) -> None:
-        """Writes a value to ``name``.json."""
+        """Write a value to ``name``.json."""
         (self.folder / f"{name}.json").write_text(json.dumps(value, indent=1) + "\n")
 
     def close(self) -> None:
-        """Flushes and closes all files."""
+        """Flush and close all files."""
         for file in self.files.values():
             file.close()
         self.files.clear()
@@ -58,15 +58,18 @@
 
 @dataclass(slots=True)
 class RunData:
-    """The files of a run, read back. ``run`` has the times of the start (``began``), of the end of the
-    schedule (``over``) and of the agreement of all views (``agreed``; None: never), the seed and the number
-    of gateways."""
+    """The files of a run, read back.
+
+    ``run`` has the times of the start (``began``), of the end of the schedule (``over``) and of the agreement
+    of all views (``agreed``; None: not in time), the seed, the number and ``names`` of the gateways, those
+    ``running`` at the end, and the child processes that have exited (``ended``).
+    """
 
     run: dict[str, Any]
-    faults: list[tuple[int, int | None, PlannedFault]]  # start and end (ms; None: not undone)
+    faults: list[tuple[int, int | None, PlannedFault]]  # start, end (ms; None: not undone), fault
     events: list[Event]
-    clients: list[dict[str, Any]]
-    hosts: list[dict[str, Any]]
+    clients: list[dict[str, Any]]  # requests with their outcome as seen by the client
+    hosts: list[dict[str, Any]]  # requests that started to run on a host
     member_views: dict[str, dict[str, Any]]  # each gateway's member view at the end; None: no answer
 
     @property
@@ -88,7 +91,7 @@
 
 
 def read_run(folder: Path) -> RunData:
-    """Reads the files of a run."""
+    """Read the files of a run."""
     run = json.loads((folder / "run.json").read_text())
     tables = folder / "tables.json"
     return RunData(
--- a/lab/cluster/relay.py
+++ b/lab/cluster/relay.py
@@ -38,11 +38,11 @@
     next_send: float = 0.0  # when a throttled link may send again (event loop time)
 
     def is_cut(self) -> bool:
-        """Whether an active fault drops all traffic."""
+        """Return whether an active fault drops all traffic."""
         return any(fault.what == "cut" for fault in self.faults)
 
     def apply_faults(self, data: bytes, now: float) -> list[tuple[float, bytes]]:
-        """Applies the active faults to a datagram; returns the copies to send, each with its delay (s)."""
+        """Apply the active faults to a datagram; return the copies to send, each with its delay (s)."""
         self.counters["came"] += 1
         copies, delay = 1, 0.0
         for fault in self.faults:
@@ -82,25 +82,25 @@
         self.directions: dict[Link, Direction] = {}
 
     def direction(self, link: Link) -> Direction:
-        """Returns one direction; created on first use."""
+        """Return one direction, created on first use."""
         if link not in self.directions:
             link_seed = zlib.crc32(f"{self.seed} {link[0]}>{link[1]}".encode())
             self.directions[link] = Direction(random.Random(link_seed))
         return self.directions[link]
 
     def start_fault(self, fault: PlannedFault) -> None:
-        """Applies the fault to its links."""
+        """Apply the fault to its links."""
         for link in fault.links:
             self.direction(link).faults.append(fault)
 
     def end_fault(self, fault: PlannedFault) -> None:
-        """Removes the fault from its links."""
+        """Remove the fault from its links."""
         for link in fault.links:
             with suppress(ValueError):
                 self.direction(link).faults.remove(fault)
 
     def counters(self) -> dict[str, dict[str, int]]:
-        """Counts of datagrams (for TCP: of reads) and of what became of them, by direction."""
+        """Return counts of datagrams (for TCP: of reads) and of what became of them, by direction."""
         return {
             f"{sender}>{receiver}": dict(direction.counters)
             for (sender, receiver), direction in self.directions.items()
@@ -111,8 +111,10 @@
     """Relays the datagrams between gateways through sockets on loopback."""
 
     def __init__(self, links: Links, peers: dict[str, Address], shared: bool = False) -> None:
-        """``peers`` has each gateway's own peer address. With ``shared`` there is one socket for each
-        gateway, otherwise one for each directed pair."""
+        """Open the sockets; ``peers`` has each gateway's own peer address.
+
+        With ``shared`` there is one socket for each gateway, otherwise one for each directed pair.
+        """
         self.links = links
         self.peers = peers
         self.loop = asyncio.get_running_loop()
@@ -132,8 +134,10 @@
         self.loop.add_reader(sock.fileno(), self._on_readable, link, sock)
 
     def move(self, name: str, peer: Address) -> None:
-        """Gives a gateway a new peer address and a new relay socket; datagrams to its former relay address
-        are lost. For shared sockets only."""
+        """Give a gateway a new peer address and a new relay socket. For shared sockets only.
+
+        Datagrams to its former relay address are lost.
+        """
         self._close_socket(self.sockets.pop(("", name)))
         self.names_by_address.pop(self.peers[name])
         self.peers[name], self.names_by_address[peer] = peer, name
@@ -147,7 +151,7 @@
         return self.sockets.get(("", link[1]) if self.shared else link)
 
     def address(self, link: Link) -> Address:
-        """The address to which the sender of this link sends datagrams for its receiver."""
+        """Return the address to which the sender of this link sends datagrams for its receiver."""
         sock = self._relay_socket(link)
         assert sock is not None
         address: Address = sock.getsockname()
@@ -179,15 +183,18 @@
                 relay_socket.sendto(data, self.peers[receiver])
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Close all sockets."""
         sockets, self.sockets = self.sockets, {}
         for sock in sockets.values():
             self._close_socket(sock)
 
 
 class StreamRelay:
-    """Relays one client's TCP connections to a service. While the link is cut, data waits instead of being
-    dropped, as TCP would retransmit it when the network recovers."""
+    """Relays one client's TCP connections to a service.
+
+    While the link is cut, data waits instead of being dropped, as TCP would retransmit it when the network
+    recovers.
+    """
 
     def __init__(self, links: Links, client: str, service: str, target: Address) -> None:
         self.links = links
@@ -199,7 +206,7 @@
         self.address: Address = ("127.0.0.1", 0)
 
     async def listen(self) -> StreamRelay:
-        """Starts to relay; sets ``address``."""
+        """Start to relay, and store the assigned address in ``address``."""
         self.server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()[:2]
         return self
@@ -237,7 +244,7 @@
                 await writer.drain()
 
     def close(self) -> None:
-        """Stops listening and closes the relayed connections."""
+        """Stop listening, and close the relayed connections."""
         if self.server:
             self.server.close()
         for task in list(self.tasks):
--- a/lab/cluster/schedule.py
+++ b/lab/cluster/schedule.py
@@ -62,8 +62,11 @@
 
 
 class RandomFaults(Strict):
-    """``count`` faults of one kind, drawn from the seed within ranges. Without ``links`` and ``nodes`` each
-    fault affects a random gateway or directed link between gateways, otherwise all that are named."""
+    """``count`` faults of one kind, drawn from the seed within ranges.
+
+    Without ``links`` and ``nodes`` each fault affects a random gateway or directed link between gateways,
+    otherwise all that are named.
+    """
 
     what: FaultKind
     count: PositiveInt
@@ -114,7 +117,7 @@
     by: float
 
     def fields(self) -> dict[str, Any]:
-        """The fault as JSON-compatible values; the inverse of ``planned_fault_from_fields``."""
+        """Return the fault as JSON-compatible values, for ``planned_fault_from_fields`` to restore it."""
         return asdict(self)
 
     def __str__(self) -> str:
@@ -128,7 +131,7 @@
 
 
 def planned_fault_from_fields(fields: dict[str, Any]) -> PlannedFault:
-    """The inverse of ``PlannedFault.fields``."""
+    """Return the fault that ``PlannedFault.fields`` converted to these values, perhaps by way of JSON."""
     links = tuple((str(sender), str(receiver)) for sender, receiver in fields["links"])
     return PlannedFault(**(fields | {"links": links, "nodes": tuple(fields["nodes"])}))
 
@@ -142,12 +145,12 @@
 
 
 def shipped() -> dict[str, Path]:
-    """The schedules that are part of the package, by name."""
+    """Return the files of the included schedules by name."""
     return {file.stem: file for file in sorted(SCHEDULES_FOLDER.glob("*.toml"))}
 
 
 def load(file: Path) -> Schedule:
-    """Reads and validates a schedule file. Raises ScheduleError with all errors."""
+    """Load a schedule file; raises ScheduleError with all its errors."""
     try:
         raw = tomllib.loads(file.read_text())
     except OSError as error:
@@ -163,8 +166,10 @@
 
 
 def with_gateway_count(schedule: Schedule, count: int) -> Schedule:
-    """The schedule with another number of gateways. Raises ScheduleError if faults name one that is
-    missing."""
+    """Return the schedule with another number of gateways.
+
+    Raises ScheduleError if faults name a gateway that is missing then.
+    """
     resized = msgspec.structs.replace(schedule, gateways=count)
     if errors := list(_consistency_errors(resized)):
         raise ScheduleError(str(error) for error in errors)
@@ -215,12 +220,12 @@
 
 
 def gateway_names(count: int) -> list[str]:
-    """The node names of ``count`` gateways."""
+    """Return the node names of ``count`` gateways."""
     return [f"gw-{rank}" for rank in range(count)]
 
 
 def _expand_side(text: str, names: list[str]) -> list[str] | None:
-    """The nodes that one side of a link names; None for ``*``."""
+    """Return the nodes that one side of a link names; None for ``*``."""
     nodes: list[str] = []
     for pattern in (pattern.strip() for pattern in text.split(",")):
         if pattern == "*":
@@ -283,7 +288,7 @@
 
 
 def plan(schedule: Schedule, seed: int) -> list[PlannedFault]:
-    """All faults of a schedule under this seed, in the order of their start."""
+    """Return all faults of a schedule under this seed, in the order of their start."""
     names = gateway_names(schedule.gateways)
     planned = [
         PlannedFault(
