--- a/lab/child_processes.py
+++ b/lab/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes that are terminated when their parent exits, even if it is killed."""
+"""Child processes that get a signal from the kernel when their parent exits, even if it is killed."""
 
 from __future__ import annotations
 
@@ -28,31 +28,34 @@
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
         self.name = name
         self.process = process
-        self.lines: deque[str] = deque(maxlen=LAST_LINES_MAX)
-        self.reading = asyncio.get_running_loop().create_task(self._read(log))
+        self.last_lines: deque[str] = deque(maxlen=LAST_LINES_MAX)
+        self.stderr_task = asyncio.get_running_loop().create_task(self._copy_stderr(log))
 
-    async def _read(self, log: Path) -> None:
+    async def _copy_stderr(self, log: Path) -> None:
         assert self.process.stderr is not None
         with log.open("ab") as file:
             while line := await self.process.stderr.readline():
                 file.write(line)
                 file.flush()
-                self.lines.append(line.decode("utf-8", "replace").strip())
+                self.last_lines.append(line.decode("utf-8", "replace").strip())
 
     async def exit_reason(self) -> str:
-        """Waits for the process to exit; returns its exit code and the last line of its standard error."""
+        """Wait for the process to exit; return its exit code and the last line of its standard error."""
         code = await self.process.wait()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(asyncio.shield(self.reading), 1.0)
-        return f"{self.name} ended with {code}: {self.lines[-1] if self.lines else 'no output'}"
+            await asyncio.wait_for(asyncio.shield(self.stderr_task), 1.0)
+        return f"{self.name} ended with {code}: {self.last_lines[-1] if self.last_lines else 'no output'}"
 
 
 class Children:
     """The child processes of this one, stopped in the reverse order of their start."""
 
     def __init__(self, folder: Path, parent_death_signal: signal.Signals = signal.SIGTERM) -> None:
-        """Logs go to ``folder``. The kernel sends ``parent_death_signal`` to each child if this process dies
-        without stopping them. A child paused by SIGSTOP reacts to SIGKILL only."""
+        """Prepare to start children, with their logs in ``folder``.
+
+        The kernel sends ``parent_death_signal`` to each child if this process dies without stopping them. A
+        child paused by SIGSTOP reacts to SIGKILL only.
+        """
         self.folder = folder
         self.parent_death_signal = parent_death_signal
         self.started: list[Child] = []
@@ -60,8 +63,10 @@
     async def start(
         self, name: str, *arguments: str | Path, environment: dict[str, str], module: str = "birchdrum"
     ) -> Child:
-        """Starts ``python -m module`` with these arguments, in a session of its own: Ctrl-C in the terminal
-        does not reach it, so this process controls when it stops."""
+        """Start ``python -m module`` with these arguments, in a session of its own.
+
+        Ctrl-C in the terminal does not reach it, so this process controls when it stops.
+        """
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -79,12 +84,14 @@
         return child
 
     def exited(self) -> list[Child]:
-        """Children that have exited."""
+        """Return the children that have exited."""
         return [child for child in self.started if child.process.returncode is not None]
 
     async def stop(self, remaining: Callable[[], float], names: Sequence[str] = ()) -> None:
-        """Sends SIGTERM, then SIGKILL to those still running after ``remaining()`` seconds. Applies to the
-        children of these names, or to all."""
+        """Stop the children of these names, or all if there are none.
+
+        Send SIGTERM, then SIGKILL to those still running after ``remaining()`` seconds.
+        """
         selected = [child for child in reversed(self.started) if not names or child.name in names]
         for child in selected:
             if child.process.returncode is None:
@@ -95,4 +102,4 @@
             except TimeoutError:
                 child.process.kill()
                 await child.process.wait()
-            await child.reading
+            await child.stderr_task
--- a/lab/defects.py
+++ b/lab/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of the membership core and of the learning of addresses; the checks must detect each.
+"""Planted defects of the membership core and of address discovery; the checks must detect each.
 
 Each defect is a class that replaces the core in the simulations and in the model check. ``plant`` installs
 one in a gateway process of ``lab/cluster``, which gets its name from an environment variable.
@@ -90,10 +90,10 @@
 class DoesNotPassOn(AddressBook):
     """Does not pass on the addresses that it knows."""
 
-    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
+    def receive(self, now: int, sender_address: Address, data: bytes) -> list[Action]:
         """Process the datagram with the known peers hidden, so that a reply lists none of their addresses."""
         known, self.peers = self.peers, {}
-        actions = super().receive(now, source, data)
+        actions = super().receive(now, sender_address, data)
         self.peers = known | self.peers
         return actions
 
@@ -101,22 +101,22 @@
 class TakesSource(AddressBook):
     """Binds a rank to the source address of any message of its current or a newer life."""
 
-    def receive(self, now: int, source: Address, data: bytes) -> list[Action]:
-        """Process the datagram, then bind its rank to the source even if it answers no HELLO of ours."""
-        actions = super().receive(now, source, data)
+    def receive(self, now: int, sender_address: Address, data: bytes) -> list[Action]:
+        """Process the datagram, then bind its rank to its source even if it answers no HELLO of ours."""
+        actions = super().receive(now, sender_address, data)
         with contextlib.suppress(InvalidMessage):
             _, rank, life, *_ = self._unpack(data)
-            if rank != self.rank and life >= self.peers.get(rank, PeerAddress(0, source)).life:
-                self.peers[rank] = PeerAddress(life, source)
-                actions.append(AddressChanged(rank, source))
+            if rank != self.rank and life >= self.peers.get(rank, PeerAddress(0, sender_address)).life:
+                self.peers[rank] = PeerAddress(life, sender_address)
+                actions.append(AddressChanged(rank, sender_address))
         return actions
 
 
 class TakesHearsay(AddressBook):
-    """Binds a rank to an address reported by others, without a greeting."""
+    """Binds a rank to an address reported by others, without a HELLO to verify it."""
 
-    def _set_candidate(self, now: int, rank: int, place: PeerAddress) -> bool:
-        self._bind(rank, place)
+    def _set_candidate(self, now: int, rank: int, peer: PeerAddress) -> bool:
+        self._bind(rank, peer)
         return True
 
 
@@ -138,7 +138,7 @@
 
 
 def plant(name: str) -> None:
-    """Install a defect in this process; to be called before the gateway's modules are imported."""
+    """Install a defect in this process; call this before the gateway's modules are imported."""
     if name in ADDRESS_DEFECTS:
         places.AddressBook = ADDRESS_DEFECTS[name]  # type: ignore[misc]
     else:
--- a/lab/hosts.py
+++ b/lab/hosts.py
@@ -120,6 +120,6 @@
         """Stop like a killed process: connections are reset."""
         if self.server:
             self.server.close()
-        for link in list(self.connections):
-            if link.transport:
-                link.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport:
+                connection.transport.abort()
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -1,7 +1,7 @@
 """Allocates loopback ports for processes about to be started, outside the system's ephemeral port range.
 
-No other process may be given the same port between its allocation and its use. Processes of one user
-therefore share a counter in a small file, and a port is reused only after all others of the range.
+A port must not be allocated again between its allocation and its use. Processes of one user therefore share a
+counter in a small file, and a port is reused only after all others of the range.
 """
 
 from __future__ import annotations
@@ -21,9 +21,11 @@
 
 
 def port_limit() -> int:
-    """Exclusive upper bound of the ports to allocate: the first ephemeral port of the system, as any outgoing
-    connection on this machine could take a higher port between its allocation and its use. Where that leaves
-    1000 ports or fewer, all ports up to 65535 are used."""
+    """Return the exclusive upper bound of the ports to allocate: the first ephemeral port of the system.
+
+    Any outgoing connection on this machine could take a higher port between its allocation and its use. Where
+    the bound leaves 1000 ports or fewer, all ports up to 65535 are used.
+    """
     try:
         first = int(EPHEMERAL_PORT_RANGE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
@@ -32,8 +34,10 @@
 
 
 def _reserve(count: int, size: int) -> int:
-    """Reserves ``count`` consecutive numbers modulo ``size`` and returns the first, or a random number if
-    the counter file can't be used."""
+    """Reserve ``count`` consecutive numbers modulo ``size`` and return the first.
+
+    Return a random number if the counter file can't be used.
+    """
     with contextlib.suppress(OSError):
         descriptor = os.open(COUNTER_FILE, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW, 0o600)
         try:
@@ -48,7 +52,7 @@
 
 
 def allocate(count: int) -> list[int]:
-    """Returns ``count`` different ports on which nothing listens now, neither by TCP nor by UDP."""
+    """Return ``count`` different ports on which nothing listens now, neither by TCP nor by UDP."""
     allocated: list[int] = []
     size = port_limit() - PORT_MIN
     while len(allocated) < count:
