--- a/lab/address_discovery.py
+++ b/lab/address_discovery.py
@@ -1,4 +1,4 @@
-"""Simulation of gateways that learn each other's addresses: ``saffrongw/places.py`` on a virtual clock."""
+"""Simulation of gateways that discover each other's addresses: ``saffrongw/places.py`` on a virtual clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SECOND = 1_000_000  # microseconds
 NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
 
-# rank, number of ranks, cluster, life, own address, addresses to join by, seed
+# rank, number of ranks, cluster, life, own address, addresses to contact first (``join``), seed
 Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.AddressBook]
 
 
@@ -34,26 +34,26 @@
     def __init__(
         self, size: int, seed: int, factory: Factory = places.AddressBook, loss: float = 0.0
     ) -> None:
-        """``size``: the number of ranks in the settings."""
+        """Create a network without processes; ``size`` is the number of ranks in the settings."""
         self.kernel = Kernel()
         self.size = size
         self.factory = factory
         self.loss = loss
         self.kernel.now = START_TIME
         self.draw = UniformStream(random_generator(seed, "network"))
-        self.seeds = random_generator(seed, "places")
+        self.seed_rng = random_generator(seed, "places")
         self.nodes: dict[Address, Node] = {}
         self.transmitted: list[tuple[Address, Address, bytes]] = []  # source, destination, body
-        self.datagrams_sent: Counter[Address] = Counter()
+        self.datagrams_sent: Counter[Address] = Counter()  # by source
 
     def start(self, rank: int, port: int, join: Iterable[int] = (), life: int = 0) -> Node:
-        """Start a process on this port; ``join``: ports of the members that it contacts first."""
+        """Start a process on this port; ``join`` has the ports of the gateways that it contacts first."""
         address = self._address(port)
         life = life or self.kernel.now // 1_000 << 10
         join_addresses = [self._address(other) for other in join]
         node = Node(
             self.factory(
-                rank, self.size, "lab", life, address, join_addresses, int(self.seeds.integers(2**31))
+                rank, self.size, "lab", life, address, join_addresses, int(self.seed_rng.integers(2**31))
             )
         )
         self.nodes[address] = node
@@ -81,7 +81,7 @@
         return (self.kernel.now - began) / SECOND
 
     def converged(self) -> bool:
-        """Whether each running process sends to the current address of every other one, and to no others."""
+        """Return whether each running process sends to exactly the current addresses of all others."""
         current = {node.core.rank: address for address, node in self.nodes.items() if not node.dead}
         expected = ({r: a for r, a in current.items() if r != n.core.rank} for n in self._running())
         return all(
--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -1,8 +1,8 @@
-"""Simulation of the settings agreement: one source and many holders on a virtual clock, with faults.
+"""Simulation of the leased agreement on settings, see ``registry/agreement.py``, with faults.
 
-Each process has a clock of its own, which is fast or slow by up to ``DRIFT``. The simulation records which
-value each holder used in its decisions and when; how long old and new values overlapped is computed from this
-record alone.
+One source (the list service) and many holders (gateways) run on a virtual clock. Each process has a clock of
+its own, which is fast or slow by up to ``DRIFT``. The simulation records which value each holder used in its
+decisions and when; how long old and new values overlapped is computed from this record alone.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 LATE_DELAY_MAX = 4 * SECOND  # of a late message
 DECISION_INTERVAL = 20 * MS  # on average
 TICK_INTERVAL = 50 * MS
-FIRST_CHANGE_DELAY = 5 * SECOND  # a source that starts waits for a lease
+FIRST_CHANGE_DELAY = 5 * SECOND  # a source that has just started applies no change for one lease
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,12 +101,12 @@
         self.disk = PersistedState(1, 1, last=1)
         self.source = source(self._source_now(), self.disk, lease_ms)
         self.source_down_until = 0
-        self.lives = 0
+        self.processes_started = 0
         self.nodes = [
             Node(f"gw-{i}", self._start_core(f"gw-{i}"), self._draw_clock_rate()) for i in range(size)
         ]
         self.by_name = {node.name: node for node in self.nodes}
-        # By version: the values of two keys, one under the rule ``never`` and one under ``within``.
+        # By version: the values of two keys, one changed under the rule ``never``, one under ``within``.
         self.values: dict[int, tuple[int, int]] = {1: (0, 0)}
         self.uses: dict[tuple[str, int, str], Use] = {}  # by key, value and holder
         self.counts: Counter[str] = Counter()
@@ -124,8 +124,8 @@
         return 1 + DRIFT * (2 * self.draw() - 1)
 
     def _start_core(self, name: str) -> Holder:
-        self.lives += 1
-        return self.holder_factory(name, self.lives)
+        self.processes_started += 1
+        return self.holder_factory(name, self.processes_started)
 
     def _now(self, node: Node) -> int:
         return int(self.kernel.now * node.clock_rate)
@@ -177,7 +177,7 @@
             self._send(node, node.core.make_request(self._now(node)), to_source=True)
 
     def _first_applied(self, node: Node, version: int) -> int:
-        """When this process applied the version for the first time."""
+        """Return when this process applied the version for the first time; record it if that is now."""
         return self.first_applied.setdefault((node.core.life, version), self.kernel.now)
 
     def _decide(self, node: Node) -> None:
@@ -205,7 +205,7 @@
         use.last = now
 
     def _poll_source(self) -> None:
-        """Send the answers to parked queries that are due."""
+        """Send the answers that are due to parked queries (long poll)."""
         self.kernel.call_after(TICK_INTERVAL // 5, self._poll_source)
         if self.kernel.now >= self.source_down_until:
             answers = self.source.due_answers(self._source_now())
@@ -282,17 +282,17 @@
     # -- observations ---------------------------------------------------------------------------------------
 
     def overlaps(self, key: str) -> list[tuple[int, int, str]]:
-        """Overlaps of old and new values of a key as (microseconds, old value, holder), longest first.
+        """Return the overlaps of old and new values of a key, longest first.
 
-        An overlap is the time for which a holder still used a value after another holder had used a newer
-        one.
+        Each is (microseconds, old value, holder). An overlap is the time for which a holder still used
+        a value after another holder had used a newer one.
         """
         first_uses: dict[int, dict[str, int]] = {}
         for (of_key, value, name), use in self.uses.items():
             if of_key == key:
                 first_uses.setdefault(value, {})[name] = use.first
         values = sorted(first_uses, reverse=True)
-        # By value: the first uses of any newer value by two holders, since one may be the holder looked at.
+        # By value: the two holders that first used any newer value, as one may be the old value's holder.
         earliest: dict[int, list[tuple[int, str]]] = {}
         newer: dict[str, int] = {}  # by holder: its first use of any newer value
         for value in values:
@@ -309,7 +309,7 @@
         return sorted(overlaps, reverse=True)
 
     def propagation_times(self) -> list[float]:
-        """Seconds from each proposal until the last holder applied it, sorted.
+        """Return the seconds from each proposal until the last holder applied it, sorted.
 
         With faults, some holders may never apply a version; these are not counted.
         """
@@ -320,6 +320,6 @@
         )
 
     def max_overlap_ratio(self, key: str) -> float:
-        """The longest overlap as a fraction of the bound, 0 if there is none."""
+        """Return the longest overlap as a fraction of the bound, 0 if there is none."""
         overlaps = self.overlaps(key)
         return overlaps[0][0] / max_overlap_us(self.lease_ms) if overlaps else 0.0
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -24,20 +24,23 @@
 WARM_UP_STEPS = 30  # until all holders have the first version
 PROPOSALS = ((4, 2, NEVER), (22, 3, WITHIN))  # step of the window, version, rule
 PAUSE_STEPS = (8, 20)  # shorter and longer than a lease
-LATE_STEPS = 9  # delay of a late message
+LATE_STEPS = 9  # delay of a late message, and of the second copy of a doubled one
 SETTLE_STEPS = 60  # after the last fault, until all holders must have the last version
 FAULT_KINDS = (*MESSAGE_FAULTS, "pause", "restart", "source")
 
 
 @dataclass(slots=True)
 class World:
-    """One source, a few holders, the messages in flight, and the first violation seen so far."""
+    """One source, a few holders, the messages in flight, and the first violation seen so far.
+
+    ``proposals`` are those still to be made; ``disk`` is what a restarted source reads.
+    """
 
     holder_factory: Callable[[str, int], Holder]
     source_factory: Callable[..., Source]
     size: int
     step: int = 0
-    lives: int = 0
+    processes_started: int = 0
     source: Source = field(init=False)
     disk: PersistedState = field(init=False)
     cores: list[Holder] = field(default_factory=list)
@@ -51,7 +54,7 @@
     violation: str = ""
 
     def warm_up(self) -> World:
-        """Start all processes and run until every holder has the first version."""
+        """Start all processes, run until every holder has the first version, and return this world."""
         self.disk = PersistedState(1, 1, last=1)
         self.source = self.source_factory(self.now(), self.disk, LEASE_MS)
         self.cores = [self.start_core(rank) for rank in range(self.size)]
@@ -63,12 +66,12 @@
         return self
 
     def start_core(self, rank: int) -> Holder:
-        """A new holder process, without any state of an earlier one."""
-        self.lives += 1
-        return self.holder_factory(f"gw-{rank}", self.lives)
+        """Create the core of a new holder process, without any state of an earlier one."""
+        self.processes_started += 1
+        return self.holder_factory(f"gw-{rank}", self.processes_started)
 
     def now(self) -> int:
-        """The time of the current step in microseconds."""
+        """Return the time of the current step in microseconds."""
         return START + self.step * STEP
 
     def advance(self, faults: tuple[Fault, ...] = ()) -> None:
@@ -156,14 +159,14 @@
         self.used[key, value] = first, self.step
 
     def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
-        """Faults of these kinds that are possible in the next step."""
+        """Yield the faults of these kinds that are possible in the next step."""
         if "source" in kinds:
             yield Fault(self.step, "source", 0)
         due = sum(message[0] <= self.step + 1 for message in self.in_flight)
         yield from member_and_message_faults(self.step, due, self.paused_until, kinds, PAUSE_STEPS)
 
     def fingerprint(self) -> bytes:
-        """A hash that is equal for equal states."""
+        """Return a hash that is equal for equal states."""
         cores = [vars(core) for core in self.cores]
         source = self.source.state, self.source.recovery_until, self.source.proposed_at, self.source.holders
         parts = (
@@ -180,8 +183,10 @@
 
 
 def _settle(world: World, faults: tuple[Fault, ...]) -> str:
-    """Run on without further faults; describes a contradiction or a holder without the last version, or
-    returns ""."""
+    """Run on without further faults.
+
+    Return a description of the violation, also if not all holders have the last version, or "".
+    """
     end = max([world.step, *world.paused_until, *(due for due, *_ in world.in_flight)]) + SETTLE_STEPS
     while world.step < end:
         world.advance()
--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -20,8 +20,9 @@
 if TYPE_CHECKING:
     from .simulator import World
 
+# Outcomes after which the request can't have run, so that it may be sent again.
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.NOT_CONNECTED)
-RETRY_AFTER_MAX = 1_000_000
+RETRY_AFTER_MAX = 1_000_000  # microseconds
 
 
 class LocalQuotaGateway:
@@ -46,7 +47,7 @@
         return []
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Handle requests, ends of attempts and the host list; other events are ignored."""
+        """Handle requests, ends of attempts and the host list; ignore other events."""
         if isinstance(event, api.ServerListed):
             if event.kind is api.ListKind.WHOLE:
                 self.hosts.clear()
@@ -163,7 +164,7 @@
 
 
 def oracle(settings: api.Settings, seed: int, now: int, world: World) -> DecisionModule:
-    """Create the upper bound of all variants."""
+    """Create the oracle, the upper bound of all variants."""
     return OracleGateway(settings, seed, now, world, 1.0, "least outstanding")
 
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients behind a load balancer: an open-loop workload, whose arrivals don't depend on the answers.
+"""Stand-in clients behind a load balancer: an open-loop workload, whose arrivals don't depend on the replies.
 
 The load balancer knows each customer's set of gateways, ``spread`` of them counted cyclically from ``first``,
 and picks one that is reachable. Connections are reused, with one request at a time each. Results as seen by
@@ -19,14 +19,14 @@
 from . import protocol
 
 CONNECT_TIMEOUT = 1.0  # seconds
-LATENCIES_KEPT = 5_000  # per customer, to bound the memory of a run without an end
+LATENCIES_KEPT = 5_000  # per customer, to bound the memory of an unlimited run
 RESPONSE_MARGIN = 0.5  # seconds after the deadline until a request counts as lost
 DOWN_DURATION = 1.0  # seconds for which an unreachable gateway gets no requests
 
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """One customer: its request rate, its quota and its set of gateways."""
+    """One customer: its request rate, its quota and its set of gateways (see the module)."""
 
     number: int
     plan: str
@@ -45,9 +45,8 @@
     sent: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)  # served, refused, failed, lost
     units: int = 0  # served
-    latencies: deque[float] = field(
-        default_factory=lambda: deque(maxlen=LATENCIES_KEPT)
-    )  # seconds, of served requests
+    # Seconds, of served requests.
+    latencies: deque[float] = field(default_factory=lambda: deque(maxlen=LATENCIES_KEPT))
     over_quota_units: float = 0.0  # units served in excess of the quota available at that time
     available: float = -1.0  # units left in the quota's token bucket; negative: not initialized
     updated_at: float = 0.0
@@ -167,7 +166,7 @@
         return connection
 
     def is_up(self, rank: int) -> bool:
-        """Whether no connection attempt failed within DOWN_DURATION."""
+        """Return whether no connection attempt has failed within the last DOWN_DURATION."""
         return self.down_until[rank] <= time.monotonic()
 
     def close(self) -> None:
@@ -250,7 +249,7 @@
     async def _send_via(
         self, customer: Customer, request_class: RequestClass, request_id: str, rank: int
     ) -> object:
-        """Send a request by a gateway, once more if a reused connection turns out to be closed."""
+        """Send a request through a gateway, once more if a reused connection turns out to be closed."""
         request = encode_request(customer, request_class, request_id)
         for retry in (False, True):
             reused = bool(self.load_balancer.idle[rank])
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -69,7 +69,7 @@
 
 
 def git(*arguments: str) -> str:
-    """Return the output of a git command in this repository; raises InvalidRunError."""
+    """Run a git command in this repository and return its output; raises InvalidRunError."""
     process = subprocess.run(
         ["git", *arguments], cwd=REPOSITORY_ROOT, capture_output=True, text=True, check=False
     )
@@ -89,7 +89,7 @@
 
 
 def revision() -> str:
-    """Return the current commit id, marked if there are local changes; empty outside a repository."""
+    """Return the current commit id, with "-altered" if there are local changes; "" outside a repository."""
     try:
         changes = git("status", "--porcelain", "--", "lab", "orchidlane", "ops")
         return git("rev-parse", "--short=12", "HEAD") + ("-altered" if changes else "")
@@ -129,7 +129,7 @@
 
 
 def load_result(planned: PlannedRun, folder: Path, current_revision: str) -> dict[str, Any] | None:
-    """Load the stored result; None if it is missing, incomplete, or of another input or program revision."""
+    """Return the stored result; None if it is missing, incomplete, or of another input or revision."""
     try:
         stored = json.loads(planned.result_file(folder).read_text())
         same = (stored["format"], stored["digest"], stored["revision"]) == (
@@ -205,7 +205,7 @@
 
 
 async def _worker(planned: PlannedRun, path: Path | None) -> tuple[dict[str, Any] | None, str]:
-    """Run one worker process; returns its output, or None and the last line of its error output."""
+    """Run one worker process; return its output, or None and the last line of its standard error."""
     environment = dict(os.environ)
     import_paths = [str(path)] if path else []
     environment["PYTHONPATH"] = os.pathsep.join([*import_paths, str(REPOSITORY_ROOT)])
@@ -242,7 +242,7 @@
     pairs: int
     median: float  # of the variant's scores
     difference: float  # median over pairs of the variant's score minus the first variant's
-    low: float
+    low: float  # bounds of the confidence interval of ``difference``
     high: float
     broken: int  # simulations in which a rule was broken
 
@@ -288,7 +288,7 @@
 
 
 def confidence_interval(values: Sequence[float]) -> tuple[float, float]:
-    """Bootstrap the interval of the median; with fewer than 3 or only equal values, returns their range."""
+    """Bootstrap the interval of the median; with fewer than 3 or only equal values, return their range."""
     if len(values) < 3 or len(set(values)) == 1:
         return (min(values, default=0.0), max(values, default=0.0))
     bootstrapped = stats.bootstrap(
@@ -305,7 +305,7 @@
 def rerun_from_file(result_file: Path) -> tuple[bool, str]:
     """Repeat the simulation of a stored result.
 
-    Returns whether the result is identical, and a message; raises InvalidRunError.
+    Return whether the result is identical, and a message; raises InvalidRunError.
     """
     from .worker import run_simulation
 
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -1,4 +1,4 @@
-"""Checks the rules of a run independently of the gateways, from what hosts and clients observe.
+"""Checks the rules of a simulation independently of the gateways, from what hosts and clients observe.
 
 The judge keeps its own token bucket for each customer's quota. A request is charged when its first attempt
 has reached a host completely; units that the bucket doesn't have at that time exceed the quota. Each breach
@@ -13,10 +13,9 @@
 
 from .scenario import Scenario
 
-WINDOW_LENGTH = 10_000_000  # microseconds
-DRAIN_DELAY_MAX = (
-    250_000  # microseconds after a gateway is notified until it may send nothing more to the host
-)
+WINDOW_LENGTH = 10_000_000  # microseconds covered by each row of ``by_window``
+# Microseconds after a gateway is notified that a host is draining or gone until it may send it nothing more.
+DRAIN_DELAY_MAX = 250_000
 RESPONSE_MARGIN = 500_000  # microseconds after the deadline in which a response is worthless but no breach
 TIMING_TOLERANCE = 50_000  # microseconds added to limits, as in runs on sockets
 MAX_RECORDED_BREACHES = 200
@@ -50,14 +49,14 @@
     updated_at: int = 0
 
     def refill(self, now: int) -> float:
-        """Add the units earned since the last call; returns the units available now."""
+        """Add the units earned since the last call; return the units available now."""
         self.available = min(self.burst, self.available + self.rate * (now - self.updated_at) / 1e6)
         self.updated_at = now
         return self.available
 
 
 class Judge:
-    """Records the worth of served requests, quota use, and breaches of the rules."""
+    """Records the worth of served requests, the use of quotas, and breaches of the rules."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -82,7 +81,7 @@
         self.windows.setdefault(now // WINDOW_LENGTH, Counter())[counter] += 1
 
     def breach(self, now: int, rule: str, request_id: int, **details: Any) -> None:
-        """Record the breach of a rule."""
+        """Record the breach of a rule; the first MAX_RECORDED_BREACHES with their details."""
         self.breach_counts[rule] += 1
         if len(self.breaches) < MAX_RECORDED_BREACHES:
             self.breaches.append({"at_us": now, "rule": rule, "request": request_id, **details})
@@ -140,7 +139,7 @@
             self.breach(now, "lost", request_id, gateways=[request.gateway], after_us=duration)
 
     def request_ended(self, now: int, request_id: int, reason: str) -> None:
-        """Record that no response will come, as the gateway died or was unreachable; this is no breach."""
+        """Record that no response will come, as the gateway died or was down; this is no breach."""
         request = self.requests[request_id]
         request.ended = True
         self._count(now, request, reason)
--- a/lab/kernel.py
+++ b/lab/kernel.py
@@ -1,4 +1,4 @@
-"""The event loop of simulations, with a virtual clock, and reproducible random streams.
+"""Discrete-event simulation kernel: an event loop with a virtual clock, and reproducible random streams.
 
 The same seed gives the same run, byte for byte. Times are whole microseconds; events that are due at the same
 time run in the order in which they were scheduled.
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.now = 0
         self.heap: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self.scheduled = self.events = 0
+        self.scheduled = self.events = 0  # callbacks scheduled and run so far
 
     def call_at(self, due: int, callback: Callable[..., Any], *args: Any) -> None:
         """Schedule a callback for a time; one in the past runs at the current time."""
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -47,11 +47,11 @@
         return [self._set_dead(sender, False, now)] if sender in self.dead else []
 
     def leave(self, now: int) -> list[state.Action]:
-        """Does nothing: the protocol has no leave message."""
+        """Do nothing: the protocol has no leave message."""
         return []
 
     def considers_active(self, rank: int) -> bool:
-        """Whether the member has not been declared dead."""
+        """Return whether the member has not been declared dead."""
         return rank not in self.dead
 
 
@@ -101,12 +101,12 @@
 
 
 def heartbeats(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """Factory of the heartbeat baseline."""
+    """Create a member of the heartbeat baseline."""
     return Heartbeats(rank, size, now)
 
 
 def swim(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """Factory of the SWIM baseline."""
+    """Create a member of the SWIM baseline."""
     return PlainSwim(rank, size, "lab", life, seed, now, intake=100.0)
 
 
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -46,7 +46,7 @@
 
 
 def measure_kill_detection(job: Job) -> dict[str, Any]:
-    """Seconds until each member declares a killed one dead, for three members killed one after another."""
+    """Measure the seconds until each member declares a killed one dead, for three kills in succession."""
     world = _world(job)
     times = []
     for victim in range(3):
@@ -66,14 +66,14 @@
 
 
 def measure_false_deaths(job: Job) -> dict[str, Any]:
-    """Number of death declarations about running members, and the member hours observed."""
+    """Count the death declarations about running members, and the member hours observed."""
     world = _world(job)
     world.run(OBSERVATION_TIME)
     return {"false": len(world.death_events()), "hours": OBSERVATION_TIME * job.size / 3600}
 
 
 def measure_false_deaths_with_pauses(job: Job) -> dict[str, Any]:
-    """Death declarations while one in ten members is paused at any time.
+    """Count the death declarations while one in ten members is paused at any time.
 
     ``words`` counts all of them, ``false`` those about members that were not paused.
     """
@@ -108,7 +108,7 @@
 
 
 def measure_link_failure_detection(job: Job) -> dict[str, Any]:
-    """Seconds until any member reports a link that failed in one direction, for six links."""
+    """Measure the seconds until any member reports a link that failed in one direction, for six links."""
     world = _world(job)
     draw = np.random.default_rng([job.seed, 2])
     times = []
@@ -135,7 +135,10 @@
 
 
 def measure_heal(job: Job) -> dict[str, Any]:
-    """Seconds to converge after a partition into halves for 10 s, and messages per member and second."""
+    """Measure the seconds to converge after a partition into halves for 10 s, and the messages meanwhile.
+
+    Messages are per member and second.
+    """
     world = _world(job)
     world.partition(range(job.size // 2))
     world.run(10)
@@ -150,7 +153,7 @@
 
 
 def measure_idle_traffic(job: Job) -> dict[str, Any]:
-    """Messages and bytes per member and second without faults."""
+    """Measure the messages and bytes per member and second without faults."""
     world = _world(job)
     world.run(35)  # gossip about the start dies down
     before = dict(world.traffic)
@@ -159,6 +162,7 @@
     return {"messages": rates["messages"], "bytes": rates["bytes"]}
 
 
+# By ``Job.what``, which is also in the result files and their names.
 MEASUREMENTS: dict[str, Callable[[Job], dict[str, Any]]] = {
     "kill": measure_kill_detection,
     "false": measure_false_deaths,
@@ -170,12 +174,15 @@
 
 
 def measure(job: Job) -> dict[str, Any]:
-    """Run a job; returns its fields and its results."""
+    """Run a job; return its fields and its results."""
     return asdict(job) | MEASUREMENTS[job.what](job)
 
 
 def run(jobs: list[Job], out: Path, workers: int) -> list[dict[str, Any]]:
-    """Run the jobs in worker processes. Results that ``out`` already has are not measured again."""
+    """Run the jobs in worker processes and return their results, stored in ``out``.
+
+    Jobs whose results are stored there already are not run again.
+    """
     out.mkdir(parents=True, exist_ok=True)
     files = {job: out / f"{job.name}.json" for job in jobs}
     missing = [job for job in jobs if not files[job].exists()]
@@ -187,7 +194,7 @@
 
 
 def summary(results: list[dict[str, Any]]) -> list[str]:
-    """One line for each measurement, size, loss and variant, over all seeds."""
+    """Return one line for each measurement, size, loss and variant, over all seeds."""
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
     for result in results:
         groups.setdefault((result["what"], result["size"], result["loss"], result["variant"]), []).append(
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -24,23 +24,23 @@
     """Interface between the simulation and a member: the gateway's membership core or a baseline."""
 
     def tick(self, now: int) -> list[state.Action]:
-        """Advance the protocol to the given time."""
+        """Advance the protocol to this time; return the datagrams to send and the events to log."""
 
     def receive(self, now: int, sender: int, data: bytes) -> list[state.Action]:
-        """Process a datagram."""
+        """Process a datagram; return the resulting actions."""
 
     def leave(self, now: int) -> list[state.Action]:
-        """Leave on purpose."""
+        """Leave the fleet on shutdown; return the messages that announce it."""
 
     def considers_active(self, rank: int) -> bool:
-        """Whether this member considers another one alive or suspect."""
+        """Return whether this member considers another one alive or suspect."""
 
 
 class ProductionCore(Membership):
     """The gateway's membership core with the simulation's interface."""
 
     def considers_active(self, rank: int) -> bool:
-        """Whether this member considers another one alive or suspect."""
+        """Return whether this member considers another one alive or suspect."""
         return self.members[rank].state in state.ACTIVE_STATES
 
 
@@ -48,7 +48,7 @@
 
 
 def production_core(rank: int, size: int, life: int, seed: int, now: int) -> Core:
-    """Factory of the gateway's membership core."""
+    """Create the gateway's membership core."""
     return ProductionCore(rank, size, "lab", life, seed, now, intake=100.0)
 
 
@@ -66,13 +66,13 @@
 class Node:
     """One member's process: running, paused, or dead.
 
-    ``life`` counts the processes of the simulation, so that ticks scheduled for an earlier one are ignored.
-    ``socket_buffer`` holds the datagrams (sender, body) that arrive during a pause.
+    ``process_number`` counts the processes of the simulation, so that callbacks scheduled for an earlier one
+    are ignored. ``socket_buffer`` holds the datagrams (sender, body) that arrive during a pause.
     """
 
     rank: int
     core: Core
-    life: int
+    process_number: int
     paused: bool = False
     dead: bool = False
     socket_buffer: list[tuple[int, bytes]] = field(default_factory=list)
@@ -88,21 +88,21 @@
         self.loss = loss
         self.kernel.now = START_TIME
         self.draw = UniformStream(random_generator(seed, "network"))
-        self.seeds = random_generator(seed, "members")
+        self.seed_rng = random_generator(seed, "members")
         self.blocked_links: set[tuple[int, int]] = set()  # (from, to)
         self.events: list[LoggedEvent] = []
         self.traffic: Counter[str] = Counter()  # messages, bytes
-        self.lives = 0
+        self.processes_started = 0
         self.nodes: list[Node] = []
         for rank in range(size):
-            node = Node(rank, self._start_core(rank), self.lives)
+            node = Node(rank, self._start_core(rank), self.processes_started)
             self.nodes.append(node)
-            self.kernel.call_after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.life)
+            self.kernel.call_after(int(self.draw() * TICK_INTERVAL), self._tick, node, node.process_number)
 
     def _start_core(self, rank: int) -> Core:
-        self.lives += 1
-        life = (self.kernel.now // 1_000 << 10) + self.lives % 1_024
-        return self.factory(rank, self.size, life, int(self.seeds.integers(2**31)), self.kernel.now)
+        self.processes_started += 1
+        life = (self.kernel.now // 1_000 << 10) + self.processes_started % 1_024
+        return self.factory(rank, self.size, life, int(self.seed_rng.integers(2**31)), self.kernel.now)
 
     def run(self, duration: float) -> None:
         """Run the simulation for this many seconds."""
@@ -120,12 +120,12 @@
             self.run(step)
         return (self.kernel.now - began) / SECOND
 
-    def _tick(self, node: Node, life: int) -> None:
-        if node.dead or node.life != life:
+    def _tick(self, node: Node, process_number: int) -> None:
+        if node.dead or node.process_number != process_number:
             return
         if not node.paused:
             self._execute(node, node.core.tick(self.kernel.now))
-        self.kernel.call_after(TICK_INTERVAL, self._tick, node, life)
+        self.kernel.call_after(TICK_INTERVAL, self._tick, node, process_number)
 
     def _execute(self, node: Node, actions: Iterable[state.Action]) -> None:
         for action in actions:
@@ -166,18 +166,18 @@
         node.dead = False
         node.paused = False
         node.socket_buffer = []
-        node.life = self.lives
-        self.kernel.call_after(0, self._tick, node, node.life)
+        node.process_number = self.processes_started
+        self.kernel.call_after(0, self._tick, node, node.process_number)
 
     def pause(self, rank: int, duration: float) -> None:
         """Pause a process for some seconds, as SIGSTOP and SIGCONT do; datagrams are buffered meanwhile."""
         node = self.nodes[rank]
         if not node.paused and not node.dead:
             node.paused = True
-            self.kernel.call_after(int(duration * SECOND), self._resume, node, node.life)
+            self.kernel.call_after(int(duration * SECOND), self._resume, node, node.process_number)
 
-    def _resume(self, node: Node, life: int) -> None:
-        if node.life != life or node.dead:
+    def _resume(self, node: Node, process_number: int) -> None:
+        if node.process_number != process_number or node.dead:
             return
         node.paused = False
         buffered, node.socket_buffer = node.socket_buffer, []
@@ -194,17 +194,17 @@
     # -- observations ---------------------------------------------------------------------------------------
 
     def running(self) -> list[Node]:
-        """Members that are neither dead nor paused."""
+        """Return the members that are neither dead nor paused."""
         return [node for node in self.nodes if not node.dead and not node.paused]
 
     def all_agree(self, rank: int, active: bool) -> bool:
-        """Whether all other running members consider this one active, or all consider it not active."""
+        """Return whether all other running members consider this one active; if not ``active``, inactive."""
         return all(node.core.considers_active(rank) is active for node in self.running() if node.rank != rank)
 
     def converged(self) -> bool:
-        """Whether all running members consider each other active."""
+        """Return whether all running members consider each other active."""
         return all(self.all_agree(node.rank, True) for node in self.running())
 
     def death_events(self) -> list[LoggedEvent]:
-        """The events in which a member declared another one dead (state "gone")."""
+        """Return the events in which a member declared another one dead (state "gone")."""
         return [event for event in self.events if event.name == "member" and event.fields["state"] == "gone"]
--- a/lab/model.py
+++ b/lab/model.py
@@ -3,8 +3,8 @@
 Apart from faults the system is deterministic: a message takes one step, and members tick in the order of
 their ranks. A path is therefore identified by its faults. At each step of the fault window the search
 branches into no fault and each possible fault, up to the maximum number of faults on a path. After the window
-no more faults occur, and the invariants and the convergence of the views are checked. A state that was
-already reached through other faults is not explored again.
+no more faults occur, and the invariants and the convergence of the views are checked. A state at its end that
+was already reached through other faults is not checked again.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 WARM_UP_STEPS = 60  # until all members know each other, before the fault window
 SETTLE_STEPS = 160  # after the last fault, until all views must be equal
 PAUSE_STEPS = (12, 80)  # shorter and longer than the suspicion timeout
-LATE_STEPS = 30  # delay of a late message
+LATE_STEPS = 30  # delay of a late message, and of the second copy of a doubled one
 FAULT_INTERVAL = 3  # faults are tried at every third step of the window
 SEED = 7
 MESSAGE_FAULTS = ("lose", "double", "late")
@@ -34,8 +34,9 @@
 class Fault:
     """A fault at one step.
 
-    ``lose``, ``double`` and ``late`` affect a message: ``target`` is its position among those due in the
-    step. ``pause`` (for ``duration`` steps) and ``restart`` affect a member: ``target`` is its rank.
+    ``lose``, ``double`` (delivered twice) and ``late`` affect a message: ``target`` is its position among
+    those due in the step. ``pause`` (for ``duration`` steps) and ``restart`` affect a member: ``target`` is
+    its rank.
     """
 
     step: int
@@ -51,7 +52,7 @@
 def member_and_message_faults(
     step: int, due: int, paused_until: Sequence[int], kinds: Collection[str], durations: Collection[int]
 ) -> Iterator[Fault]:
-    """Faults of these kinds that are possible in a step.
+    """Yield the faults of these kinds that are possible in a step.
 
     Each of the ``due`` messages can be affected, and each member that is not paused.
     """
@@ -92,15 +93,15 @@
     violation: str = ""
 
     def now(self) -> int:
-        """The time of the current step in microseconds."""
+        """Return the time of the current step in microseconds."""
         return START + self.step * TICK_INTERVAL
 
     def start_core(self, rank: int, life: int) -> Membership:
-        """A new process, without any state of an earlier one."""
+        """Create the core of a new process, without any state of an earlier one."""
         return self.core_class(rank, self.size, "model", life, SEED + rank, self.now(), 200.0)
 
     def warm_up(self) -> World:
-        """Start all members and run until they know each other."""
+        """Start all members, run until they know each other, and return this world."""
         self.cores = [self.start_core(rank, 1_000 + rank) for rank in range(self.size)]
         self.paused_until = [0] * self.size
         self.socket_buffers = [[] for _ in range(self.size)]
@@ -169,7 +170,7 @@
                 self.in_flight.append((self.step + 1, rank, action.rank, action.body))
 
     def _check_monotonic(self) -> None:
-        """The life and incarnation that an observer has for a member never decrease."""
+        """Record a violation if the life or incarnation that an observer has for a member decreases."""
         for observer, core in enumerate(self.cores):
             for member in core.members.values():
                 version = member.life, member.incarnation
@@ -181,7 +182,7 @@
                 self.last_versions[member.rank, observer] = version
 
     def declared_dead(self) -> list[tuple[int, int]]:
-        """Pairs (observer, member) where the observer considers the member dead."""
+        """Return the pairs (observer, member) where the observer considers the member dead."""
         return [
             (observer, member.rank)
             for observer, core in enumerate(self.cores)
@@ -190,12 +191,12 @@
         ]
 
     def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
-        """Faults of these kinds that are possible in the next step."""
+        """Return the faults of these kinds that are possible in the next step."""
         due = sum(message[0] <= self.step + 1 for message in self.in_flight)
         return member_and_message_faults(self.step, due, self.paused_until, kinds, PAUSE_STEPS)
 
     def fingerprint(self) -> bytes:
-        """A hash that is equal for equal states."""
+        """Return a hash that is equal for equal states."""
         parts = (
             self.step,
             self.paused_until,
@@ -210,8 +211,8 @@
 class SearchResult:
     """Size of the search, and the violations it found."""
 
-    states: int = 0
-    paths: int = 0
+    states: int = 0  # expanded within the fault window
+    paths: int = 0  # distinct states at the end of the window
     revisited: int = 0  # states that were already reached on another path
     violations: list[Violation] = field(default_factory=list)
 
@@ -240,10 +241,10 @@
         """Run one step with these faults."""
 
     def possible_faults(self, kinds: Collection[str]) -> Iterator[Fault]:
-        """Faults of these kinds that are possible in the next step."""
+        """Return the faults of these kinds that are possible in the next step."""
 
     def fingerprint(self) -> bytes:
-        """A hash that is equal for equal states."""
+        """Return a hash that is equal for equal states."""
 
 
 System = TypeVar("System", bound=Explorable)
@@ -259,7 +260,8 @@
 ) -> SearchResult:
     """Search the placements of faults depth first.
 
-    ``settle`` runs a state on without further faults and describes what does not hold, or returns "".
+    ``settle`` runs a system on without further faults and returns a description of what does not hold then,
+    or "".
     """
     result = SearchResult()
     visited: set[bytes] = set()
@@ -290,7 +292,7 @@
 
 
 def _settle(world: World, faults: tuple[Fault, ...]) -> str:
-    """Run on without further faults; describes the violated invariant, or returns ""."""
+    """Run on without further faults; return a description of the violated invariant, or ""."""
     end = max([world.step, *world.paused_until, *(due for due, *_ in world.in_flight)]) + SETTLE_STEPS
     disturbed = {fault.target for fault in faults if fault.kind in ("pause", "restart")}
     restarted = {fault.target for fault in faults if fault.kind == "restart"}
@@ -299,7 +301,7 @@
         for observer, rank in world.declared_dead():
             # A pause of the observer does not excuse a wrong death declaration, only a restart does.
             if rank not in disturbed and observer not in restarted:
-                return f"{observer} declared {rank} dead, which ran and could be received from"
+                return f"{observer} declared {rank} dead, which was running and reachable"
     if world.violation:
         return world.violation
     if declared := world.declared_dead():
--- a/lab/node.py
+++ b/lab/node.py
@@ -1,7 +1,7 @@
-"""A gateway of the virtual world: carries out the actions of the decision module.
+"""A simulated gateway: carries out the actions of the decision module.
 
-It models what ``driver.py`` and ``hosts.py`` do on sockets, with the same deadlines, connection reuse and
-outcomes of attempts.
+It models what ``saffrongw/driver.py`` and ``saffrongw/hosts.py`` do on sockets, with the same deadlines,
+connection reuse and outcomes of attempts.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from .simulator import World
 
-IDLE_TIMEOUT_FRACTION = 0.6  # of the hosts' idle timeout; as in hosts.py
+IDLE_TIMEOUT_FRACTION = 0.6  # of the hosts' idle timeout, as in saffrongw/hosts.py
 CONNECT_TIMEOUT = 250_000  # microseconds
 PEER_MESSAGES_PER_SECOND = 100  # received datagrams above this rate are dropped
 
@@ -42,16 +42,15 @@
     number: int
     name: bytes
     zone: int
-    cell: int
+    cell: int  # number of the cell within the zone
     station: Station
     health: api.Phase = api.Phase.READY
     up: bool = True  # whether the process runs
     vanished: bool = False  # the machine is unreachable: packets to and from it are lost
-    launched: int = 0
+    launched: int = 0  # Unix time in microseconds; 0: long before the run
     connections: int = 0
-    open_attempts: dict[Attempt, None] = field(
-        default_factory=dict
-    )  # attempts that reached the host and have not ended
+    # Attempts that reached the host and have not ended there, in order of arrival.
+    open_attempts: dict[Attempt, None] = field(default_factory=dict)
 
     def entry(self) -> api.ServerEntry:
         """Return the host's entry in the list of discovery."""
@@ -155,7 +154,7 @@
         self.dispatch(event)
 
     def handle_datagram(self, sender: int, body: bytes) -> None:
-        """Process a datagram of another gateway, or drop it above PEER_MESSAGES_PER_SECOND."""
+        """Process a datagram of another gateway; drop those above PEER_MESSAGES_PER_SECOND."""
         if not self.up:
             return
         second = self.world.kernel.now // 1_000_000
--- a/lab/protocol.py
+++ b/lab/protocol.py
@@ -1,4 +1,4 @@
-"""Encodes a client's requests to a gateway and classifies the replies, as the protocol page specifies."""
+"""Encodes a client's requests to a gateway and classifies the replies, following the published protocol."""
 
 from __future__ import annotations
 
--- a/lab/registration.py
+++ b/lab/registration.py
@@ -55,7 +55,7 @@
         return status
 
     async def register(self) -> bool:
-        """Write the entry; retried once, with the current version, if another write came first."""
+        """Write the entry; retry once, with the current version, if another write came first."""
         for _ in range(2):
             entry = {"dial": self.dial, "site": self.site, "class": "stand-in", "block": self.block}
             entry |= {"share": self.share, "lease_ms": self.lease_ms, "version": self.version}
@@ -65,7 +65,7 @@
         return status == 200
 
     async def keep_registered(self) -> None:
-        """Register and renew the lease until cancelled; registers again if the list has lost the entry."""
+        """Register and renew the lease until cancelled; register again if the list has lost the entry."""
         while True:
             status = await self._call("POST", "/renew", {"version": self.version}) if self.version else 404
             if status in (404, 409):
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -32,19 +32,23 @@
     """The hosts that serve requests, distributed evenly over the zones."""
 
     count: PositiveInt = 8
-    slots: PositiveInt = 8
-    waiting: NonNegativeInt = 32
-    spread: NonNegative = 0.6
+    slots: PositiveInt = 8  # requests that run concurrently on a host
+    waiting: NonNegativeInt = 32  # requests that wait for a slot
+    spread: NonNegative = 0.6  # coefficient of variation of service times
     error_rate: Ratio = 0.0
-    cold_from: Ratio = 0.3
-    warm_within: Duration = default_quantity(Duration("8s"))
-    connections: PositiveInt = 256
-    handshake: Duration = default_quantity(Duration("2ms"))
-    idle_close: Duration = default_quantity(Duration("15s"))
+    cold_from: Ratio = 0.3  # speed right after the start, as a fraction of full speed
+    warm_within: Duration = default_quantity(Duration("8s"))  # from the start until full speed
+    connections: PositiveInt = 256  # limit of open connections
+    handshake: Duration = default_quantity(Duration("2ms"))  # to connect, besides a round trip
+    idle_close: Duration = default_quantity(Duration("15s"))  # idle timeout of connections
 
 
 class RequestClass(Strict):
-    """A request class; ``share`` is its weight among all, ``work`` its mean service time on a warm host."""
+    """A request class; ``share`` is its weight among all, ``work`` its mean service time on a warm host.
+
+    A response later than ``aim`` is worth only the fraction ``late_worth`` of ``worth``, one later than
+    ``deadline`` nothing. The hosts of a ``group`` deduplicate requests with a key for ``repeat_window``.
+    """
 
     name: Name
     work: Duration
@@ -61,7 +65,11 @@
 
 
 class Plan(Strict):
-    """A plan: its quota, and its weight among the customers."""
+    """A plan: its quota, and its weight among the customers.
+
+    ``price`` is a factor of the worth of its requests. Units beyond the quota cost the fraction
+    ``beyond_costs`` of their worth.
+    """
 
     name: Name
     rate: Positive
@@ -92,7 +100,10 @@
 
 
 class Clients(Strict):
-    """How clients retry refused requests; ``honour`` is the probability that they wait for retry-after."""
+    """How clients retry refused requests: with probability ``retry``, up to ``tries`` tries in total.
+
+    ``honour`` is the probability that they wait for retry-after, if that is longer than ``backoff``.
+    """
 
     retry: Ratio = 0.5
     tries: PositiveInt = 3
@@ -220,7 +231,7 @@
 
 
 def consistency_errors(scenario: Scenario) -> Iterator[Violation]:
-    """Check constraints between fields, and yield those violated."""
+    """Check constraints between fields, and yield the violations."""
     customers = scenario.customers
     if not scenario.lasts.base:
         yield Violation("lasts", f'"{scenario.lasts}"', "expected above 0")
--- a/lab/simulations.py
+++ b/lab/simulations.py
@@ -1,4 +1,4 @@
-"""Simulations of a scenario by variant and seed, and their one-line summaries."""
+"""Simulations of a scenario by seed and variant (the gateway or a baseline), and their one-line summaries."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     variant: str
 
     def run(self) -> tuple[dict[str, Any], Cost]:
-        """Run it and return its result, identical to the byte for the same seed, and its cost."""
+        """Run the simulation; return its result, identical byte for byte for the same seed, and its cost."""
         started_at = time.perf_counter()
         world = World(self.scenario, self.seed, VARIANTS[self.variant])
         result = world.run()
@@ -53,7 +53,7 @@
 def plan_simulations(
     scenario: Scenario, seeds: Sequence[int], variant_names: Sequence[str], gateways: int | None = None
 ) -> list[Simulation]:
-    """Return the simulations of all variants for each seed; raises InvalidRunError."""
+    """Return a simulation of each variant for each seed; raises InvalidRunError."""
     if "all" in variant_names:
         variant_names = variants()
     for variant in variant_names:
@@ -64,7 +64,7 @@
 
 
 def with_gateways(scenario: Scenario, gateways: int | None) -> Scenario:
-    """Override the number of gateways unless it is None; raises InvalidRunError."""
+    """Return the scenario with this number of gateways, unchanged for None; raises InvalidRunError."""
     if gateways is None:
         return scenario
     scenario = msgspec.structs.replace(scenario, gateways=gateways)
--- a/lab/simulator.py
+++ b/lab/simulator.py
@@ -1,4 +1,4 @@
-"""The virtual world: real ``orchidlane`` gateways, or baselines, on a virtual clock.
+"""Discrete-event simulator of a scenario: real ``orchidlane`` gateways, or baselines, on a virtual clock.
 
 It simulates hosts, discovery, customers, the network, and faults in them, without sockets or sleeps.
 """
@@ -21,7 +21,7 @@
 from .scenario import Fault, RequestClass, Scenario
 from .station import FAILED, SERVED, Machine, Station, Ticket
 
-# Microseconds before the client's deadline at which the response must be sent, as in driver.py.
+# Microseconds before the client's deadline at which the response must be sent, as in saffrongw/driver.py.
 RESPONSE_TRAVEL_TIME = 10_000
 STARTUP_SPREAD = 500_000  # microseconds within which the gateways start
 OUTCOMES = {SERVED: api.Outcome.SERVED, FAILED: api.Outcome.ERROR}
@@ -68,8 +68,9 @@
         self.hosts = [self._create_host(i) for i in range(scenario.hosts.count)]
         self.hosts_by_name = {host.name: host for host in self.hosts}
         self.nodes = [Node(self, rank) for rank in range(scenario.gateways)]
-        # Dead gateways: when the load balancer detects the failure and sends no more requests.
+        # By rank of each dead gateway: when the load balancer detects the failure and excludes it.
         self.excluded_gateways: dict[int, int] = {}
+        # By request id, until the response arrives: customer, request class, number of the try.
         self.open_requests: dict[int, tuple[Customer, int, int]] = {}
 
     # -- setup
@@ -134,6 +135,7 @@
         rng = random_generator(self.seed, f"host {number}")
         station = Station(machine, rng, lambda: kernel.now / 1e6, call_later)
         station.started_at = -machine.warm_within  # already warm
+        # Hosts are assigned to the zones in rotation; four of a zone form a cell.
         zones = len(scenario.zones)
         return Host(number, b"host-%03d" % number, number % zones, number // zones // 4, station)
 
@@ -150,7 +152,7 @@
         return int(network.client.base * (1 + network.jitter * self.network_random()))
 
     def is_cut(self, zone_a: int, zone_b: int) -> bool:
-        """Whether the network between two zones is interrupted."""
+        """Return whether the network between two zones is interrupted."""
         return (
             zone_a != zone_b
             and bool(self.isolated_zones)
@@ -448,7 +450,7 @@
     # -- run
 
     def run(self) -> dict[str, Any]:
-        """Run the scenario and return its result, identical to the byte for the same seed."""
+        """Run the scenario and return its result, identical byte for byte for the same seed."""
         scenario, config = self.scenario, self.scenario.customers
         shares = np.array([request_class.share for request_class in scenario.kinds])
         self.class_thresholds = np.cumsum(shares / shares.sum())
--- a/lab/station.py
+++ b/lab/station.py
@@ -1,7 +1,8 @@
-"""The model of a host: slots, a bounded queue, warm-up and errors, independent of sockets and clocks.
+"""Model of a host as a service station: slots, a bounded queue, warm-up and errors.
 
-The owner passes ``now`` (seconds) and ``call_later``; the callback of each ``Ticket`` is called
-exactly once with the outcome. Service times are lognormal with the machine's coefficient of variation, or
+It uses neither sockets nor a clock; the owner passes ``now`` (seconds) and ``call_later``. The callback
+``on_end`` of each ``Ticket`` is called once with the outcome, and not at all for a request that is cancelled
+or dropped by a restart. Service times are lognormal with the machine's coefficient of variation, or
 exponential; in that case, with an unbounded queue, the station is an M/M/c system, and the tests compare it
 with queueing theory.
 """
@@ -16,8 +17,8 @@
 
 import numpy as np
 
-MAX_REMEMBERED_IDS = 50_000  # ids are remembered for longer than any request is retried
-BATCH_SIZE = 512  # single draws cost more than the rest of the work on a request
+MAX_REMEMBERED_IDS = 50_000  # enough to cover the time in which a request can be retried
+BATCH_SIZE = 512  # random numbers per draw; single draws cost more than the rest of the work on a request
 
 SERVED, FAILED, FULL, LATE, CANCELLED = "served", "failed", "full", "late", "given up"
 
@@ -33,8 +34,8 @@
     spread: float = 0.6  # coefficient of variation of service times; 0: always the mean
     exponential: bool = False  # instead of lognormal, for comparison with queueing theory
     error_rate: float = 0.0
-    cold_from: float = 0.25
-    warm_within: float = 0.0  # 0: always at full speed
+    cold_from: float = 0.25  # speed right after the start, as a fraction of full speed
+    warm_within: float = 0.0  # time from the start until full speed; 0: always at full speed
     connections: int = 1_024  # limit of open connections
 
 
@@ -53,7 +54,10 @@
 
 
 class Ticket:
-    """One request at a station. ``on_start`` is called when it gets a slot, ``on_end`` once at the end."""
+    """One request at a station.
+
+    ``on_start`` is called when it gets a slot, ``on_end`` with the outcome when it is finished or rejected.
+    """
 
     __slots__ = ("deadline", "on_end", "on_start", "request_class", "request_id")
 
@@ -122,7 +126,7 @@
             self._reject(ticket, FULL)
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Drop an abandoned request from the queue, but not a running one. Returns whether it was queued."""
+        """Drop an abandoned request if it is queued, not if it runs. Return whether it was queued."""
         if ticket in self.queue:
             self.queue.remove(ticket)
             self.stats.turned_away[CANCELLED] += 1
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,7 +1,7 @@
 """Runs one simulation in a separate process: JSON description on stdin, result on stdout.
 
 Run it with ``-P``. To use the decisions of another revision, put a folder with that revision's ``orchidlane``
-first on the path.
+first on PYTHONPATH.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 
 
 def run_simulation(description: dict[str, Any]) -> dict[str, Any]:
-    """Run the simulation described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
+    """Run a simulation, described by ``scenario`` (as in a file), ``seed`` and ``variant``.
+
+    Return its result, its cost and the path of the decisions that it used.
+    """
     scenario, errors = validate(description["scenario"], Scenario)
     if scenario is None or (errors := list(consistency_errors(scenario))):
         raise simulations.InvalidRunError("; ".join(map(str, errors)))
