--- a/lab/address_discovery.py
+++ b/lab/address_discovery.py
@@ -47,7 +47,10 @@
         self.datagrams_sent: Counter[Address] = Counter()  # by source
 
     def start(self, rank: int, port: int, join: Iterable[int] = (), life: int = 0) -> Node:
-        """Start a process on this port; ``join`` has the ports of the gateways that it contacts first."""
+        """Start a process on this port; ``join`` has the ports of the gateways that it contacts first.
+
+        ``life`` 0 stands for a life that is derived from the current time.
+        """
         address = self._address(port)
         life = life or self.kernel.now // 1_000 << 10
         join_addresses = [self._address(other) for other in join]
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -78,7 +78,7 @@
     ``words`` counts all of them, ``false`` those about members that were not paused.
     """
     world = _world(job)
-    draw = np.random.default_rng([job.seed, 1])
+    rng = np.random.default_rng([job.seed, 1])
     end = world.kernel.now + int(OBSERVATION_TIME * SECOND)
     paused: dict[int, int] = {}  # rank: end of the pause
     pauses_made: list[tuple[int, int, int]] = []  # rank, start, end
@@ -86,9 +86,9 @@
         now = world.kernel.now
         paused = {rank: until for rank, until in paused.items() if until > now}
         while len(paused) < max(1, round(PAUSED_FRACTION * job.size)):
-            rank = int(draw.integers(job.size))
+            rank = int(rng.integers(job.size))
             if rank not in paused:
-                duration = float(draw.uniform(*PAUSE_DURATION))
+                duration = float(rng.uniform(*PAUSE_DURATION))
                 paused[rank] = now + int(duration * SECOND)
                 pauses_made.append((rank, now, paused[rank]))
                 world.pause(rank, duration)
@@ -110,10 +110,10 @@
 def measure_link_failure_detection(job: Job) -> dict[str, Any]:
     """Measure the seconds until any member reports a link that failed in one direction, for six links."""
     world = _world(job)
-    draw = np.random.default_rng([job.seed, 2])
+    rng = np.random.default_rng([job.seed, 2])
     times = []
     for _ in range(6):
-        a, b = (int(rank) for rank in draw.choice(job.size, 2, replace=False))
+        a, b = (int(rank) for rank in rng.choice(job.size, 2, replace=False))
         world.events.clear()
         world.blocked_links = {(a, b)}
         began = world.kernel.now
--- a/lab/node.py
+++ b/lab/node.py
@@ -73,7 +73,7 @@
     """One attempt of a request at a host; it ends exactly once."""
 
     node: Node
-    incarnation: int
+    incarnation: int  # of the gateway process that started it
     request: Request
     number: int
     host: Host
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -82,7 +82,9 @@
 class Customers(Strict):
     """The customers: shares of them use a steady part of their quota, nearly all, more, or come in bursts.
 
-    ``set`` is the number of gateways that serve each customer.
+    ``nearly_full``, ``over`` and ``bursting`` are fractions of the customers, the others have ``steady_use``.
+    The ``_use`` values are demand relative to the quota; ``burst_use`` is that between bursts, and
+    ``burst_factor`` multiplies it during one. ``set`` is the number of gateways that serve each customer.
     """
 
     count: PositiveInt = 100
@@ -114,12 +116,12 @@
 class Network(Strict):
     """One-way delays; each is increased by a random fraction of up to ``jitter``."""
 
-    client: Duration = default_quantity(Duration("600us"))
-    host: Duration = default_quantity(Duration("300us"))
-    across: Duration = default_quantity(Duration("700us"))
-    peer: Duration = default_quantity(Duration("500us"))
+    client: Duration = default_quantity(Duration("600us"))  # between clients and gateways
+    host: Duration = default_quantity(Duration("300us"))  # between gateways and hosts of the same zone
+    across: Duration = default_quantity(Duration("700us"))  # between gateways and hosts of different zones
+    peer: Duration = default_quantity(Duration("500us"))  # between gateways
     jitter: Ratio = 0.3
-    peer_loss: Ratio = 0.03
+    peer_loss: Ratio = 0.03  # fraction of the datagrams between gateways
 
 
 class Discovery(Strict):
@@ -149,7 +151,11 @@
 
 
 class Fault(Strict):
-    """A fault injected at a time for a duration; ``share`` is the fraction of hosts or gateways affected."""
+    """A fault injected at a time for a duration; ``share`` is the fraction of hosts or gateways affected.
+
+    ``factor`` multiplies the demand (overload), divides the speed (slow-hosts) or is the error rate
+    (wrong-hosts). A host fault with a ``zone`` affects only hosts there; cut-zone isolates the zone.
+    """
 
     what: Annotated[FaultKind, Meta(description="one of " + ", ".join(FaultKind.__args__))]
     at: Duration
--- a/lab/simulator.py
+++ b/lab/simulator.py
@@ -27,7 +27,7 @@
 OUTCOMES = {SERVED: api.Outcome.SERVED, FAILED: api.Outcome.ERROR}
 EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
 
-Factory = Callable[[api.Settings, int, int, "World"], DecisionModule]
+Factory = Callable[[api.Settings, int, int, "World"], DecisionModule]  # settings, seed, now, world
 
 
 @dataclass(slots=True)
