--- a/birchdrum/commands_lab.py
+++ b/birchdrum/commands_lab.py
@@ -20,11 +20,11 @@
 @lab.command("list")
 def list_scenarios() -> None:
     """List the included scenarios and the variants that can be compared."""
-    from lab import runs, scenario
+    from lab import scenario, simulations
 
     for name, file in scenario.shipped().items():
         click.echo(f"{name:20} {scenario.load(file).about}")
-    click.echo(f"variants: {', '.join(runs.variants())}")
+    click.echo(f"variants: {', '.join(simulations.variants())}")
 
 
 @lab.command("check")
@@ -67,22 +67,22 @@
     A seed gives every variant the same arrivals, and always the same result, byte for byte. Exit code 0 if
     the gateway broke no rule, else 1.
     """
-    from lab import runs
+    from lab import simulations
 
     try:
-        simulations = runs.plan_simulations(
+        planned_simulations = simulations.plan_simulations(
             _load_scenario(scenario), seeds or (1,), variants or ("birchdrum",), gateways
         )
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     rule_broken = False
-    for simulation in simulations:
+    for simulation in planned_simulations:
         result, cost = simulation.run()
         rule_broken |= simulation.variant == "birchdrum" and bool(result["broken"])
         if as_json:
             click.echo(json.dumps({"variant": simulation.variant, **result}, sort_keys=True))
         else:
-            click.echo(runs.summary_line(simulation, result, cost))
+            click.echo(simulations.summary_line(simulation, result, cost))
     sys.exit(NOT_POSSIBLE if rule_broken else SUCCESS)
 
 
@@ -133,7 +133,7 @@
     from rich.progress import Progress
 
     try:
-        from lab import experiment, runs
+        from lab import experiment, simulations
     except ModuleNotFoundError as missing:
         raise CommandError(
             NOT_POSSIBLE, f"lab compare needs {missing.name}: install birchdrum's extra [lab]"
@@ -141,7 +141,7 @@
 
     try:
         sized_scenarios = [
-            runs.with_gateways(scenario, size)
+            simulations.with_gateways(scenario, size)
             for scenario in map(_load_scenario, scenarios)
             for size in sizes or (None,)
         ]
@@ -158,7 +158,7 @@
             outcome = asyncio.run(
                 experiment.run(planned_runs, out, workers or os.cpu_count() or 1, report_progress)
             )
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     except OSError as error:
         raise CommandError(NOT_POSSIBLE, f"{out}: {(error.strerror or str(error)).lower()}") from None
@@ -174,11 +174,11 @@
 @click.argument("file", type=FILE_PATH)
 def play_again(file: Path) -> None:
     """Repeat the run of a stored result from its file alone; exit code 0 if it gives the same, else 1."""
-    from lab import experiment, runs
+    from lab import experiment, simulations
 
     try:
         identical, text = experiment.rerun_from_file(file)
-    except runs.InvalidRunError as error:
+    except simulations.InvalidRunError as error:
         raise CommandError(USAGE_ERROR, str(error)) from None
     click.echo(text)
     sys.exit(SUCCESS if identical else NOT_POSSIBLE)
@@ -294,16 +294,16 @@
     from lab import model as model_checker
     from orchidlane.membership import Membership
 
-    if unknown := set(kinds) - set(model_checker.KINDS):
+    if unknown := set(kinds) - set(model_checker.FAULT_KINDS):
         raise CommandError(
-            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(model_checker.KINDS)}"
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(model_checker.FAULT_KINDS)}"
         )
     if defect is not None and defect not in defects.CORE_DEFECTS:
         raise CommandError(
             USAGE_ERROR, f"--defect {defect}: expected one of {', '.join(defects.CORE_DEFECTS)}"
         )
     core = defects.CORE_DEFECTS[defect] if defect else Membership
-    result = model_checker.check(core, members, window, faults, kinds or model_checker.KINDS)
+    result = model_checker.check(core, members, window, faults, kinds or model_checker.FAULT_KINDS)
     click.echo(
         f"{result.states} states, {result.paths} paths, {result.revisited} more that ended in a known state"
     )
@@ -414,15 +414,17 @@
     from lab import agreement as simulation
     from registry.agreement import NEVER, WITHIN
 
-    if unknown := set(kinds) - set(simulation.KINDS):
+    if unknown := set(kinds) - set(simulation.FAULT_PROFILES):
         raise CommandError(
-            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(simulation.KINDS)}"
+            USAGE_ERROR, f"--kind {min(unknown)}: expected one of {', '.join(simulation.FAULT_PROFILES)}"
         )
     rule_broken = False
-    for kind in kinds or simulation.KINDS:
+    for kind in kinds or simulation.FAULT_PROFILES:
         for seed in _parse_seeds(seeds):
             change_interval = 4.0 if kind == "calm" else 0.5  # seconds between two changes
-            world = simulation.World(size, seed, simulation.KINDS[kind], change_interval=change_interval)
+            world = simulation.World(
+                size, seed, simulation.FAULT_PROFILES[kind], change_interval=change_interval
+            )
             world.run(span)
             never_overlaps = len(world.overlaps(NEVER))
             longest = world.max_overlap_ratio(WITHIN)
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -32,19 +32,23 @@
     """The hosts that serve requests, distributed evenly over the zones."""
 
     count: PositiveInt = 8
-    slots: PositiveInt = 8
-    waiting: NonNegativeInt = 32
-    spread: NonNegative = 0.6
+    slots: PositiveInt = 8  # requests that run concurrently on a host
+    waiting: NonNegativeInt = 32  # requests that wait for a slot
+    spread: NonNegative = 0.6  # coefficient of variation of service times
     error_rate: Ratio = 0.0
-    cold_from: Ratio = 0.3
-    warm_within: Duration = default_quantity(Duration("8s"))
-    connections: PositiveInt = 256
-    handshake: Duration = default_quantity(Duration("2ms"))
-    idle_close: Duration = default_quantity(Duration("15s"))
+    cold_from: Ratio = 0.3  # speed right after the start, as a fraction of full speed
+    warm_within: Duration = default_quantity(Duration("8s"))  # from the start until full speed
+    connections: PositiveInt = 256  # limit of open connections
+    handshake: Duration = default_quantity(Duration("2ms"))  # to connect, besides a round trip
+    idle_close: Duration = default_quantity(Duration("15s"))  # idle timeout of connections
 
 
 class RequestClass(Strict):
-    """A request class; ``share`` is its weight among all, ``work`` its mean service time on a warm host."""
+    """A request class; ``share`` is its weight among all, ``work`` its mean service time on a warm host.
+
+    A response later than ``aim`` is worth only the fraction ``late_worth`` of ``worth``, one later than
+    ``deadline`` nothing. The hosts of a ``group`` deduplicate requests with a key for ``repeat_window``.
+    """
 
     name: Name
     work: Duration
@@ -61,7 +65,11 @@
 
 
 class Plan(Strict):
-    """A plan: its quota, and its weight among the customers."""
+    """A plan: its quota, and its weight among the customers.
+
+    ``price`` is a factor of the worth of its requests. Units beyond the quota cost the fraction
+    ``beyond_costs`` of their worth.
+    """
 
     name: Name
     rate: Positive
@@ -74,7 +82,9 @@
 class Customers(Strict):
     """The customers: shares of them use a steady part of their quota, nearly all, more, or come in bursts.
 
-    ``set`` is the number of gateways that serve each customer.
+    ``nearly_full``, ``over`` and ``bursting`` are fractions of the customers, the others have ``steady_use``.
+    The ``_use`` values are demand relative to the quota; ``burst_use`` is that between bursts, and
+    ``burst_factor`` multiplies it during one. ``set`` is the number of gateways that serve each customer.
     """
 
     count: PositiveInt = 100
@@ -92,7 +102,10 @@
 
 
 class Clients(Strict):
-    """How clients retry refused requests; ``honour`` is the probability that they wait for retry-after."""
+    """How clients retry refused requests: with probability ``retry``, up to ``tries`` tries in total.
+
+    ``honour`` is the probability that they wait for retry-after, if that is longer than ``backoff``.
+    """
 
     retry: Ratio = 0.5
     tries: PositiveInt = 3
@@ -103,12 +116,12 @@
 class Network(Strict):
     """One-way delays; each is increased by a random fraction of up to ``jitter``."""
 
-    client: Duration = default_quantity(Duration("600us"))
-    host: Duration = default_quantity(Duration("300us"))
-    across: Duration = default_quantity(Duration("700us"))
-    peer: Duration = default_quantity(Duration("500us"))
+    client: Duration = default_quantity(Duration("600us"))  # between clients and gateways
+    host: Duration = default_quantity(Duration("300us"))  # between gateways and hosts of the same zone
+    across: Duration = default_quantity(Duration("700us"))  # between gateways and hosts of different zones
+    peer: Duration = default_quantity(Duration("500us"))  # between gateways
     jitter: Ratio = 0.3
-    peer_loss: Ratio = 0.03
+    peer_loss: Ratio = 0.03  # fraction of the datagrams between gateways
 
 
 class Discovery(Strict):
@@ -138,7 +151,11 @@
 
 
 class Fault(Strict):
-    """A fault injected at a time for a duration; ``share`` is the fraction of hosts or gateways affected."""
+    """A fault injected at a time for a duration; ``share`` is the fraction of hosts or gateways affected.
+
+    ``factor`` multiplies the demand (overload), divides the speed (slow-hosts) or is the error rate
+    (wrong-hosts). A host fault with a ``zone`` affects only hosts there; cut-zone isolates the zone.
+    """
 
     what: Annotated[FaultKind, Meta(description="one of " + ", ".join(FaultKind.__args__))]
     at: Duration
@@ -220,7 +237,7 @@
 
 
 def consistency_errors(scenario: Scenario) -> Iterator[Violation]:
-    """Check constraints between fields, and yield those violated."""
+    """Check constraints between fields, and yield the violations."""
     customers = scenario.customers
     if not scenario.lasts.base:
         yield Violation("lasts", f'"{scenario.lasts}"', "expected above 0")
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,7 +1,7 @@
 """Runs one simulation in a separate process: JSON description on stdin, result on stdout.
 
 Run it with ``-P``. To use the decisions of another revision, put a folder with that revision's ``orchidlane``
-first on the path.
+first on PYTHONPATH.
 """
 
 from __future__ import annotations
@@ -14,17 +14,20 @@
 import orchidlane
 from ops.checking import validate
 
-from . import runs
+from . import simulations
 from .earlier_decisions import provide_current_names
 from .scenario import Scenario, consistency_errors
 
 
 def run_simulation(description: dict[str, Any]) -> dict[str, Any]:
-    """Run the simulation described by ``scenario`` (as in a file), ``seed`` and ``variant``."""
+    """Run a simulation, described by ``scenario`` (as in a file), ``seed`` and ``variant``.
+
+    Return its result, its cost and the path of the decisions that it used.
+    """
     scenario, errors = validate(description["scenario"], Scenario)
     if scenario is None or (errors := list(consistency_errors(scenario))):
-        raise runs.InvalidRunError("; ".join(map(str, errors)))
-    result, cost = runs.Simulation(scenario, int(description["seed"]), description["variant"]).run()
+        raise simulations.InvalidRunError("; ".join(map(str, errors)))
+    result, cost = simulations.Simulation(scenario, int(description["seed"]), description["variant"]).run()
     timing = {
         "seconds": round(cost.seconds, 3),
         "decision_us": round(cost.decision_us, 1),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from command import refused, run
 from msgspec.structs import replace
 
-from lab import experiment, judge, runs, scenario, virtual
+from lab import experiment, judge, scenario, simulations, simulator
 from lab.station import FAILED, FULL, LATE, SERVED, Machine, Station, Ticket
 from ops.checking import to_plain
 from ops.units import Duration
@@ -63,7 +63,7 @@
     clock = Clock()
     generator = np.random.default_rng(7)
     mean_work = 0.05
-    machine = Machine(slots=servers, waiting=10**9, default_work=mean_work, exponential=True)
+    machine = Machine(slots=servers, queue_capacity=10**9, default_work=mean_work, exponential=True)
     station = Station(machine, np.random.default_rng(8), clock.now, clock.call_later)
     rate = servers * utilization / mean_work
     waits = []
@@ -97,7 +97,9 @@
 def test_each_ticket_reports_its_outcome_exactly_once():
     clock = Clock()
     outcomes = []
-    machine = Machine(slots=2, waiting=5, default_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0)
+    machine = Machine(
+        slots=2, queue_capacity=5, default_work=0.1, error_rate=0.3, cold_from=0.5, warm_within=3.0
+    )
     station = Station(machine, np.random.default_rng(1), clock.now, clock.call_later)
     tickets = [Ticket(b"x", b"%d" % (i % 90), 0.02 * i + 0.2, outcomes.append) for i in range(100)]
     for i, ticket in enumerate(tickets):
@@ -158,7 +160,7 @@
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
     """Runs the small scenario with changes; returns the result."""
-    return runs.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
+    return simulations.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
 @pytest.mark.parametrize("troubles", TROUBLES, ids=lambda rows: rows[0].what)
@@ -195,7 +197,7 @@
     Splitting quotas evenly refuses customers whose requests arrive unevenly; the whole quota at each gateway
     lets greedy customers exceed it.
     """
-    normal = {name: play(variant=name, lasts=Duration("12s")) for name in runs.variants()}
+    normal = {name: play(variant=name, lasts=Duration("12s")) for name in simulations.variants()}
     greedy_customers = replace(SMALL.customers, bursting=0.4, burst_use=1.5)
     names = ("birchdrum", "whole-quota", "oracle")
     greedy = {name: play(variant=name, lasts=Duration("12s"), customers=greedy_customers) for name in names}
@@ -261,7 +263,7 @@
     once_kinds = [replace(kind, effect="once") for kind in SMALL.kinds]
     troubles = [trouble("drain-hosts", share=1.0)] if rule == "sent after a drain" else []
     small = replace(SMALL, kinds=once_kinds, troubles=troubles)
-    world = virtual.World(small, 1, lambda settings, seed, now, world: FaultyGateway(settings, world, rule))
+    world = simulator.World(small, 1, lambda settings, seed, now, world: FaultyGateway(settings, world, rule))
     result = world.run()
     assert set(result["broken"]) == {rule}
     breach = result["breaches"][0]
