--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidlane.agreed import Holder
+from orchidlane.settings_lease import Holder
 from registry.agreement import DRIFT, NEVER, WITHIN, Conflict, PersistedState, Source, max_overlap_us
 
 from .kernel import START_TIME, Kernel, UniformStream, random_generator
--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from orchidlane.agreed import Holder
+from orchidlane.settings_lease import Holder
 from registry.agreement import NEVER, WITHIN, PersistedState, Source, max_overlap_us
 
 from .model import MESSAGE_FAULTS, Fault, SearchResult, explore, member_and_message_faults
--- a/lab/defects.py
+++ b/lab/defects.py
@@ -11,8 +11,8 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
+from orchidlane.member_gossip import MEMBER
 from orchidlane.member_messages import InvalidMessage, Message, Row, RowKind
-from orchidlane.member_news import MEMBER
 from orchidlane.membership import Membership
 from saffrongw import places
 from saffrongw.config import Address
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -20,9 +20,9 @@
 from collections.abc import Iterable
 
 from . import member_messages as messages
+from .member_gossip import LAST_SEEN, SUSPICION, GossipQueue
 from .member_links import Links
 from .member_messages import Message, MessageKind, Row, RowKind
-from .member_news import LAST_SEEN, SUSPICION, GossipQueue
 from .member_state import ACTIVE_STATES, ROW_KINDS, Action, LogEvent, Member, Probe, Send, State, View
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -1,7 +1,7 @@
 """Leased agreement on settings versions: a new version takes effect only once no gateway can act by the old.
 
 The module does no I/O and reads no clock; callers pass microseconds of a monotonic clock.
-``orchidlane/agreed.py`` is the gateway's side. A change has one of three rules:
+``orchidlane/settings_lease.py`` is the gateway's side. A change has one of three rules:
 
     together  old and new values may be in force at the same time: effective immediately
     within    they may for a bounded time: effective once every holder can apply the new version; a holder
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -9,7 +9,7 @@
 
 from lab import agreement_model
 from lab.agreement import DRIFT, KINDS, World
-from orchidlane.agreed import EffectiveSettings, Holder
+from orchidlane.settings_lease import EffectiveSettings, Holder
 from registry.agreement import (
     LEASE_MS,
     NEVER,
