--- a/lab/defects.py
+++ b/lab/defects.py
@@ -62,8 +62,8 @@
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _apply_doubt(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
-        super()._apply_doubt(now, member, row, evidence_at)
+    def _apply_suspicion(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
+        super()._apply_suspicion(now, member, row, evidence_at)
         if row.kind is RowKind.DEAD and member.state in state.ACTIVE_STATES:
             self._set_state(now, member, state.State.DEAD)
         return False
--- a/lab/member_baselines.py
+++ b/lab/member_baselines.py
@@ -77,9 +77,9 @@
     def _handle_acknowledged(self, now: int, member: state.Member, acknowledged: int) -> None:
         return
 
-    def _apply_doubt(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
+    def _apply_suspicion(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
         member.last_seen = 0
-        super()._apply_doubt(now, member, row, evidence_at)
+        super()._apply_suspicion(now, member, row, evidence_at)
         if (
             row.kind is RowKind.DEAD
             and member.state in state.ACTIVE_STATES
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -566,7 +566,7 @@
                     self._set_state(now, member, State.ALIVE)
                 self.gossip.add(now, row)
         elif row.incarnation >= member.incarnation:
-            return self._apply_doubt(now, member, row, evidence_at)
+            return self._apply_suspicion(now, member, row, evidence_at)
         return False
 
     def _apply_last_seen(self, now: int, member: Member, seen_at: int, observer: int) -> None:
@@ -583,7 +583,7 @@
         if self._gossip_last_seen(now, member) and cleared:
             self._gossip_now(now)
 
-    def _apply_doubt(self, now: int, member: Member, row: Row, evidence_at: int) -> bool:
+    def _apply_suspicion(self, now: int, member: Member, row: Row, evidence_at: int) -> bool:
         """Apply a SUSPECT or DEAD row. Each member waits for its own suspicion timeout, which a DEAD row
         shortens to half the minimum. Returns whether we have newer evidence that the member is alive."""
         if member.last_seen > evidence_at + EVIDENCE_MARGIN and member.state in ACTIVE_STATES:
