--- a/lab/defects.py
+++ b/lab/defects.py
@@ -73,7 +73,7 @@
     """Keeps running beside a newer process of the same rank."""
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
-        if row.life <= self.life or now - self.started_at <= membership.TWIN_GRACE:
+        if row.life <= self.life or now - self.started_at <= membership.EARLIER_LIFE_GRACE:
             super()._apply_row_about_self(now, row)
 
 
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -55,7 +55,9 @@
 PROBE_RESERVE = 6.0  # send tokens reserved for pings and acks, ahead of help for others
 FRESH_SENDERS_NEEDED = 3  # members (or all active ones) to be received from after a pause until doubt ends
 CUT_OFF_GRACE = 30 * SECOND  # for this long, a gateway that receives nothing declares no member dead
-TWIN_GRACE = 2 * SECOND  # a newer life reported within this time after the start is of an earlier process
+EARLIER_LIFE_GRACE = (
+    2 * SECOND
+)  # a newer life reported within this time after the start is of an earlier process
 
 
 class Membership:
@@ -613,7 +615,7 @@
         if self.yielded:
             return
         if row.life > self.life:
-            if now - self.started_at > TWIN_GRACE:
+            if now - self.started_at > EARLIER_LIFE_GRACE:
                 self.yielded = True
                 self.actions.append(LogEvent("twin", {"life": self.life, "newer_life": row.life}))
                 return
