--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -47,7 +47,7 @@
 OWNER_WAIT_TIMEOUT = 100 * MS  # longest wait of a request for the owner's answer
 NEW_COUNT_TICKS = 1000 // messages.TICK_MS  # an unknown count that began earlier is in the total already
 OWNER_QUERIES_MAX = 2  # per request, as the query or the answer may be lost
-ISOLATION_MIN_UNRESPONSIVE = 4  # with this many and no message from any gateway, this one is isolated
+ISOLATION_SILENT_PEERS_MIN = 4  # with this many and no message from any gateway, this one is isolated
 PEER_DRAWS_MAX = 4  # draws for an available peer; a round is skipped where most are unavailable
 
 # Unanswered queries in a row after which a gateway is unresponsive for a while; a single one may be lost.
@@ -609,7 +609,7 @@
         """
         if self.membership:
             return self.membership.isolated
-        if len(self.unresponsive) < ISOLATION_MIN_UNRESPONSIVE:
+        if len(self.silent_peers) < ISOLATION_SILENT_PEERS_MIN:
             return False
         return self.now - self.any_received_at > 2 * ANSWER_TIMEOUT
 
@@ -718,7 +718,7 @@
             return
         count, _ = self.unanswered_queries.get(query.rank, (0, 0))
         self.unanswered_queries[query.rank] = count + 1, self.now
-        self.unresponsive.add(query.rank)
+        self.silent_peers.add(query.rank)
         account = self.accounts.get(query.customer)
         if account and query.owner_index != NO_OTHER_OWNER:
             self._notify_owner(account, query.owner_index + 1)
@@ -841,7 +841,7 @@
 
         self.any_received_at = self.now
         self.last_received[event.sender] = self.now
-        self.unresponsive.clear()
+        self.silent_peers.clear()
         self.unanswered_queries.pop(event.sender, None)
 
         merged = []
--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -207,7 +207,7 @@
         self.last_received: dict[int, int] = {}  # by rank: time of its last message
         self.any_received_at = 0  # time of the last message from any gateway
         self.unanswered_queries: dict[int, tuple[int, int]] = {}  # by rank: their number, time of the last
-        self.unresponsive: set[int] = set()  # ranks that left a query unanswered since any_received_at
+        self.silent_peers: set[int] = set()  # ranks that left a query unanswered since any_received_at
         self.pending_answers: deque[PendingAnswer] = deque()
 
         self.hosts: dict[api.Server, Host] = {}
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -647,10 +647,10 @@
     for customer in range(6):
         bench.ask(customer + 1, customer=customer, size=12)
     bench.run(SECOND)
-    assert len(bench.gateway.unresponsive) >= 4
+    assert len(bench.gateway.silent_peers) >= 4
     account = bench.gateway._account(7, 0, 0, 12, trusted=True)
     bench.gateway._refill(account)
     assert account.isolated_share == pytest.approx(1 / 12)
     deliver(bench, 5, customer_row([], customer=8, size=12))
     bench.gateway._refill(account)
-    assert account.isolated_share == 0.0 and not bench.gateway.unresponsive
+    assert account.isolated_share == 0.0 and not bench.gateway.silent_peers
