--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -40,7 +40,7 @@
     forward_count: int
     remaining: float
     total: float
-    ceiling_tokens: float
+    tokens: float
     counts: tuple[tuple[int, int, float], ...]
 
 
@@ -85,7 +85,7 @@
         out,
         int(row.remaining * SCALE),
         int(row.total * SCALE),
-        int(row.ceiling_tokens * SCALE),
+        int(row.tokens * SCALE),
         len(row.counts),
     )
     for rank, start, value in row.counts:
@@ -127,9 +127,7 @@
             for _ in range(ROW_HEADER_FIELDS):
                 value, offset = read_varint(body, offset)
                 fields.append(value)
-            customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, count_number = (
-                fields
-            )
+            customer, plan, first, size, forward_count, remaining, total, tokens, count_number = fields
             if (
                 plan >= plans
                 or first >= ranks
@@ -146,7 +144,7 @@
                 if position >= size:
                     return None
                 counts.append(((first + position) % ranks, ticks - age, value / SCALE))
-            amounts = remaining / SCALE, total / SCALE, ceiling_tokens / SCALE
+            amounts = remaining / SCALE, total / SCALE, tokens / SCALE
             rows.append(Row(customer, plan, first, size, forward_count, *amounts, tuple(counts)))
         flags = body[1]
         return Message(sent_ms, bool(flags & FLAG_EXPECTS_ANSWER), bool(flags & FLAG_TO_OWNER), tuple(rows))
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -848,7 +848,7 @@
         for row in message.rows:
             if self._position(self.rank, row.set_first) < row.set_size:
                 account = self._merge_row(row, event.sender, max(0, age), message.to_owner)
-                merged.append((account, row.ceiling_tokens if message.to_owner else 0.0))
+                merged.append((account, row.tokens if message.to_owner else 0.0))
                 self._broadcast(account, min(row.forward_count, account.set_size - 1))
                 if message.to_owner:
                     self._broadcast_if_throttled(account)
@@ -905,7 +905,7 @@
         plan = self.settings.plans[account.plan]
         self._refill(account)
         if not to_owner:
-            granted = min(row.ceiling_tokens, account.requested_tokens)
+            granted = min(row.tokens, account.requested_tokens)
             account.ceiling_tokens += granted
             account.requested_tokens -= granted
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -39,10 +39,10 @@
     first=0,
     size=3,
     plan=0,
-    ceiling_tokens=0.0,
+    tokens=0.0,
 ) -> Row:
     """The row of a customer in a message from a peer."""
-    return Row(customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, tuple(counts))
+    return Row(customer, plan, first, size, forward_count, remaining, total, tokens, tuple(counts))
 
 
 def bench_with_account(**changes) -> Bench:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -253,7 +253,7 @@
     for _ in range(5):
         for action in of(deliver(bench, other, ceiling_row(5.0), to_owner=True), api.SendPeerMessage):
             message = messages.unpack(action.body, bench.now // 1_000, 3, 4)
-            granted += message.rows[0].ceiling_tokens if not message.to_owner else 0.0
+            granted += message.rows[0].tokens if not message.to_owner else 0.0
     assert 10.0 < granted <= 16 * 2 / 3
 
 
