--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -158,8 +158,8 @@
             [server.encode("latin-1") for server in state["names"]],
             [server.encode("latin-1") for server in state["banned"]],
             {
-                server.encode("latin-1"): (int(until), int(after))
-                for server, until, after in state["returned"]
+                server.encode("latin-1"): (int(ends_at), int(next_at))
+                for server, ends_at, next_at in state["returned"]
             },
             {int(rank): int(received_at) for rank, received_at in state["heard"]},
             [int(customer) for customer in state["changed"]],
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -427,11 +427,11 @@
     def _reject(self, request: Request, cause: Cause = Cause.EXHAUSTED) -> None:
         """Give a final answer: refuse where the client may safely retry, else fail."""
         request_class = request.request_class
-        has_run = request.first_possibly_executed is not None
+        may_have_run = request.first_possibly_executed is not None
         is_repeatable = request_class.effect is Effect.SAFE or (
             request_class.effect is Effect.KEYED and request_class.group is Group.ALL
         )
-        if is_repeatable or not has_run:
+        if is_repeatable or not may_have_run:
             longest = min(RETRY_AFTER_SHARE * request_class.target_latency, self.settings.max_retry_after)
             retry_after = request.retry_after(self.settings.plans, RESUME_ABOVE, longest)
             self.actions.append(api.Refuse(request.event.request, retry_after, cause))
@@ -813,7 +813,7 @@
         return True
 
     def _pack_row(
-        self, account: Account, reach: int, tokens: float = 0.0, include_own: bool = False
+        self, account: Account, forward_count: int, tokens: float = 0.0, include_own: bool = False
     ) -> bytes:
         """The account as a row of a message, with the counts that changed last."""
         self._refill(account)
@@ -822,7 +822,13 @@
             ranks = (*ranks, self.rank)[-ROW_COUNTS_MAX:]
         counts = tuple((rank, *account.counts[rank]) for rank in dict.fromkeys(ranks))
         row = messages.Row(
-            account.customer, *account.placement, reach, account.remaining, account.total, tokens, counts
+            account.customer,
+            *account.placement,
+            forward_count,
+            account.remaining,
+            account.total,
+            tokens,
+            counts,
         )
         return messages.pack_row(row, self.now // MS, self.settings.gateways)
 
@@ -914,12 +920,12 @@
             # Only this gateway changes its own count; what it counted before a restart is in the total.
             if rank == self.rank:
                 continue
-            is_new = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
+            is_unreported = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
             growth = self._merge_count(account, rank, start, value)
             if growth:
                 account.peer_approvals = (*account.peer_approvals, self.now)[-max(1, plan.max_open) :]
             growth -= self._take_reserved(account, rank, growth)
-            if rank == sender and to_owner and is_new:
+            if rank == sender and to_owner and is_unreported:
                 unreported += growth
         if unreported:
             # Rows that are broadcast reach all gateways without gossip.
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -154,10 +154,10 @@
     number, offset, count = _SERVER_LIST.unpack_from(body, start)
     raw = _slice(tail, offset, count * SERVER_ENTRY.size)
     entries = []
-    for share, _kind, server, zone, launched, phase, cell in SERVER_ENTRY.iter_unpack(raw):
+    for size, _kind, server, zone, launched, phase, cell in SERVER_ENTRY.iter_unpack(raw):
         if phase > 2:
             raise WireError(f"unknown phase {phase}")
-        entries.append(api.ServerEntry(server, api.Phase(phase), zone, cell, launched, share))
+        entries.append(api.ServerEntry(server, api.Phase(phase), zone, cell, launched, size))
     decoder.lists[number] = tuple(entries)
 
 
