--- a/orchidlane/interface.py
+++ b/orchidlane/interface.py
@@ -34,7 +34,7 @@
 
     SERVED = "served"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the server refused it without executing it
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     BROKEN = "broken"
@@ -64,7 +64,7 @@
 
     CHANGES = 0
     WHOLE = 1
-    CACHED = 2
+    CACHED = 2  # whole, known before discovery has answered
     FAILED = 3
 
 
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a gateway, fixed at its start."""
+    """Settings of a gateway, fixed at its start; ``rules.py`` does not use all of them."""
 
     rank: int
     gateways: int
@@ -119,7 +119,7 @@
     may_copy: bool
     max_attempts: int
     max_retry_after: int
-    peer_intake: float
+    peer_intake: float  # messages a second that the gateway may send to its peers
     peer_charge: float
     probe_charge: float
     waste_charge: float
@@ -129,8 +129,8 @@
     ask_within: int
     reports: Reports
     report_names: tuple[str, ...]
-    cold_from: float
-    warm_within: int
+    cold_from: float  # capacity of a server at its start, as a fraction of its capacity when warm
+    warm_within: int  # time from its start until it is warm
     fall_multiple: float
     overload_for: int
     drain_grace: int
--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -6,7 +6,7 @@
             other gateways), u32 send time in ms (its low bits)
     row     customer, plan, first gateway of the customer's set, size of the set, number of gateways in the
             set that the receiver must forward the update to, remaining units, total of units known to be
-            spent, ceiling tokens requested (flag 2) or granted, all units in 1/16, number of counts, counts
+            spent, tokens requested (flag 2) or granted, these three in 1/16, number of counts, counts
     count   position of the gateway in the set (0: the first), age of the count's start in 1/16 s,
             value in 1/16 units
 """
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """State of one customer as the sender knows it; counts are (rank, start in ticks, value)."""
+    """State of one customer as the sender knows it; counts are (rank, start in ticks, value).
+
+    ``tokens``: ceiling tokens requested or granted; without a ceiling, the units of quota requested.
+    """
 
     customer: int
     plan: int
@@ -64,7 +67,7 @@
 
 
 def read_varint(body: bytes, offset: int) -> tuple[int, int]:
-    """Decode an integer; returns it and the offset behind it. Raises ValueError or IndexError."""
+    """Decode an integer. Return it and the offset after it; raises ValueError or IndexError."""
     byte = body[offset]
     if byte < 0x80:
         return byte, offset + 1
@@ -94,7 +97,7 @@
 
 
 def fit_rows(rows: Iterable[bytes]) -> list[bytes]:
-    """The leading rows that fit into one message."""
+    """Return the leading rows that fit into one message."""
     fitting: list[bytes] = []
     space = MESSAGE_BYTES_MAX - HEADER_BYTES
     for row in rows:
@@ -112,7 +115,7 @@
 
 
 def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
-    """Decode a message; None if it is malformed or refers to plans or gateways that do not exist.
+    """Decode a message. Return None if it is malformed or refers to unknown plans or gateways.
 
     The low bits of the send time are completed to the time that is nearest to ``now`` (in ms).
     """
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -5,9 +5,9 @@
 answer. Every send passes ``_send_attempt``; every final answer that the gateway itself gives passes
 ``_reject``.
 
-Quotas are grow-only counters with one entry per gateway, spread by gossip within the customer's gateway set.
-One gateway of the set, the customer's owner, is notified of each approval, so that it knows what is spent.
-It also grants ceiling tokens to the others.
+Units spent are counted in grow-only counters (G-counters) with one entry per gateway, spread by gossip
+within the customer's gateway set. One gateway of the set, the customer's owner, is notified of each approval,
+so that it knows what is spent. It also grants ceiling tokens to the others.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 INTAKE_SHARE = 0.8  # of the allowed message rate that is used; the rest absorbs jitter
 GOSSIP_INTERVAL = 300 * MS  # urgent changes are broadcast at once
 FAN_OUT = 12  # gateways notified directly by a broadcast; each forwards it to its section of the set
-ROW_COUNTS_MAX = 3  # counts per row; changes of others are covered by the row's total
+ROW_COUNTS_MAX = 3  # counts per row; the total in the row covers the counts that are left out
 
 # Customers examined per message and per eviction pass, to bound the work of one event.
 GOSSIP_SCAN_MAX = 32
@@ -35,7 +35,7 @@
 
 MESSAGE_AGE_MAX = 5 * SECOND  # messages older than this, or dated this far ahead, are dropped
 
-# Parts of the burst. Below the first a customer is throttled, until the second is available again.
+# Fractions of the burst. Below the first a customer is throttled, until the second is available again.
 THROTTLE_BELOW = 0.25
 RESUME_ABOVE = 0.6
 
@@ -45,9 +45,9 @@
 OWNER_HASH_MULTIPLIER = 2_654_435_761  # spreads customers over the gateways of their sets
 OWNER_CANDIDATES = 3  # gateways of a set that are tried as owner
 OWNER_WAIT_TIMEOUT = 100 * MS  # longest wait of a request for the owner's answer
-NEW_COUNT_TICKS = 1000 // messages.TICK_MS  # an unknown count that began earlier is in the total already
+NEW_COUNT_TICKS = 1000 // messages.TICK_MS  # 1 s: an unknown count that began earlier is in the total already
 OWNER_QUERIES_MAX = 2  # per request, as the query or the answer may be lost
-ISOLATION_SILENT_PEERS_MIN = 4  # with this many and no message from any gateway, this one is isolated
+ISOLATION_SILENT_PEERS_MIN = 4  # with this many and no message from any peer, this gateway is isolated
 PEER_DRAWS_MAX = 4  # draws for an available peer; a round is skipped where most are unavailable
 
 # Unanswered queries in a row after which a gateway is unresponsive for a while; a single one may be lost.
@@ -57,12 +57,16 @@
 # Servers
 
 CONCURRENCY_SMOOTHING = 8.0  # open attempts added to both sides of a comparison, against small-number noise
-BASE_LOAD = 2.0  # requests added to a server's known load, so that first estimates are alike
-INITIAL_TARGET_SHARE = 0.25  # of the target latency: the response time assumed of an idle server
+BASE_LOAD = 2.0  # requests added to a server's open attempts, so that first estimates are similar
+INITIAL_TARGET_SHARE = 0.25  # of the target latency: the first and the largest usual response time
 EWMA_WEIGHT = 0.15  # weight of the newest sample in moving averages
-DECAY_TIME = 3 * SECOND  # time constant by which health stats decay, so that traffic returns gradually
+
+# Time constant by which health stats decay, so that traffic returns gradually. Also the time until an
+# unresponsive gateway is queried again.
+DECAY_TIME = 3 * SECOND
+
 SLOWDOWN_MAX = 8.0  # cap on the slowdown that a single answer may show
-FAILURE_WEIGHT = 3.0  # increase of the expected response time per recent failure
+FAILURE_WEIGHT = 3.0  # relative increase of the expected response time per recent failure
 CANDIDATES_MAX = 12  # servers compared for one request
 HANDSHAKE_PENALTY = 0.5  # extra cost of a server without a free connection: one more request at idle load
 CONNECTION_IDLE_TIMEOUT = 5 * SECOND  # connections are assumed closed this long after the last answer
@@ -82,7 +86,10 @@
 # Retries allowed per request on average, and the largest saved budget, against retry storms.
 RETRY_BUDGET_RATIO = 0.05
 RETRY_BUDGET_MAX = 5.0
-SHED_SHARE = 0.15  # of the time between usual and target latency: longer expected times are shed
+
+# Of the time between usual response time and target latency: the part that the expected response time may
+# take up. Requests expected to take longer are shed.
+SHED_SHARE = 0.15
 
 # Of the target latency: longest retry-after given to a client. A client that waits longer would spend quota
 # on an answer that is late.
@@ -118,14 +125,14 @@
         self.allowance_refilled_at = now
 
     def start(self) -> list[api.Action]:
-        """The actions to begin with."""
+        """Return the actions to begin with."""
         actions: list[api.Action] = [api.SetTimer(GOSSIP_INTERVAL, GOSSIP_TIMER)]
         if self.settings.asks_for_list:
             actions.append(api.WatchList())
         return actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Handle one event, by the method named after its topic; returns the actions to carry out."""
+        """Handle one event by the method named after its topic. Return the actions to carry out."""
         self.now = now
         self.actions = []
         # Streams, probes and the shared counter need no decision and have no method.
@@ -176,7 +183,7 @@
         self._send_attempt(request, host)
 
     def _latest_send_time(self, request: Request) -> int:
-        """When a request that could not be sent is rejected.
+        """Return the time at which a request that could not be sent is rejected.
 
         One that no server can have run is rejected after half of its time, so that its client can still
         retry elsewhere.
@@ -188,7 +195,7 @@
         return request.deadline - margin
 
     def _should_shed(self, request: Request, host: Host) -> bool:
-        """Whether the request is expected to be answered too late to be sent to this server.
+        """Return whether the request is expected to be answered too late to be sent to this server.
 
         A request that the owner approved is sent anyway, as its units are spent there already.
         """
@@ -197,7 +204,7 @@
         return self._expected_time(host, request.event.kind) > self._latency_limit(request)
 
     def _query_owner(self, request: Request, candidates: int, latest_send: int) -> bool:
-        """Query the customer's owner and let the request wait for the answer; false: it need not wait.
+        """Query the customer's owner if needed, and return whether the request has to wait for the answer.
 
         The owner is queried where only it knows what is spent, or has ceiling tokens to grant.
         """
@@ -229,7 +236,7 @@
         return True
 
     def _responsive_owner(self, account: Account, candidates: int, is_repeat: bool) -> int | None:
-        """Index of the first candidate owner that is available and answers queries."""
+        """Return the index of the first candidate owner that is available and answers queries."""
         for index in range(min(candidates, account.set_size)):
             rank = self._owner(account, index)
             if rank not in self.unavailable and not self._is_unresponsive(rank, is_repeat):
@@ -237,7 +244,7 @@
         return None
 
     def _refusal_cause(self, request: Request) -> Cause | None:
-        """Check limit of open requests, quota and ceiling before a request is first sent."""
+        """Return why a limit forbids the first attempt, None if it is allowed; sets the request's account."""
         # Looked up again each time, as an idle account may be evicted while a request waits.
         event = request.event
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
@@ -250,7 +257,8 @@
 
         remaining = account.remaining
         if account.unconfirmed and self.rank in account.counts:
-            # What peers spent is unknown: this gateway's share of the burst, but at least one request.
+            # What peers spent is unknown, so this gateway grants only its share of the burst, but always the
+            # first request.
             _, own_units = account.counts[self.rank]
             remaining = min(remaining, plan.burst / account.set_size - own_units)
         if plan.rate and (account.throttled or remaining < event.units):
@@ -261,19 +269,22 @@
         return None
 
     def _open_requests(self, account: Account, kind: int) -> int:
-        """Open requests of the customer; those approved by peers are assumed to take the usual time."""
+        """Count the customer's open requests; those approved by peers are assumed to take the usual time."""
         usual_time = self.usual_times[kind]
         recent_approvals = sum(self.now - at < usual_time for at in account.peer_approvals)
         return account.open_attempts + recent_approvals
 
     def _latency_limit(self, request: Request) -> float:
-        """The longest expected response time at which a request is not shed: it must still be in time."""
+        """Return the expected response time above which a request is shed, as it would be too late."""
         usual_time = self.usual_times[request.event.kind]
         latest = min(request.request_class.target_latency, request.event.time_left)
         return usual_time + SHED_SHARE * max(0.0, latest - usual_time)
 
     def _choose_server(self, request: Request) -> Host | None:
-        """The server expected to answer soonest among those that may run this request."""
+        """Return the server expected to answer soonest among those that may run this request.
+
+        A reinstated server that is due for a trial, or a cold one that was drawn, goes first.
+        """
         if host := self._due_reinstated_server(request) or self._draw_cold_server(request):
             return host
         pool = self.warm.hosts
@@ -285,7 +296,7 @@
         return min(usable, key=lambda host: self._cost(request, host), default=None)
 
     def _cost(self, request: Request, host: Host) -> float:
-        """Expected response time, raised where a handshake or another failure is likely."""
+        """Return the expected response time, raised where a handshake or another failure is likely."""
         cost = self._expected_time(host, request.event.kind)
         cost *= 1 + COST_JITTER * self.random.random()
         is_idle = self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT
@@ -298,7 +309,7 @@
         return cost
 
     def _may_send(self, request: Request, host: Host) -> bool:
-        """Whether the request may be sent to this server without the risk of being executed twice.
+        """Return whether the request may be sent to this server without the risk of being executed twice.
 
         A keyed request that may have run may only be retried where its key is still known: at servers that
         deduplicate together with the first one, within the dedup window.
@@ -318,7 +329,7 @@
         return not launched or self.now - launched >= self.settings.warm_within
 
     def _due_reinstated_server(self, request: Request) -> Host | None:
-        """A reinstated server that is due for a trial request.
+        """Return a reinstated server that is due for a trial request.
 
         With little traffic it would otherwise not be chosen, as the others have better stats.
         """
@@ -336,14 +347,14 @@
         return None
 
     def _reinstated_trial_spacing(self) -> int:
-        """Interval between one gateway's trials that keeps those of all gateways below the limit."""
+        """Return the interval of one gateway's trials that keeps those of all gateways below the limit."""
         return (self.settings.gateways - 1) * self.settings.overload_for // REINSTATED_TRIALS_MAX
 
     def _draw_cold_server(self, request: Request) -> Host | None:
-        """Slow start: the cold server that this attempt's random draw selects, if any.
+        """Return the cold server that this attempt's random draw selects, if any (slow start).
 
         Each attempt draws one of all servers, and a cold one is used with a probability that grows with its
-        capacity. This also holds in sum over many gateways that each send to it only rarely.
+        capacity. Its share is thereby limited also if many gateways each send to it only rarely.
         """
         while self.warming and self._is_warm(self.warming[0]):
             self.promote_oldest()
@@ -482,7 +493,7 @@
             self.reinstated[event.server] = self.now + REINSTATED_TRIAL_TIME, first_trial_at
 
     def _expected_time(self, host: Host, kind: int) -> float:
-        """Expected response time, from recent response times, current load and time of silence."""
+        """Return the expected response time, from recent ones, the load and the time of silence."""
         # A server without recent samples is assumed to be like the others.
         fleet, _ = self._fleet_stats(host).decayed(self.now, DECAY_TIME)
         (slowdown, typical_load), failures = host.decayed(self.now, DECAY_TIME, fleet)
@@ -499,11 +510,11 @@
         return time
 
     def _fleet_stats(self, host: Host) -> HealthStats:
-        """Stats of all warm or all cold servers: one that just started was not part of an overload."""
+        """Return the stats of all warm or all cold servers; cold ones had no part in an earlier overload."""
         return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Update the health stats by an outcome; they decay, so that traffic returns gradually."""
+        """Update the health stats of the server, its zone and the fleet by an outcome."""
         host = attempt.host
         zone = self.zone_stats[host.entry.zone]
         fleet = self._fleet_stats(host)
@@ -512,12 +523,12 @@
         self._record_connection(host, event)
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self._record_response_time(attempt, kind, event.duration)
-        # Counted for the zone too: in a network partition each of its servers would else be tried in turn.
+        # Counted for the zone too: in a network partition its servers would otherwise be tried in turn.
         for stats in (host, zone):
             if event.outcome is Outcome.SERVED:
                 stats.failures /= 2
             elif event.outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
-                stats.failures = min(stats.failures + 1, 1 / EWMA_WEIGHT)  # so that it recovers soon
+                stats.failures = min(stats.failures + 1, 1 / EWMA_WEIGHT)  # capped, so that it recovers soon
 
     def _record_connection(self, host: Host, event: api.AttemptEnded) -> None:
         """Update the estimate of open connections to a server."""
@@ -547,7 +558,7 @@
     # -- quotas -------------------------------------------------------------------------------------------
 
     def _account(self, customer: int, plan: int, first: int, size: int, trusted: bool) -> Account:
-        """The customer's account, created if there is none.
+        """Return the customer's account, created if there is none.
 
         The placement given by a request (trusted) replaces a stored one; that given by a peer does not.
         """
@@ -568,7 +579,7 @@
         account.refilled_at = self.now
         self._refill_ceiling(account, plan, elapsed)
 
-        # Peers that are silent do not reduce what is granted here, as most of them are down.
+        # Silent peers do not reduce what is granted here, since most silent peers are down.
         share = 1 / account.set_size if self.gossip_disabled else 1.0
         burst = plan.burst * share
         if self._is_isolated():
@@ -593,7 +604,7 @@
         account.ceiling_tokens = min(plan.ceiling_burst * share, account.ceiling_tokens + gained)
 
     def _ceiling_share(self, account: Account) -> float:
-        """Part of the ceiling that this gateway may send without a grant.
+        """Return the part of the ceiling that this gateway may send without a grant.
 
         Each gateway refills its part from empty at its start. Half of the ceiling belongs to the owner, which
         grants tokens from it and deducts them before it answers.
@@ -603,7 +614,7 @@
         return parts / (2 * account.set_size)
 
     def _is_isolated(self) -> bool:
-        """Whether this gateway is cut off from its peers.
+        """Return whether this gateway is cut off from its peers.
 
         A few silent peers are assumed to be down, with their clients coming here.
         """
@@ -614,7 +625,10 @@
         return self.now - self.any_received_at > 2 * ANSWER_TIMEOUT
 
     def _local_share(self, account: Account) -> float:
-        """Part of the customer's spending that went through this gateway; 1 / set size if unknown."""
+        """Return the part of the customer's spending that went through this gateway.
+
+        A burst spent evenly by the whole set is added, so it is 1 / set size before anything is spent.
+        """
         burst = self.settings.plans[account.plan].burst
         if not burst:
             return 1.0
@@ -622,7 +636,7 @@
         return min(1.0, (own_units + burst / account.set_size) / (account.total + burst))
 
     def _outruns_gossip(self, account: Account) -> bool:
-        """Whether the burst refills faster than gossip reaches the whole gateway set."""
+        """Return whether the burst refills faster than gossip reaches the whole gateway set."""
         if self.gossip_disabled:
             return False
         plan = self.settings.plans[account.plan]
@@ -645,7 +659,7 @@
             self._notify_owner(account, request.owner_index)
 
     def _merge_count(self, account: Account, rank: int, start: int, value: float) -> float:
-        """Merge a gateway's count: a newer start wins, then a larger value. Returns the growth.
+        """Merge a gateway's count and return its growth; a newer start wins, then a larger value.
 
         Units counted before that gateway restarted stay counted.
         """
@@ -662,12 +676,12 @@
     # -- gossip -------------------------------------------------------------------------------------------
 
     def _owner(self, account: Account, index: int = 0) -> int:
-        """Rank of the customer's owner, or of the candidate with this index that stands in for it."""
+        """Return the rank of the customer's owner, or of the candidate with this index that replaces it."""
         start = account.customer * OWNER_HASH_MULTIPLIER >> 16
         return self._member_rank(account, start + index)
 
     def _member_rank(self, account: Account, position: int) -> int:
-        """Rank of the gateway at a position in the customer's gateway set."""
+        """Return the rank of the gateway at a position in the customer's gateway set."""
         return (account.set_first + position % account.set_size) % self.settings.gateways
 
     def _notify_owner(self, account: Account, index: int) -> None:
@@ -695,14 +709,20 @@
             )
 
     def _request_tokens(self, account: Account) -> float:
-        """Ceiling tokens to request: what this gateway's part lacks; several requests may be pending."""
+        """Return the ceiling tokens that this gateway's part lacks, and count them as requested.
+
+        Several requests may be pending.
+        """
         burst = self.settings.plans[account.plan].ceiling_burst
         wanted = max(0.0, burst * self._ceiling_share(account) - account.ceiling_tokens)
         account.requested_tokens = min(burst, account.requested_tokens + wanted)
         return wanted
 
     def _is_unresponsive(self, rank: int, is_repeat: bool) -> bool:
-        """Whether a gateway left its last queries unanswered; it is retried at times, once per request."""
+        """Return whether a gateway left its last queries unanswered.
+
+        It is queried again after DECAY_TIME, but not by a request that repeats its query.
+        """
         count, last_at = self.unanswered_queries.get(rank, (0, 0))
         if count < UNANSWERED_QUERIES_MAX:
             return False
@@ -773,7 +793,7 @@
                 del self.pending_gossip[account.customer]
 
     def _draw_peer(self, account: Account) -> int | None:
-        """A random available peer of the customer's gateway set."""
+        """Return a random available peer of the customer's gateway set."""
         own_position = self._position(self.rank, account.set_first)
         for _ in range(PEER_DRAWS_MAX):
             distance = 1 + self.random.randrange(account.set_size - 1)
@@ -783,7 +803,7 @@
         return None
 
     def _position(self, rank: int, first: int) -> int:
-        """Position of a gateway in a set that begins with rank ``first``."""
+        """Return the position of a gateway in a set that begins with rank ``first``."""
         return (rank - first) % self.settings.gateways
 
     def _send_message(
@@ -794,9 +814,9 @@
         owner_index: int | None = None,
         to_owner: bool = False,
     ) -> bool:
-        """Send a message to a peer unless the rate limit is reached; every message passes here.
+        """Send a message to a peer unless the rate limit is reached, and return whether it was sent.
 
-        With an ``owner_index`` an answer is requested and checked for.
+        Every message passes here. With an ``owner_index`` an answer is requested and checked for.
         """
         gained = self.send_rate * (self.now - self.allowance_refilled_at) / SECOND
         self.send_allowance = min(self.send_rate, self.send_allowance + gained)
@@ -815,7 +835,7 @@
     def _pack_row(
         self, account: Account, forward_count: int, tokens: float = 0.0, include_own: bool = False
     ) -> bytes:
-        """The account as a row of a message, with the counts that changed last."""
+        """Encode the account as a row of a message, with the counts that changed last."""
         self._refill(account)
         ranks = account.recent_ranks
         if include_own and self.rank in account.counts:
@@ -880,10 +900,10 @@
                 return
 
     def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
-        """The row that answers a query.
+        """Return the row that answers a query.
 
-        Units reported to the peer as available are reserved at once, or they would be reported to others too.
-        A peer that queries again has not used them, so the earlier reservation is returned.
+        The units that the peer wants are reserved at once, or they would be promised to others too. A peer
+        that queries again has not used them, so the earlier reservation is released.
         """
         if to_owner:
             units, reserved_at = account.reserved.pop(rank, (0.0, 0))
@@ -897,7 +917,7 @@
         return row
 
     def _grant_tokens(self, account: Account, wanted: float) -> float:
-        """Grant ceiling tokens; they are deducted before the answer is sent, so that losing it is safe."""
+        """Grant ceiling tokens, deducted before the answer is sent, so that its loss is safe."""
         if self._owner(account) != self.rank:
             return 0.0
         granted = min(account.ceiling_tokens, wanted)
@@ -938,7 +958,7 @@
         return account
 
     def _take_reserved(self, account: Account, rank: int, growth: float) -> float:
-        """Use a reservation for units that a peer has now reported as spent; returns how many it covered."""
+        """Use a reservation for units that a peer now reports as spent. Return how many it covered."""
         reserved, reserved_at = account.reserved.get(rank, (0.0, 0))
         taken = min(growth, reserved)
         if taken:
@@ -946,7 +966,7 @@
         return taken
 
     def _ticks(self) -> int:
-        """The time in ticks, the unit in which the start of a count is sent."""
+        """Return the time in ticks, the unit in which the start of a count is sent."""
         return self.now // MS // messages.TICK_MS
 
     def _evict_idle(self) -> None:
--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -74,7 +74,7 @@
     failures: float = 0.0
 
     def decayed(self, now: int, time_constant: int, prior=(1.0, 2.0)) -> tuple[tuple[float, float], float]:
-        """Slowdown with its load, and failures, as they are now.
+        """Return the slowdown with its load, and the failures, as they are now.
 
         They decay exponentially with the time since the last update: slowdown and load towards ``prior``,
         failures towards 0. Slowdown and load belong together, as neither means anything without the other.
@@ -101,7 +101,7 @@
     open_connections: int = 0  # estimate: connections on which it answered recently
 
     def group_id(self, group: api.Group) -> int:
-        """Identifier shared by the servers that deduplicate requests together."""
+        """Return the identifier shared by the servers that deduplicate requests together."""
         return {api.Group.ALL: 0, api.Group.ZONE: self.entry.zone, api.Group.CELL: self.entry.cell}[group]
 
 
@@ -176,7 +176,7 @@
         return [attempt for attempt in self.attempts if attempt.is_open]
 
     def retry_after(self, plans: tuple[api.Plan, ...], resume_above: float, longest: float) -> int:
-        """Time until the quota holds enough for this request; 0: unknown, or more than ``longest``."""
+        """Return the time until the quota holds enough for this request, 0 if unknown or over ``longest``."""
         if (account := self.account) is None or not (plan := plans[account.plan]).rate:
             return 0
         needed = resume_above * plan.burst if account.throttled else self.event.units
@@ -199,15 +199,14 @@
 
     def __init__(self) -> None:
         self.accounts: dict[int, Account] = {}
-        self.idle_queue: deque[int] = (
-            deque()
-        )  # customers, in the order in which they are checked for eviction
+        # Customers in the order in which they are checked for eviction.
+        self.idle_queue: deque[int] = deque()
         self.pending_gossip: dict[int, None] = {}  # customers with changes not yet sent to any peer
 
         self.last_received: dict[int, int] = {}  # by rank: time of its last message
         self.any_received_at = 0  # time of the last message from any gateway
         self.unanswered_queries: dict[int, tuple[int, int]] = {}  # by rank: their number, time of the last
-        self.silent_peers: set[int] = set()  # ranks that left a query unanswered since any_received_at
+        self.silent_peers: set[int] = set()  # ranks that left a query unanswered since ``any_received_at``
         self.pending_answers: deque[PendingAnswer] = deque()
 
         self.hosts: dict[api.Server, Host] = {}
@@ -235,7 +234,7 @@
         request.attempts.append(attempt)
 
     def finish_attempt(self, request_id: int, number: int) -> tuple[Attempt, int]:
-        """Close an open attempt; returns it and the index of its request's class."""
+        """Close an open attempt. Return it and the index of its request's class."""
         attempt, request = self.attempts.pop((request_id, number))
         attempt.is_open = False
         attempt.host.open_attempts -= 1
@@ -243,7 +242,7 @@
         return attempt, request.event.kind
 
     def apply_server_list(self, event: api.ServerListed, now: int) -> list[Host]:
-        """Apply a list from discovery; returns the usable servers that are new, restarted or ready again."""
+        """Apply a list from discovery. Return the usable servers that are new, restarted or ready again."""
         if event.kind is not api.ListKind.CHANGES:
             listed = {entry.server for entry in event.entries}
             for server in [s for s in self.hosts if s not in listed]:
@@ -268,18 +267,18 @@
         return added
 
     def is_usable(self, host: Host) -> bool:
-        """Whether discovery lists the server as ready and operators have not banned it."""
+        """Return whether discovery lists the server as ready and operators have not banned it."""
         return host.entry.phase is api.Phase.READY and host.entry.server not in self.banned
 
     def ban(self, server: api.Server) -> None:
-        """Take a server out, whatever discovery reports from now on."""
+        """Take a server out of use, whatever discovery reports from now on."""
         self.banned[server] = None
         self.reinstated.pop(server, None)
         if host := self.hosts.get(server):
             self._remove_from_pools(host)
 
     def lift_ban(self, server: api.Server) -> list[Host]:
-        """Lift a ban, so that discovery's list applies again; returns the server if it is usable."""
+        """Lift a ban, so that discovery's list applies again. Return the server if it is usable."""
         del self.banned[server]
         host = self.hosts.get(server)
         return [self._add_to_pools(host)] if host and self.is_usable(host) else []
@@ -292,20 +291,20 @@
             self.warm.add(host)
 
     def group_hosts(self, host: Host, group: api.Group) -> list[Host]:
-        """The servers that deduplicate together with this one; for a cell or a zone also the cold ones."""
+        """Return the servers that deduplicate together with this one; for a cell or a zone also cold ones."""
         if group is api.Group.ALL:
             return self.warm.hosts
         pools = self.cell_pools if group is api.Group.CELL else self.zone_pools
         return pools[host.group_id(group)].hosts
 
     def _remove_server(self, server: api.Server) -> None:
-        """Drop a server; as its replacement has another name, it would otherwise be kept forever."""
+        """Drop a server: a replacement has another name, so it would otherwise be kept forever."""
         if host := self.hosts.pop(server, None):
             self._remove_from_pools(host)
             host.entry = replace(host.entry, phase=api.Phase.GONE)  # open requests still refer to it
 
     def _remember_name(self, server: api.Server) -> None:
-        """Keep the name of a listed server; the oldest unlisted names beyond the limit are dropped."""
+        """Keep the name of a listed server, and drop the oldest unlisted names beyond the limit."""
         self.server_names.pop(server, None)
         self.server_names[server] = None
         while len(self.server_names) > NAMES_MAX:
