--- a/orchidlane/member_gossip.py
+++ b/orchidlane/member_gossip.py
@@ -21,7 +21,7 @@
 
 
 def key_of(row: Row) -> Key:
-    """Rows with equal keys replace each other; the suspicions of different accusers are kept apart."""
+    """Return the key of a row: equal keys replace each other, suspicions of different accusers do not."""
     topic = TOPICS.get(row.kind, MEMBER)
     return row.rank, topic, row.observer if topic in (SUSPICION, LINK) else 0
 
@@ -30,22 +30,24 @@
     """Rows that are still to be disseminated."""
 
     def __init__(self, transmissions_max: int) -> None:
-        """Each row is sent ``transmissions_max`` times."""
+        """Create an empty queue that sends each row ``transmissions_max`` times."""
         self.transmissions_max = transmissions_max
         self.items: dict[Key, tuple[int, int, Row, int]] = {}  # transmissions, urgency, row, time queued
 
     def add(self, now: int, row: Row) -> None:
-        """Queue a row in place of the one with the same key; its transmissions are counted anew."""
+        """Queue a row in place of the one with the same key, and count its transmissions from zero."""
         self.items[key_of(row)] = 0, URGENCY.get(row.kind, 3), row, now
 
     def evidence_time(self, row: Row) -> int | None:
-        """Time of the evidence for the queued row with this row's key; None if there is none."""
+        """Return the time of the evidence for the queued row with this row's key, None if none is queued."""
         item = self.items.get(key_of(row))
         return item[3] - item[2].age if item else None
 
     def rows(self, now: int, receiver: int) -> Iterator[Row]:
-        """All queued rows with their current age. Aged rows about the receiver itself are left out: it gets
-        what is claimed of it separately."""
+        """Yield all queued rows with their current age.
+
+        Rows with an age that are about the receiver are left out: claims about it are sent to it separately.
+        """
         for _, _, row, queued_at in sorted(self.items.values(), key=lambda item: item[:2]):
             if row.kind not in messages.KINDS_WITH_AGE:
                 yield row
@@ -54,7 +56,7 @@
                 yield Row(row.kind, row.rank, row.life, row.incarnation, age, row.observer)
 
     def mark_sent(self, row: Row) -> bool:
-        """Count a transmission, and drop the row after the last one. Whether the row was queued."""
+        """Count a transmission, and drop the row after the last one. Return whether the row was queued."""
         key = key_of(row)
         transmissions, urgency, queued, queued_at = self.items.get(key, (0, 0, None, 0))
         if queued is None or (queued.kind, queued.life, queued.incarnation) != (
--- a/orchidlane/member_links.py
+++ b/orchidlane/member_links.py
@@ -1,4 +1,7 @@
-"""Which directions between members are down, as reported by the member at the sending end."""
+"""Which directed links between members are down, as reported by the member at the sending end.
+
+A link is a pair of ranks, sender and receiver: each direction between two members may fail alone.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,19 @@
 
 
 class Links:
-    """The latest report on each link."""
+    """The latest report on each directed link."""
 
     def __init__(self) -> None:
-        self.reports: dict[
-            tuple[int, int], tuple[int, int, bool]
-        ] = {}  # (from, to): life, report number, down
-        self.digest = 0  # over all directions that are down; equal sets have equal digests
+        # (from, to): life, report number, down
+        self.reports: dict[tuple[int, int], tuple[int, int, bool]] = {}
+        self.digest = 0  # over all links that are down; equal sets have equal digests
 
     def is_down(self, source: int, target: int) -> bool:
-        """Whether messages are reported not to arrive; a link without a report counts as up."""
+        """Return whether a link is reported to be down; one without a report counts as up."""
         return self.reports.get((source, target), (0, 0, False))[2]
 
     def apply(self, row: Row) -> bool:
-        """Apply a report; whether it is newer than the one held."""
+        """Apply a report. Return whether it is newer than the one held."""
         link, down = (row.rank, row.observer), row.kind is RowKind.LINK_DOWN
         life, number, was_down = self.reports.get(link, (0, 0, False))
         if (row.life, row.incarnation) <= (life, number) or row.rank == row.observer:
@@ -38,7 +40,7 @@
                 self.digest ^= self._digest_part(link)
 
     def rows(self, source: int) -> list[Row]:
-        """All reports of one sending member."""
+        """Return all reports of one sending member."""
         return [
             Row(RowKind.LINK_DOWN if down else RowKind.LINK_UP, rank, life, number, observer=observer)
             for (rank, observer), (life, number, down) in self.reports.items()
@@ -46,7 +48,7 @@
         ]
 
     def down_links(self) -> list[tuple[int, int]]:
-        """Directions that are down, as sorted pairs (from, to)."""
+        """Return the links that are down, as sorted pairs (from, to)."""
         return sorted(link for link, (_, _, down) in self.reports.items() if down)
 
     @staticmethod
--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -28,7 +28,7 @@
 LIFE_BYTES = 7
 AGE_UNIT = 10_000  # microseconds
 COUNTER_MAX = 0xFFFF_FFFF  # incarnations and sequence numbers
-FLAG_DOUBTFUL = 1  # the sender was paused and has not yet received fresh answers
+FLAG_DOUBTFUL = 1  # the sender was paused and has not yet received fresh messages from enough members
 
 
 class MessageKind(IntEnum):
@@ -78,8 +78,9 @@
     """One datagram.
 
     ``acknowledged``: highest sequence number that the sender received directly from the receiver;
-    ``digest``: hash of the sender's member table; ``probe``: number of the ping; ``subject_received``, in ACK
-    and INDIRECT_ACK: highest sequence number that the answering member received directly from ``subject``.
+    ``digest``: hash of the sender's table of members and links; ``probe``: number of the ping;
+    ``subject_received``, in ACK and INDIRECT_ACK: highest sequence number that the answering member received
+    directly from ``subject``.
     """
 
     kind: MessageKind
@@ -98,11 +99,11 @@
 
 
 class InvalidMessage(Exception):
-    """The bytes are not a valid message of this cluster; the text is the reason that they are counted by."""
+    """The bytes are not a valid message of this cluster; the text is the reason by which they are counted."""
 
 
 def tag_key(cluster: str) -> bytes:
-    """Key of the authentication tag, derived from the cluster's name."""
+    """Derive the key of the authentication tag from the cluster's name."""
     return hashlib.blake2s(cluster.encode()).digest()
 
 
@@ -121,7 +122,7 @@
 
 
 def fit_rows(rows: Iterable[Row]) -> tuple[Row, ...]:
-    """The leading rows that fit into one message."""
+    """Return the leading rows that fit into one message."""
     fitting, remaining = [], ROWS_BYTES_MAX
     for row in rows:
         remaining -= len(pack_row(row))
@@ -141,8 +142,10 @@
 
 
 def unseal(data: bytes, key: bytes, version: int = VERSION) -> bytes:
-    """The body of a datagram. Raises InvalidMessage: ``malformed``, ``version``, or ``foreign`` if the tag is
-    wrong."""
+    """Return the body of a datagram.
+
+    Raises InvalidMessage: ``malformed``, ``version``, or ``foreign`` if the tag is wrong.
+    """
     if not HEADER_OFFSET < len(data) <= MESSAGE_BYTES_MAX or data[0] != FORMAT:
         raise InvalidMessage("malformed")
     if data[1] != version:
@@ -174,8 +177,10 @@
 
 
 def unpack(data: bytes, key: bytes, ranks: int) -> Message:
-    """Decode a message. Raises InvalidMessage: ``version``, ``foreign`` (corrupted, or of another cluster) or
-    ``malformed``."""
+    """Decode a message.
+
+    Raises InvalidMessage: ``version``, ``foreign`` (corrupted, or of another cluster) or ``malformed``.
+    """
     if len(data) < HEADER_OFFSET + HEADER.size:
         raise InvalidMessage("malformed")
     body = unseal(data, key)
--- a/orchidlane/member_state.py
+++ b/orchidlane/member_state.py
@@ -104,6 +104,6 @@
 
     rank: int
     sent_at: int
-    health: int
+    health: int  # local health when it was sent; its timeouts are scaled by it
     stage: int = 0  # 1: ping repeated, 2: relays were asked
     nacked_by: set[int] = field(default_factory=set)  # reachable relays that got no answer either
--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -50,9 +50,9 @@
 DEAD_PROBE_EVERY = 4  # one in so many probes goes to a dead member, so that partitions heal
 TRANSMISSIONS_FACTOR = 3  # transmissions of a row, multiplied by log2 of the fleet's size
 REPLAY_WINDOW = 64  # sequence numbers below the highest received that are still accepted, if reordered
-INTAKE_SHARE = 0.35  # fraction of the intake for counter messages that membership may use
+INTAKE_SHARE = 0.35  # fraction of ``intake`` (the rate allowed for quota gossip) that membership may use
 SEND_RATE_MIN = 16.0  # messages a second, whatever the intake
-PROBE_RESERVE = 6.0  # send tokens reserved for pings and acks, ahead of help for others
+PROBE_RESERVE = 6.0  # send tokens that only pings and acks may use, not gossip and help for others
 FRESH_SENDERS_NEEDED = 3  # members (or all active ones) to be received from after a pause until doubt ends
 CUT_OFF_GRACE = 30 * SECOND  # for this long, a gateway that receives nothing declares no member dead
 EARLIER_LIFE_GRACE = (
@@ -66,8 +66,11 @@
     def __init__(
         self, rank: int, size: int, cluster: str, life: int, seed: int, now: int, intake: float = 0.0
     ) -> None:
-        """``life`` distinguishes this process from an earlier one: milliseconds of Unix time and ten random
-        bits."""
+        """Start with all members unknown.
+
+        ``life`` distinguishes this process from an earlier one: milliseconds of Unix time and ten random
+        bits. ``intake``: messages a second that are allowed for quota gossip.
+        """
         self.rank = rank
         self.size = size
         self.life = life
@@ -109,7 +112,7 @@
     # -- entry points ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Action]:
-        """Advance the protocol; to be called every TICK_INTERVAL."""
+        """Advance the protocol. To be called every TICK_INTERVAL."""
         self._detect_pause(now)
         if not self.left and not self.yielded:
             self._check_probes(now)
@@ -136,7 +139,7 @@
         return self._take_actions(now)
 
     def leave(self, now: int) -> list[Action]:
-        """Leave on purpose: many members are notified at once, so that it is known faster than a death."""
+        """Leave on purpose, and notify many members at once, so that it is known faster than a death."""
         self._detect_pause(now)
         if not self.left and not self.yielded:
             self.incarnation += 1
@@ -150,13 +153,16 @@
         return self._take_actions(now)
 
     def on_newer_life(self, now: int, life: int) -> list[Action]:
-        """A process of this life was found under our rank by other means than membership messages."""
+        """Handle a process of this life under our rank, found by other means than membership messages."""
         self._detect_pause(now)
         self._apply_row_about_self(now, Row(RowKind.ALIVE, self.rank, life, 0))
         return self._take_actions(now)
 
     def _detect_pause(self, now: int) -> None:
-        """Runs first in each call: after a pause, unanswered probes and messages count against nobody."""
+        """Detect a pause of this process, after which unanswered probes and messages count against nobody.
+
+        Runs first in each call.
+        """
         self.actions = []
         gap = now - self.last_called
         self.last_called = now
@@ -187,7 +193,7 @@
     # -- probes ---------------------------------------------------------------------------------------------
 
     def _log_scaled(self, factor: int) -> int:
-        """The factor times log2 of the fleet's size."""
+        """Return the factor times log2 of the fleet's size."""
         return math.ceil(factor * math.log2(self.size + 1))
 
     def _probe_next(self, now: int) -> None:
@@ -244,7 +250,7 @@
                 self._send(now, rank, MessageKind.NACK, subject=target, probe=number)
 
     def _choose_relays(self, now: int, target: int) -> list[int]:
-        """Members that we receive from, including the one that received from the target when we did not."""
+        """Choose members that we receive from, with the one that received from the target when we did not."""
         candidates = [rank for rank in self._recently_received(now) if rank != target]
         relays = self.random.sample(
             candidates[: 2 * INDIRECT_PROBE_RELAYS], min(len(candidates), INDIRECT_PROBE_RELAYS)
@@ -255,8 +261,10 @@
         return relays
 
     def _probe_failed(self, now: int, probe: Probe) -> None:
-        """Neither the member nor a relay has confirmed that it is alive. If no relay answered at all, the
-        fault may be ours."""
+        """Suspect a member that neither answered nor was confirmed alive by a relay.
+
+        If no relay answered at all, the fault may be ours.
+        """
         member = self.members[probe.rank]
         recent_senders = sum(now - m.last_received < RECENT_WINDOW for m in self.members.values())
         self.counts["probes_failed"] += 1
@@ -286,7 +294,7 @@
     ) -> bool:
         """Send a message unless that exceeds our share of the rate that peers accept.
 
-        All messages are sent here. Returns whether it was sent.
+        All messages are sent here. Return whether it was sent.
         """
         self.send_tokens = min(
             self.rate, self.send_tokens + self.rate * (now - self.tokens_refilled_at) / SECOND
@@ -330,15 +338,17 @@
             self._send(now, rank, MessageKind.GOSSIP)
 
     def _recently_received(self, now: int) -> list[int]:
-        """Members that we receive from, most recent first; these links are known to work."""
+        """Return the members that we receive from, most recent first; these links are known to work."""
         members = (m for m in self.members.values() if m.state is not State.LEFT)
         recent = [(-m.last_received, m.rank) for m in members if now - m.last_received < RECENT_WINDOW]
         return [rank for _, rank in sorted(recent)]
 
     def _rows(self, now: int, receiver: Member) -> Iterable[Row]:
-        """Rows for a receiver: first claims about itself, so that it can refute them, then gossip, least
-        sent first; if its digest differs from ours, also a part of the member table (anti-entropy), round
-        robin."""
+        """Yield the rows for a receiver, the most important first.
+
+        These are claims about itself, so that it can refute them, then gossip, least sent first; if its
+        digest differs from ours, also a part of the member table (anti-entropy), round robin.
+        """
         if receiver.state in (State.SUSPECT, State.DEAD) or receiver.has_old_life:
             receiver.has_old_life = False
             yield self._member_row(now, receiver)
@@ -357,7 +367,7 @@
                 yield from self.random.sample(link_rows, len(link_rows))
 
     def _member_row(self, now: int, member: Member) -> Row:
-        """The row for a member's current state."""
+        """Return the row for a member's current state."""
         kind = ROW_KINDS.get(member.state, RowKind.ALIVE)
         has_age = member.state in (State.SUSPECT, State.DEAD)
         observer = next(iter(member.accusers), self.rank)
@@ -402,7 +412,7 @@
         self._reply(now, message)
 
     def _is_new_sequence(self, member: Member, sequence: int) -> bool:
-        """Whether this sequence number is received for the first time in this life; records it."""
+        """Record a sequence number. Return whether it is received for the first time in this life."""
         ahead = sequence - member.highest_received
         if ahead > 0:
             shifted = member.received_window << min(ahead, REPLAY_WINDOW) | 1
@@ -415,7 +425,7 @@
         return True
 
     def _received_from(self, now: int, member: Member, message: Message) -> None:
-        """Direct evidence that a member is alive, whatever others claim."""
+        """Record direct evidence that a member is alive, whatever others claim."""
         member.last_received = member.last_seen = self.last_received = now
         member.clear_count = 0
         member.indirect_acks = member.indirect_acks if message.kind is MessageKind.PING else 0
@@ -472,7 +482,7 @@
                     probe.nacked_by.add(sender)
 
     def _handle_indirect_ack(self, now: int, message: Message) -> None:
-        """A relay got an answer from the member that our own probe got none from."""
+        """Handle a relay's message that the member answered it, while it did not answer our own probe."""
         target = self.members[message.subject]
         target.last_seen = now
         target.witness = message.sender
@@ -490,7 +500,7 @@
         )
 
     def _finish_probe(self, number: int, rank: int) -> bool:
-        """End the pending probe that this answers; returns False if there is none."""
+        """End the pending probe that this answers. Return False if there is none."""
         probe = self.probes.get(number)
         if probe is None or probe.rank != rank:
             return False
@@ -537,7 +547,9 @@
 
     def _apply_row(self, now: int, row: Row) -> bool:
         """Apply a row received from another member; its age gives the time of its evidence by our clock.
-        Returns whether we have newer evidence against it."""
+
+        Return whether we have newer evidence that disproves it.
+        """
         if row.kind in (RowKind.LINK_DOWN, RowKind.LINK_UP):
             down = row.kind is RowKind.LINK_DOWN
             if row.rank != self.rank:
@@ -586,8 +598,10 @@
             self._gossip_now(now)
 
     def _apply_suspicion(self, now: int, member: Member, row: Row, evidence_at: int) -> bool:
-        """Apply a SUSPECT or DEAD row. Each member waits for its own suspicion timeout, which a DEAD row
-        shortens to half the minimum. Returns whether we have newer evidence that the member is alive."""
+        """Apply a SUSPECT or DEAD row. Return whether we have newer evidence that the member is alive.
+
+        Each member waits for its own suspicion timeout, which a DEAD row shortens to half the minimum.
+        """
         if member.last_seen > evidence_at + EVIDENCE_MARGIN and member.state in ACTIVE_STATES:
             if self._gossip_last_seen(now, member):
                 self._gossip_now(now)
@@ -609,9 +623,11 @@
         return False
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
-        """Apply what others believe of us. Suspicions are refuted with a higher incarnation. A newer life
-        is of an earlier process shortly after our start (its clock was ahead), and we take a greater one;
-        later it is of a second process under our rank, and we yield to it."""
+        """Apply what others claim about us. Suspicions are refuted with a higher incarnation.
+
+        Shortly after our start, a newer life is of an earlier process, whose clock was ahead, and we take a
+        greater one. Later it is of a second process under our rank, and we yield to it.
+        """
         if self.yielded:
             return
         if row.life > self.life:
@@ -635,7 +651,7 @@
     def _gossip_last_seen(self, now: int, member: Member) -> bool:
         """Queue the time when the member was last seen, unless one as recent is queued already.
 
-        Returns whether it was queued.
+        Return whether it was queued.
         """
         observer = (
             self.rank if member.last_received >= member.last_seen or member.witness < 0 else member.witness
@@ -671,10 +687,13 @@
                 )
 
     def _suspicion_timeout(self, member: Member) -> float:
-        """How long a suspicion lasts: shorter the more members have confirmed it independently, and half the
-        minimum if another member has already waited for the whole timeout. The maximum applies where some
-        members are known to receive from the suspect and others are not: their evidence takes time to
-        arrive."""
+        """Return how long a suspicion lasts.
+
+        It is shorter the more members have confirmed it independently, and half the minimum if another member
+        has already waited for the whole timeout. The maximum applies where the fault is probably in the
+        network: some members receive from the suspect and others do not, and their evidence takes time to
+        arrive.
+        """
         shortest = SUSPICION_MIN * max(SIZE_FACTOR_MIN, math.log10(self.size))
         longest = SUSPICION_MAX_FACTOR * shortest
         # Many suspects at the same time are more likely a network fault than failed members.
@@ -696,9 +715,9 @@
     def _check_suspects(self, now: int) -> None:
         """Declare suspects dead after their timeout.
 
-        None is declared dead while this process is in doubt after a pause, nor while it is
-        cut off, until CUT_OFF_GRACE after the last message that it received: the fault is then more likely
-        its own. A suspect that was seen since the failed probe is alive again.
+        None is declared dead while this process is in doubt after a pause, nor while it is cut off, until
+        CUT_OFF_GRACE after the last message that it received: the fault is then more likely its own. A
+        suspect that was seen since the failed probe is alive again.
         """
         in_grace = self.view.cut_off and len(self.members) > 1 and now - self.last_received < CUT_OFF_GRACE
         if not self.suspects or self.received_since_pause is not None or in_grace:
@@ -717,7 +736,7 @@
                 self._gossip_now(now)
 
     def _reset_for_life(self, member: Member, life: int) -> None:
-        """The member was restarted: nothing known of its earlier process applies any more."""
+        """Forget what is known of a member's earlier process, as it was restarted."""
         self.digest ^= self._digest_part(member.rank, member.life, member.state)
         member.life = life
         member.incarnation = 0
@@ -743,7 +762,7 @@
         member.state = state
 
     def _set_state(self, now: int, member: Member, state: State) -> None:
-        """Change a member's state, with digest, gossip and log; all changes but resets are made here."""
+        """Change a member's state, with digest, gossip and log. All changes but resets are made here."""
         self.digest ^= self._digest_part(member.rank, member.life, member.state)
         self.digest ^= self._digest_part(member.rank, member.life, state)
         fields = {"member": member.rank, "state": state.value, "was": member.state.value}
@@ -758,12 +777,12 @@
         self.actions.append(LogEvent("member", fields))
 
     def _digest(self) -> int:
-        """Digest of members and links; members with the same view have the same digest."""
+        """Return the digest of members and links; members with the same view have the same digest."""
         return self.digest ^ self.links.digest
 
     @staticmethod
     def _digest_part(rank: int, life: int, state: State) -> int:
-        """A member's contribution to the digest; alive and suspect count as the same state."""
+        """Return a member's contribution to the digest; alive and suspect count as the same state."""
         if state is State.UNKNOWN:
             return 0
         name = "here" if state in ACTIVE_STATES else state.value
@@ -772,7 +791,7 @@
     # -- the view -------------------------------------------------------------------------------------------
 
     def _update_view(self, now: int) -> None:
-        """Update the view that the gateway's decisions use; log when contact is lost or restored."""
+        """Update the view that the gateway's decisions use, and log when contact is lost or restored."""
         nothing_received = now - max(self.last_received, self.started_at) > RECENT_WINDOW
         cut_off = nothing_received and len(self.departed) < len(self.members)
         # Whether most of the members that we receive from do not receive our messages.
