--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -1,4 +1,4 @@
-"""Encoding of a gateway's state as JSON values for its successor in an upgrade, and decoding.
+"""Encoding and decoding of a gateway's state as JSON values, for its successor in an upgrade.
 
 All values are validated before any of them is used: an invalid state raises ValueError and leaves the gateway
 unchanged. Open attempts are not part of the state: the successor receives them as events, and later their
@@ -45,7 +45,7 @@
 
 
 def encode_accounts(gateway: Gateway) -> Iterator[list[Any]]:
-    """One row per customer without its open attempts, in the order in which they are checked for eviction."""
+    """Encode one row per customer, without open attempts, in the order of their checks for eviction."""
     for customer in gateway.idle_queue:
         account = gateway.accounts[customer]
         counts = [[rank, start, value] for rank, (start, value) in account.counts.items()]
@@ -71,7 +71,7 @@
 
 
 def open_attempt_events(gateway: Gateway) -> list[api.AttemptElsewhere]:
-    """The open attempts, as events for the successor."""
+    """Return the open attempts as events for the successor."""
     return [
         api.AttemptElsewhere(request.event, number, attempt.host.entry.server, attempt.sent_at)
         for (_, number), (attempt, request) in gateway.attempts.items()
@@ -130,7 +130,7 @@
 
 
 def decode(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> DecodedState:
-    """Validate and decode the predecessor's state; raises ValueError if it is invalid for this gateway."""
+    """Validate and decode the predecessor's state. Raises ValueError if it is invalid for this gateway."""
     try:
         if state["shape"] != _settings_shape(gateway):
             raise ValueError("state of a gateway with different settings")
@@ -169,7 +169,7 @@
 
 
 def _settings_shape(gateway: Gateway) -> list[int]:
-    """The settings that must be equal in both processes."""
+    """Return the part of the settings that must be equal in both processes."""
     settings = gateway.settings
     return [settings.rank, settings.gateways, len(settings.plans), len(settings.classes)]
 
--- a/orchidlane/settings_lease.py
+++ b/orchidlane/settings_lease.py
@@ -14,12 +14,14 @@
 from typing import Any
 
 MS = 1_000  # microseconds
-CLOCK_DRIFT_MAX = 0.001  # as a fraction, too fast or too slow
+CLOCK_DRIFT_MAX = 0.001  # fraction by which a clock may run fast or slow
 PENDING_REQUESTS_MAX = 64  # requests whose answers are still accepted
-REQUESTS_PER_LEASE = 3  # an answer may be held back this long by the long poll, and two may be lost
-RETRY_DELAY_FACTOR = 1.2  # delay of a repeated request, in parts of a lease that each request has
+# The source's long poll lasts at most a lease divided by this number. The lease then outlasts the loss of one
+# answer, or of two if the answer before them was not held back.
+REQUESTS_PER_LEASE = 3
+RETRY_DELAY_FACTOR = 1.2  # delay until a request is repeated, as a multiple of the longest long poll
 REQUEST_INTERVAL_MIN = 200 * MS  # while no lease is granted
-NEVER = "never"  # rule of a change whose old and new value must never be in force side by side
+NEVER = "never"  # rule of a change whose old and new value must never be in force at the same time
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +44,11 @@
     def __init__(
         self, name: str, life: int, check_version: Callable[[int], str | None] | None = None
     ) -> None:
-        """``life`` distinguishes this process from an earlier one of the same name; ``check_version`` returns
-        why a version cannot be applied, or None where it can."""
+        """Start without a lease.
+
+        ``life`` distinguishes this process from an earlier one of the same name; ``check_version`` returns
+        why a version cannot be applied, or None if it can.
+        """
         self.name, self.life, self.check_version = name, life, check_version
         self.source_life = 0  # life of the source that answered last
         self.version: int | None = None
@@ -58,11 +63,11 @@
         self.next_request_at = 0
 
     def due(self, now: int) -> bool:
-        """Whether the next request should be sent."""
+        """Return whether the next request should be sent."""
         return now >= self.next_request_at
 
     def make_request(self, now: int) -> dict[str, Any]:
-        """The next lease request, with the version held and the version prepared for."""
+        """Create the next lease request, with the version held and the version prepared for."""
         self.last_request += 1
         self.pending_requests[self.last_request] = now
         if len(self.pending_requests) > PENDING_REQUESTS_MAX:
@@ -81,8 +86,10 @@
         }
 
     def apply_answer(self, now: int, answer: Mapping[str, Any]) -> bool:
-        """Apply the source's answer. False if it is outdated, belongs to no pending request, or names a
-        version that cannot be applied."""
+        """Apply the source's answer, and return whether it was accepted.
+
+        It is not if it is outdated, belongs to no pending request, or names a version that cannot be applied.
+        """
         if answer["life"] != self.life:
             return False  # addressed to an earlier process, whose request numbers were the same
         sent = self.pending_requests.pop(answer["asked"], None)
@@ -116,6 +123,6 @@
         return self.check_version(version) if self.check_version else None
 
     def effective(self, now: int) -> EffectiveSettings:
-        """The settings that a decision made now has to use."""
+        """Return the settings that a decision made now has to use."""
         lapsed = now >= self.lease_end
         return EffectiveSettings(self.version, self.restricted or lapsed, lapsed)
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -115,7 +115,7 @@
     lists: dict[int, tuple[api.ServerEntry, ...]] = field(default_factory=dict)
 
     def decode_frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
-        """The events of one frame, each with the number of its gateway."""
+        """Return the events of one frame, each with the number of its gateway."""
         if len(body) < count * EVENT_SIZE:
             raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
         tail = body[count * EVENT_SIZE :]
@@ -369,12 +369,12 @@
         )
 
     def reply(self) -> bytes:
-        """The complete reply frame."""
+        """Return the complete reply frame."""
         body = b"".join(self.records) + self.tail
         return REPLY_HEADER.pack(len(self.records), len(body)) + body
 
     def _append_tail(self, body: bytes) -> tuple[int, int]:
-        """Append bytes to the tail; returns their offset and length."""
+        """Append bytes to the tail. Return their offset and length."""
         offset = len(self.tail)
         self.tail += body
         return offset, len(body)
