--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -495,8 +495,8 @@
     def _expected_time(self, host: Host, kind: int) -> float:
         """Return the expected response time, from recent ones, the load and the time of silence."""
         # A server without recent samples is assumed to be like the others.
-        fleet, _ = self._fleet_stats(host).decayed(self.now, DECAY_TIME)
-        (slowdown, typical_load), failures = host.decayed(self.now, DECAY_TIME, fleet)
+        prior, _ = self._pool_stats(host).decayed(self.now, DECAY_TIME)
+        (slowdown, typical_load), failures = host.decayed(self.now, DECAY_TIME, prior)
         load = host.open_attempts + BASE_LOAD
         time = self.usual_times[kind] * slowdown * (1 + FAILURE_WEIGHT * failures) * load / typical_load
         if self._is_warm(host) and len(self.attempts) < len(self.warm.hosts):
@@ -509,16 +509,16 @@
             time = max(time, self.now - host.last_active)
         return time
 
-    def _fleet_stats(self, host: Host) -> HealthStats:
-        """Return the stats of all warm or all cold servers; cold ones had no part in an earlier overload."""
+    def _pool_stats(self, host: Host) -> HealthStats:
+        """Return the stats of the server's pool: cold servers had no part in an overload of the warm ones."""
         return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Update the health stats of the server, its zone and the fleet by an outcome."""
+        """Update the health stats of the server, of its zone and of its pool by an outcome."""
         host = attempt.host
         zone = self.zone_stats[host.entry.zone]
-        fleet = self._fleet_stats(host)
-        for stats in (host, zone, fleet):
+        pool = self._pool_stats(host)
+        for stats in (host, zone, pool):
             stats.decay(self.now, DECAY_TIME)
         self._record_connection(host, event)
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
@@ -544,10 +544,10 @@
         """Update the moving averages of slowdown, load and usual response time."""
         usual_time = self.usual_times[kind]
         self.typical_concurrency += EWMA_WEIGHT * (attempt.concurrency - self.typical_concurrency)
-        # Also for the whole fleet: in an overload of all servers, a gateway that sends to each of them only
-        # rarely would not notice it.
+        # Also for the pool: in an overload of all servers, a gateway that sends to each of them only rarely
+        # would not notice it.
         slowdown = min(SLOWDOWN_MAX, duration / usual_time)
-        for stats in (attempt.host, self._fleet_stats(attempt.host)):
+        for stats in (attempt.host, self._pool_stats(attempt.host)):
             stats.slowdown += EWMA_WEIGHT * (slowdown - stats.slowdown)
             stats.typical_load += EWMA_WEIGHT * (attempt.load - stats.typical_load)
         # Capped, so that during an overload an idle server is still tried and the end is noticed.
