--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -55,9 +55,9 @@
 PROBE_RESERVE = 6.0  # send tokens that only pings and acks may use, not gossip and help for others
 FRESH_SENDERS_NEEDED = 3  # members (or all active ones) to be received from after a pause until doubt ends
 CUT_OFF_GRACE = 30 * SECOND  # for this long, a gateway that receives nothing declares no member dead
-EARLIER_LIFE_GRACE = (
-    2 * SECOND
-)  # a newer life reported within this time after the start is of an earlier process
+
+# For this long after the start, a newer life reported under our rank is taken for that of an earlier process.
+EARLIER_LIFE_GRACE = 2 * SECOND
 
 
 class Membership:
@@ -206,9 +206,9 @@
         self.probe_count += 1
         if not self.members:
             return
-        absent = self.dead | self.unknown
-        if absent and (self.probe_count % DEAD_PROBE_EVERY == 0 or len(absent) == len(self.members)):
-            self._ping(now, self.random.choice(sorted(absent)))
+        inactive = self.dead | self.unknown
+        if inactive and (self.probe_count % DEAD_PROBE_EVERY == 0 or len(inactive) == len(self.members)):
+            self._ping(now, self.random.choice(sorted(inactive)))
             return
         # A round takes one interval for each member of half the ring.
         overdue = OVERDUE_ROUNDS * PROBE_INTERVAL * len(self.probe_order) // 2
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -197,16 +197,17 @@
     def _should_shed(self, request: Request, host: Host) -> bool:
         """Return whether the request is expected to be answered too late to be sent to this server.
 
-        A request that the owner approved is sent anyway, as its units are spent there already.
+        A request that the owner approved is sent anyway, as its units are spent there already. So is a trial
+        request to a reinstated server.
         """
         if request.owner_replied or host.entry.server in self.reinstated:
             return False
         return self._expected_time(host, request.event.kind) > self._latency_limit(request)
 
     def _query_owner(self, request: Request, candidates: int, latest_send: int) -> bool:
-        """Query the customer's owner if needed, and return whether the request has to wait for the answer.
+        """Try to query the customer's owner, and return whether the request waits for the answer.
 
-        The owner is queried where only it knows what is spent, or has ceiling tokens to grant.
+        Called where only the owner knows what is spent, or where it may have ceiling tokens to grant.
         """
         event = request.event
         account = request.account
@@ -275,7 +276,7 @@
         return account.open_attempts + recent_approvals
 
     def _latency_limit(self, request: Request) -> float:
-        """Return the expected response time above which a request is shed, as it would be too late."""
+        """Return the expected response time above which a request is shed, so that answers stay in time."""
         usual_time = self.usual_times[request.event.kind]
         latest = min(request.request_class.target_latency, request.event.time_left)
         return usual_time + SHED_SHARE * max(0.0, latest - usual_time)
