--- a/lab/defects.py
+++ b/lab/defects.py
@@ -11,8 +11,8 @@
 
 from orchidlane import member_state as state
 from orchidlane import membership
+from orchidlane.member_gossip import MEMBER
 from orchidlane.member_messages import InvalidMessage, Message, Row, RowKind
-from orchidlane.member_news import MEMBER
 from orchidlane.membership import Membership
 from saffrongw import places
 from saffrongw.config import Address
@@ -62,8 +62,8 @@
     def _gossip_last_seen(self, now: int, member: state.Member) -> bool:
         return False
 
-    def _apply_doubt(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
-        super()._apply_doubt(now, member, row, evidence_at)
+    def _apply_suspicion(self, now: int, member: state.Member, row: Row, evidence_at: int) -> bool:
+        super()._apply_suspicion(now, member, row, evidence_at)
         if row.kind is RowKind.DEAD and member.state in state.ACTIVE_STATES:
             self._set_state(now, member, state.State.DEAD)
         return False
@@ -73,7 +73,7 @@
     """Keeps running beside a newer process of the same rank."""
 
     def _apply_row_about_self(self, now: int, row: Row) -> None:
-        if row.life <= self.life or now - self.started_at <= membership.TWIN_GRACE:
+        if row.life <= self.life or now - self.started_at <= membership.EARLIER_LIFE_GRACE:
             super()._apply_row_about_self(now, row)
 
 
--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -1,7 +1,7 @@
 """Leased agreement on settings versions: gateways act by a version only while they hold a lease on it.
 
 The module does no I/O and reads no clock; callers pass microseconds of a monotonic clock.
-``orchidlane/agreed.py`` is the gateway's side. A change has one of three rules:
+``orchidlane/settings_lease.py`` is the gateway's side. A change has one of three rules:
 
     together  old and new values may be in force at the same time: effective immediately
     within    they may for a bounded time: effective once every holder has reported that it can apply the new
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -39,10 +39,10 @@
     first=0,
     size=3,
     plan=0,
-    ceiling_tokens=0.0,
+    tokens=0.0,
 ) -> Row:
     """The row of a customer in a message from a peer."""
-    return Row(customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, tuple(counts))
+    return Row(customer, plan, first, size, forward_count, remaining, total, tokens, tuple(counts))
 
 
 def bench_with_account(**changes) -> Bench:
@@ -647,10 +647,10 @@
     for customer in range(6):
         bench.ask(customer + 1, customer=customer, size=12)
     bench.run(SECOND)
-    assert len(bench.gateway.unresponsive) >= 4
+    assert len(bench.gateway.silent_peers) >= 4
     account = bench.gateway._account(7, 0, 0, 12, trusted=True)
     bench.gateway._refill(account)
     assert account.isolated_share == pytest.approx(1 / 12)
     deliver(bench, 5, customer_row([], customer=8, size=12))
     bench.gateway._refill(account)
-    assert account.isolated_share == 0.0 and not bench.gateway.unresponsive
+    assert account.isolated_share == 0.0 and not bench.gateway.silent_peers
