--- a/lab/defects.py
+++ b/lab/defects.py
@@ -14,9 +14,9 @@
 from orchidlane.member_messages import InvalidMessage, Message, Row, RowKind
 from orchidlane.member_news import MEMBER
 from orchidlane.membership import Membership
-from saffrongw import places
+from saffrongw import address_book
+from saffrongw.address_book import Action, AddressBook, AddressChanged, PeerAddress
 from saffrongw.config import Address
-from saffrongw.places import Action, AddressBook, AddressChanged, PeerAddress
 
 DEFECT_VARIABLE = "LAB_DEFECT"  # its prefix is not among those that lab/cluster removes from the environment
 
@@ -140,7 +140,7 @@
 def plant(name: str) -> None:
     """Install a defect in this process; to be called before the gateway's modules are imported."""
     if name in ADDRESS_DEFECTS:
-        places.AddressBook = ADDRESS_DEFECTS[name]  # type: ignore[misc]
+        address_book.AddressBook = ADDRESS_DEFECTS[name]  # type: ignore[misc]
     else:
         membership.Membership = CORE_DEFECTS[name]  # type: ignore[misc]
 
--- a/lab/placing.py
+++ b/lab/placing.py
@@ -1,4 +1,4 @@
-"""Simulation of gateways that learn each other's addresses: ``saffrongw/places.py`` on a virtual clock."""
+"""Simulated gateways that learn each other's addresses: ``saffrongw/address_book.py`` on a virtual clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from saffrongw import places
+from saffrongw import address_book
 from saffrongw.config import Address
 
 from .kernel import START_TIME, Kernel, UniformStream, random_generator
@@ -15,14 +15,14 @@
 NETWORK_DELAY = (200, 1_200)  # microseconds, minimum and maximum
 
 # rank, number of ranks, cluster, life, own address, addresses to join by, seed
-Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], places.AddressBook]
+Factory = Callable[[int, int, str, int, Address, Iterable[Address], int], address_book.AddressBook]
 
 
 @dataclass(slots=True, eq=False)
 class Node:
     """One gateway process; ``peer_addresses`` is where it sends the messages for each rank."""
 
-    core: places.AddressBook
+    core: address_book.AddressBook
     peer_addresses: dict[int, Address] = field(default_factory=dict)
     replaced_by: int = 0  # life of a newer process of the same rank, 0 if there is none
     dead: bool = False
@@ -32,7 +32,7 @@
     """A simulated network of gateways, deterministic for a given seed."""
 
     def __init__(
-        self, size: int, seed: int, factory: Factory = places.AddressBook, loss: float = 0.0
+        self, size: int, seed: int, factory: Factory = address_book.AddressBook, loss: float = 0.0
     ) -> None:
         """``size``: the number of ranks in the settings."""
         self.kernel = Kernel()
@@ -57,7 +57,7 @@
             )
         )
         self.nodes[address] = node
-        self.kernel.call_after(int(self.draw() * places.HELLO_INTERVAL), self._tick, address, node)
+        self.kernel.call_after(int(self.draw() * address_book.HELLO_INTERVAL), self._tick, address, node)
         return node
 
     @staticmethod
@@ -95,7 +95,7 @@
     def _tick(self, address: Address, node: Node) -> None:
         if not node.dead and self.nodes[address] is node:
             self._execute(address, node, node.core.tick(self.kernel.now))
-            self.kernel.call_after(places.HELLO_INTERVAL, self._tick, address, node)
+            self.kernel.call_after(address_book.HELLO_INTERVAL, self._tick, address, node)
 
     def send(self, source: Address, to: Address, body: bytes) -> None:
         """Send a datagram; tests also use it to forge or replay one."""
@@ -108,13 +108,13 @@
         if node and not node.dead:
             self._execute(to, node, node.core.receive(self.kernel.now, source, body))
 
-    def _execute(self, address: Address, node: Node, actions: Iterable[places.Action]) -> None:
+    def _execute(self, address: Address, node: Node, actions: Iterable[address_book.Action]) -> None:
         for action in actions:
-            if isinstance(action, places.SendDatagram):
+            if isinstance(action, address_book.SendDatagram):
                 self.greetings_sent[address] += 1
                 self.transmitted.append((address, action.address, action.body))
                 self.send(address, action.address, action.body)
-            elif isinstance(action, places.AddressChanged):
+            elif isinstance(action, address_book.AddressChanged):
                 node.peer_addresses[action.rank] = action.address
             else:
                 node.replaced_by = action.life
--- a/saffrongw/meeting.py
+++ b/saffrongw/meeting.py
@@ -12,8 +12,8 @@
 
 from ops import logs
 
+from .address_book import AddressBook
 from .config import Address, address
-from .places import AddressBook
 
 log = logs.get_logger(__name__)
 
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -23,7 +23,7 @@
     Membership,
 )
 
-from . import places
+from . import address_book
 from .config import Address, Config
 from .driver import Driver
 from .meeting import RendezvousClient
@@ -59,10 +59,10 @@
             settings.rank, size, config.cluster, life, random_seed, clock(), settings.peer_intake
         )
         own_address = config.advertise or config.peer_listen
-        self.address_book: places.AddressBook | None = None  # None: all addresses are configured
+        self.address_book: address_book.AddressBook | None = None  # None: all addresses are configured
         self.rendezvous: RendezvousClient | None = None
         if not config.peers:
-            self.address_book = places.AddressBook(
+            self.address_book = address_book.AddressBook(
                 settings.rank, size, config.cluster, life, own_address, config.join, random_seed
             )
         if self.address_book and config.meet:
@@ -93,7 +93,7 @@
             return now + TICK_INTERVAL
         check_times = [probe.sent_at + PROBE_STAGE_DELAYS[probe.stage] for probe in core.probes.values()]
         if self.address_book and self.address_book.has_candidates:
-            check_times.append(now + places.HELLO_INTERVAL)
+            check_times.append(now + address_book.HELLO_INTERVAL)
         return min(
             core.next_probe,
             now + PROBE_INTERVAL,
@@ -155,12 +155,12 @@
             self._apply_address_actions(now, self.address_book.receive(now, source, body))
             self._schedule(now)
 
-    def _apply_address_actions(self, now: int, actions: Iterable[places.Action]) -> None:
+    def _apply_address_actions(self, now: int, actions: Iterable[address_book.Action]) -> None:
         """Carry out actions of the address book."""
         for action in actions:
-            if isinstance(action, places.SendDatagram):
+            if isinstance(action, address_book.SendDatagram):
                 self.peers.send(action.address, action.body)
-            elif isinstance(action, places.AddressChanged):
+            elif isinstance(action, address_book.AddressChanged):
                 address = "{}:{}".format(*action.address)
                 log.info("member_placed", member=action.rank, address=address, boot_ms=now // MS)
                 self.peers.set_address(action.rank, action.address)
--- a/saffrongw/peers.py
+++ b/saffrongw/peers.py
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from .members import Members
 
-# First bytes of messages, repeated here because ``member_messages`` and ``places`` are loaded only where
-# ``cluster`` is configured.
+# First bytes of messages, repeated here because ``member_messages`` and ``address_book`` are loaded only
+# where ``cluster`` is configured.
 MEMBERSHIP_FORMAT = 3
-ADDRESS_MESSAGE_VERSION = 2  # second byte of the messages of ``places``, which have the same format
+ADDRESS_MESSAGE_VERSION = 2  # second byte of the messages of ``address_book``, which have the same format
 
 
 class Peers(asyncio.DatagramProtocol):
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -15,13 +15,13 @@
 from ops.http import HTTPError, Invalid
 from orchidlane import member_messages as messages
 from registry import meeting as registry_meeting
-from saffrongw import meeting, places
+from saffrongw import address_book, meeting
 
 KEY = messages.tag_key("lab")
 SEEDS = (1, 2, 3)
 
 
-def joined_fleet(seed: int, factory=places.AddressBook, size: int = 12, loss: float = 0.0) -> Network:
+def joined_fleet(seed: int, factory=address_book.AddressBook, size: int = 12, loss: float = 0.0) -> Network:
     """A fleet in which each gateway joins by one that started earlier, without a list of all."""
     land = Network(size, seed, factory, loss)
     for rank in range(size):
@@ -79,7 +79,7 @@
     bindings = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items() if seat.core.rank != 2}
     faulty = land.nodes["10.0.0.1", 7_002].core
     for rank in faulty.peers:
-        faulty.peers[rank] = places.PeerAddress(faulty.life + 10**9, ("10.0.0.1", 9_000 + rank))
+        faulty.peers[rank] = address_book.PeerAddress(faulty.life + 10**9, ("10.0.0.1", 9_000 + rank))
     faulty.peers_digest = 1  # a differing digest makes the others request its table
     land.run(30)
     assert {at: seat.peer_addresses for at, seat in land.nodes.items() if seat.core.rank != 2} == bindings
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("check", CHECKS)
 def test_addresses_are_discovered(check, seed):
-    check(places.AddressBook, seed)
+    check(address_book.AddressBook, seed)
 
 
 @pytest.mark.parametrize(
@@ -122,13 +122,13 @@
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(1, 255))
 def test_invalid_datagrams_and_those_of_other_clusters_or_versions_change_nothing(noise, at, flip):
-    core = places.AddressBook(0, 8, "lab", 1_000, ("10.0.0.1", 7_000), [("10.0.0.1", 7_001)], 1)
-    [hello] = [action for action in core.tick(0) if isinstance(action, places.SendDatagram)]
+    core = address_book.AddressBook(0, 8, "lab", 1_000, ("10.0.0.1", 7_000), [("10.0.0.1", 7_001)], 1)
+    [hello] = [action for action in core.tick(0) if isinstance(action, address_book.SendDatagram)]
     body = bytearray(hello.body)
     body[at % len(body)] ^= flip
-    other = places.AddressBook(1, 8, "other", 2_000, ("10.0.0.1", 7_001), [("10.0.0.1", 7_000)], 1)
-    foreign = [action.body for action in other.tick(0) if isinstance(action, places.SendDatagram)]
-    for data in (noise, bytes((messages.FORMAT, places.VERSION)) + noise, bytes(body), *foreign):
+    other = address_book.AddressBook(1, 8, "other", 2_000, ("10.0.0.1", 7_001), [("10.0.0.1", 7_000)], 1)
+    foreign = [action.body for action in other.tick(0) if isinstance(action, address_book.SendDatagram)]
+    for data in (noise, bytes((messages.FORMAT, address_book.VERSION)) + noise, bytes(body), *foreign):
         assert core.receive(1, ("10.0.0.1", 7_001), data) == []
     assert core.peers == {} and not core.has_candidates
     assert core.counts.total() == core.counts["sent"] + 4
@@ -199,7 +199,7 @@
         primary = await registry.service().start("--new")
         follower = await registry.service("b", follow=primary.listen).start("--new")
         cores = [
-            places.AddressBook(rank, 4, "valley", 10 + rank, ("127.0.0.1", 7_000 + rank), [], rank)
+            address_book.AddressBook(rank, 4, "valley", 10 + rank, ("127.0.0.1", 7_000 + rank), [], rank)
             for rank in range(3)
         ]
 
