--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -26,8 +26,8 @@
 from . import address_book
 from .config import Address, Config
 from .driver import Driver
-from .meeting import RendezvousClient
 from .peers import Peers
+from .rendezvous import RendezvousClient
 
 log = logs.get_logger(__name__)
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -15,7 +15,8 @@
 from ops.http import HTTPError, Invalid
 from orchidlane import member_messages as messages
 from registry import meeting as registry_meeting
-from saffrongw import address_book, meeting
+from saffrongw import address_book
+from saffrongw import rendezvous as gateway_rendezvous
 
 KEY = messages.tag_key("lab")
 SEEDS = (1, 2, 3)
@@ -208,7 +209,8 @@
             return host, int(port)
 
         clients = [
-            meeting.RendezvousClient(address(primary.listen), "valley", core, lambda: 0) for core in cores
+            gateway_rendezvous.RendezvousClient(address(primary.listen), "valley", core, lambda: 0)
+            for core in cores
         ]
         for client in clients:
             client.start()
@@ -223,6 +225,8 @@
             ("POST", "/registry/gateways/valley/1", 404),
         ]:
             assert (await call(primary.listen, method, target, announcement())).status == status
-        misdirected = meeting.RendezvousClient(address(follower.listen), "valley", cores[0], lambda: 0)
+        misdirected = gateway_rendezvous.RendezvousClient(
+            address(follower.listen), "valley", cores[0], lambda: 0
+        )
         with pytest.raises(ValueError, match="421: gateways meet at the primary"):
             await asyncio.wait_for(misdirected._announce(), 5)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,7 +10,8 @@
 from listing import Connection, Registry
 from test_news import Agent
 
-from saffrongw import address_book, meeting
+from saffrongw import address_book
+from saffrongw import rendezvous as gateway_rendezvous
 from saffrongw.config import address
 
 LARGE, SMALL = 1_024, 20
@@ -84,7 +85,7 @@
             assert (await connection.call("POST", "/registry/gateways/valley", announcement)).status == 200
         connection.close()
         state = address_book.AddressBook(0, LARGE + 1, "valley", 10, ("127.0.0.1", 7_000), [], 0)
-        rendezvous = meeting.RendezvousClient(address(primary.listen), "valley", state, lambda: 0)
+        rendezvous = gateway_rendezvous.RendezvousClient(address(primary.listen), "valley", state, lambda: 0)
         rendezvous.start()
         await until(lambda: state.candidates)
         rendezvous.stop()
