--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -13,10 +13,10 @@
 
 import hiredis
 
-from .answers import Slot
 from .calls import Body, Terms
 from .requests import BODY_INDEX, MalformedRequest, parse
 from .resp import PLACEHOLDER, VALUE_BYTES_MAX, LargeValue, Reader
+from .response_slots import Slot
 from .uploads import UPLOAD_RESUME_TIMEOUT, Upload
 
 if TYPE_CHECKING:
