--- a/birchdrum/commands_gateway.py
+++ b/birchdrum/commands_gateway.py
@@ -88,7 +88,7 @@
 
     from ops import logs
     from saffrongw import config as platform
-    from saffrongw.listening import StartupError
+    from saffrongw.listeners import StartupError
     from saffrongw.process import serve
 
     from . import configuration
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -12,7 +12,7 @@
 from ops import logs
 
 from .config import Config, parse
-from .listening import StartupError
+from .listeners import StartupError
 from .process import CONFIG_ERRORS, serve
 
 
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -15,7 +15,7 @@
 from ops import logs
 from orchidlane.wire import WireError
 
-from . import listening, upgrade
+from . import listeners, upgrade
 from .clients import Clients
 from .config import Config, HostList
 from .control import Control
@@ -131,20 +131,20 @@
 
     async def _listen_for_operators(self, retry_if_taken: bool) -> None:
         """Listen for operators' calls and for metrics scrapes, each if it is configured."""
-        listeners = []
+        endpoints = []
         if self.config.control:
-            listeners.append(("operators", self.config.control, self.control.listen))
+            endpoints.append(("operators", self.config.control, self.control.listen))
         if self.config.metrics:
             try:
                 from .metrics import Metrics  # heavy import: only if configured
             except ModuleNotFoundError as missing:
-                raise listening.StartupError(
+                raise listeners.StartupError(
                     f"metrics need {missing.name}: install requirements-tools.txt, or leave metrics out"
                 ) from None
             self.metrics = self.driver.observer = Metrics(self.driver, self.config)
-            listeners.append(("metrics", self.config.metrics, self.metrics.listen))
-        for purpose, address, listen in listeners:
-            task = await listening.listen_when_free(
+            endpoints.append(("metrics", self.config.metrics, self.metrics.listen))
+        for purpose, address, listen in endpoints:
+            task = await listeners.listen_when_free(
                 purpose, address, functools.partial(listen, address), retry_if_taken
             )
             if task:
@@ -163,12 +163,12 @@
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
-            await listening.listen_now(
+            await listeners.listen_now(
                 "peers", config.peer_listen, functools.partial(self.peers.listen, peer_address)
             )
         driver.stats.start(self.loop, self._gauges)
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
-        await listening.listen_now("clients", config.listen, listener)
+        await listeners.listen_now("clients", config.listen, listener)
         if taken_over:
             predecessor.share_descriptors = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 from conftest import FakeHost, Rig, asyncio_test, until
 
 from saffrongw import drain as drain_module
-from saffrongw import listening
+from saffrongw import listeners
 from saffrongw.control import CONNECTIONS_MAX, LINE_BYTES_MAX, Control
 from saffrongw.drain import DRAIN_NOTICE_DELAY, DRAIN_REFUSE_DELAY
 
@@ -126,9 +126,9 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
         listen = functools.partial(control.listen, address)
-        with pytest.raises(listening.StartupError, match="another process listens there"):
-            await listening.listen_when_free("operators", address, listen, retry=False)
-        retry_task = await listening.listen_when_free("operators", address, listen, retry=True)
+        with pytest.raises(listeners.StartupError, match="another process listens there"):
+            await listeners.listen_when_free("operators", address, listen, retry=False)
+        retry_task = await listeners.listen_when_free("operators", address, listen, retry=True)
         caller.call()
         assert await caller.replied() == [b"ok"]
         assert control.server is None
