--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -57,7 +57,7 @@
     return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if on_request else 0.0
 
 
-class Exchange(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One HTTP connection with one request in flight at a time.
 
     Once the watch has replaced it, its events are ignored.
@@ -88,7 +88,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Notify the watch, which sends the first request."""
         self.transport = transport
-        if self.watch.exchange is self:
+        if self.watch.connection is self:
             self.watch.connected()
         else:  # the connection was established just as the watch gave it up
             transport.abort()
@@ -102,7 +102,7 @@
         """Parse a response or a part of it; empty data stands for the end of the stream."""
         try:
             self.http.receive_data(data)
-            while self.watch.exchange is self:
+            while self.watch.connection is self:
                 event = self.http.next_event()
                 if event in (h11.NEED_DATA, h11.PAUSED) or isinstance(event, h11.ConnectionClosed):
                     break
@@ -140,14 +140,14 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the watch that the connection was closed by either side."""
-        self.watch.exchange_lost(self)
+        self.watch.connection_closed(self)
 
 
 class Watch:
     """Keeps the list of hosts up to date for as long as the gateway runs.
 
-    Once started, it is in one of four states: disconnected (``exchange`` is None), connecting, waiting for a
-    response, or connected with the next request postponed. Each state has exactly one timer. An event that
+    Once started, it is in one of four states: disconnected (``connection`` is None), connecting, waiting for
+    a response, or connected with the next request postponed. Each state has exactly one timer. An event that
     ends a state early sets the timer of the next one through ``_set_timer``, so that there is always a
     request in flight or a time set for the next one.
     """
@@ -177,7 +177,7 @@
         self.refused_interval = 0.0  # seconds between requests after refusals; 0: discovery is not overloaded
         # Loop time by which the next attempt starts: what this one misses counts as delivered soon after.
         self.next_attempt_due = 0.0
-        self.exchange: Exchange | None = None
+        self.connection: DiscoveryConnection | None = None
         self.last_connect_succeeded: bool | None = None  # None: no attempt yet
         self.timer: asyncio.TimerHandle | None = None
 
@@ -192,7 +192,7 @@
         self.drop()
         self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
         self._set_timer(CONNECT_TIMEOUT, self._connect_timed_out)
-        self.exchange = Exchange(self)
+        self.connection = DiscoveryConnection(self)
 
     def set_address(self, address: Address) -> None:
         """Switch to another address of discovery, dropping the connection to the previous one."""
@@ -206,9 +206,9 @@
 
     def drop(self) -> None:
         """Close the connection and ignore its further events."""
-        exchange, self.exchange = self.exchange, None
-        if exchange:
-            exchange.close()
+        connection, self.connection = self.connection, None
+        if connection:
+            connection.close()
 
     def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
         """Set the one timer, at the beginning of each state; an event may end the state earlier."""
@@ -233,11 +233,11 @@
     # -- events ---------------------------------------------------------------------------------------------
 
     def _connect_timed_out(self) -> None:
-        self.connect_failed(self.exchange, "connect timed out")
+        self.connect_failed(self.connection, "connect timed out")
 
-    def connect_failed(self, exchange: Exchange, reason: str) -> None:
+    def connect_failed(self, connection: DiscoveryConnection, reason: str) -> None:
         """Connecting failed: retry after the backoff."""
-        if exchange is self.exchange:
+        if connection is self.connection:
             if self.last_connect_succeeded is not False:  # logged once per outage
                 log.warning("discovery_unreachable", address=self.address, error=reason)
             self.last_connect_succeeded = False
@@ -278,7 +278,7 @@
         if self.refused_interval:  # overloaded: the response may take until the next attempt is due
             timeout = max(timeout, self.next_attempt_due - BACKOFF_MIN - self.loop.time())
         self._set_timer(timeout, self._response_timed_out)
-        self.exchange.send_request(target, ":".join(map(str, self.address)))
+        self.connection.send_request(target, ":".join(map(str, self.address)))
 
     def parse(self, body: bytes) -> HostList:
         """Parse a response body; raises one of MALFORMED_RESPONSE_ERRORS."""
@@ -309,16 +309,16 @@
         else:
             self._reconnect_later()
 
-    def response_failed(self, exchange: Exchange, error: Exception) -> None:
+    def response_failed(self, connection: DiscoveryConnection, error: Exception) -> None:
         """The response was malformed: the current list may be out of date, so the whole list is requested."""
-        if exchange is self.exchange:
+        if connection is self.connection:
             log.warning("discovery_failed", error=error, address=self.address)
             self.version = None
             self._reconnect_later()
 
-    def exchange_lost(self, exchange: Exchange) -> None:
+    def connection_closed(self, connection: DiscoveryConnection) -> None:
         """The connection was closed: reconnect after the backoff."""
-        if exchange is self.exchange:
+        if connection is self.connection:
             self._reconnect_later()
 
     def _response_timed_out(self) -> None:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -16,7 +16,7 @@
 from orchidlane import messages
 from saffrongw import discovery
 from saffrongw.config import parse_hosts
-from saffrongw.discovery import Exchange, Watch, first_call_spread
+from saffrongw.discovery import DiscoveryConnection, Watch, first_call_spread
 from saffrongw.peers import Peers
 
 ZONES = ("hall-a", "hall-b")
@@ -72,13 +72,13 @@
 @asyncio_test
 async def test_a_list_is_applied_before_the_next_one_is_requested(monkeypatch):
     """Guards against clients that wait for several lists, as each response arrives while one is applied."""
-    order, send_request = [], Exchange.send_request
+    order, send_request = [], DiscoveryConnection.send_request
 
-    def record_request(exchange: Exchange, target: str, host: str) -> None:
+    def record_request(connection: DiscoveryConnection, target: str, host: str) -> None:
         order.append("requested")
-        send_request(exchange, target, host)
+        send_request(connection, target, host)
 
-    monkeypatch.setattr(Exchange, "send_request", record_request)
+    monkeypatch.setattr(DiscoveryConnection, "send_request", record_request)
     loop, agent = asyncio.get_running_loop(), Agent([{"seq": 5, "whole": True, "hosts": [instance("a")]}])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, lambda _: order.append("applied")).start()
@@ -109,7 +109,7 @@
         "watching": (await serving(old), lambda watch: len(old.requests) == 2),
         "backing off": (
             closed_address,
-            lambda watch: watch.last_connect_succeeded is False and watch.exchange is None,
+            lambda watch: watch.last_connect_succeeded is False and watch.connection is None,
         ),
         "connecting": (closed_address, lambda watch: True),
     }
@@ -122,8 +122,8 @@
         watch.set_address(new_address)
         await until(lambda new=new: len(new.requests) == 2)
         assert received[-1].version == 5
-        assert watch.exchange.transport.get_extra_info("peername") == new_address
-        watch.exchange.transport.abort()
+        assert watch.connection.transport.get_extra_info("peername") == new_address
+        watch.connection.transport.abort()
     await until(lambda: old.transport.is_closing())
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 from test_news import ZONES, Agent
 
 from saffrongw import discovery
-from saffrongw.discovery import LONG_POLL_WAIT, STALENESS_LIMIT, Exchange, Watch
+from saffrongw.discovery import LONG_POLL_WAIT, STALENESS_LIMIT, DiscoveryConnection, Watch
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
@@ -42,7 +42,7 @@
 
 
 class FakeTransport:
-    """Transport of an exchange; records the requested targets."""
+    """Transport of a connection; records the requested targets."""
 
     def __init__(self, loop: FakeLoop) -> None:
         self.loop, self.requests, self.aborted = loop, [], False
@@ -56,12 +56,12 @@
 
 
 class FakeLoop:
-    """Event loop with virtual time; keeps every exchange that the watch has opened."""
+    """Event loop with virtual time; keeps every connection that the watch has opened."""
 
     def __init__(self, seed: int = 1, **options) -> None:
         self.now, self.timers, self.requests, self.updates = 100.0, [], [], []
-        self.exchanges: list[Exchange] = []
-        self.closed: set[Exchange] = set()
+        self.connections: list[DiscoveryConnection] = []
+        self.closed: set[DiscoveryConnection] = set()
         self.watch = Watch(
             self,
             ("host", 1),
@@ -82,7 +82,7 @@
         return self.timers[-1]
 
     def create_task(self, coroutine) -> Task:
-        self.exchanges.append(coroutine.cr_frame.f_locals["self"])
+        self.connections.append(coroutine.cr_frame.f_locals["self"])
         coroutine.close()
         return Task()
 
@@ -99,21 +99,21 @@
         self.now = max(self.now, timer.when)
         timer.callback()
 
-    def connect(self, exchange: Exchange) -> FakeTransport:
+    def connect(self, connection: DiscoveryConnection) -> FakeTransport:
         """Establish the connection, even if the watch has just given it up."""
         transport = FakeTransport(self)
-        exchange.connection_made(transport)
+        connection.connection_made(transport)
         return transport
 
-    def disconnect(self, exchange: Exchange, error: Exception | None) -> None:
-        if exchange not in self.closed:
-            self.closed.add(exchange)
-            if exchange.transport is None:
-                self.watch.connect_failed(exchange, "refused")
+    def disconnect(self, connection: DiscoveryConnection, error: Exception | None) -> None:
+        if connection not in self.closed:
+            self.closed.add(connection)
+            if connection.transport is None:
+                self.watch.connect_failed(connection, "refused")
             else:
                 if error is None:
-                    exchange.eof_received()
-                exchange.connection_lost(error)
+                    connection.eof_received()
+                connection.connection_lost(error)
 
 
 def serve_until_updated(loop: FakeLoop, time_limit: float) -> None:
@@ -121,21 +121,25 @@
     deadline, updates_before = loop.now + time_limit, len(loop.updates)
     answered: set[int] = set()
     while len(loop.updates) == updates_before:
-        exchange = loop.watch.exchange
-        if exchange and exchange.transport is None:
-            loop.connect(exchange)
-        elif exchange and exchange not in loop.closed and len(exchange.transport.requests) not in answered:
-            answered.add(len(exchange.transport.requests))
-            exchange.body.clear()
-            exchange.http = parser_awaiting_response(exchange)
-            exchange.data_received(answer(whole_list(99)))
+        connection = loop.watch.connection
+        if connection and connection.transport is None:
+            loop.connect(connection)
+        elif (
+            connection
+            and connection not in loop.closed
+            and len(connection.transport.requests) not in answered
+        ):
+            answered.add(len(connection.transport.requests))
+            connection.body.clear()
+            connection.http = parser_awaiting_response(connection)
+            connection.data_received(answer(whole_list(99)))
         else:
             loop.fire_next_timer()
             answered.clear()
         assert loop.now <= deadline
 
 
-def parser_awaiting_response(exchange: Exchange):
+def parser_awaiting_response(connection: DiscoveryConnection):
     """A parser with a request in flight and no part of a response read."""
     http = discovery.h11.Connection(discovery.h11.CLIENT)
     http.send(discovery.h11.Request(method="GET", target="/", headers=[("host", "a")]))
@@ -174,7 +178,7 @@
         loop = FakeLoop(seed)
         loop.watch.start_after_delay() if rng.random() < 0.5 else loop.watch.start()
         for _ in range(60):
-            live = [e for e in loop.exchanges if e not in loop.closed]
+            live = [c for c in loop.connections if c not in loop.closed]
             event = rng.choice(("fire", "up", "data", "data", "eof", "reset", "move", "wait"))
             if event == "fire":
                 loop.fire_next_timer()
@@ -184,15 +188,15 @@
             elif event == "move":
                 loop.watch.set_address(("host", rng.randrange(3)))
             elif live:
-                exchange = rng.choice(live)
-                if event == "up" and exchange.transport is None:
-                    loop.connect(exchange)
-                elif event == "data" and exchange.transport and not exchange.transport.aborted:
-                    exchange.data_received(rng.choice(responses))
+                connection = rng.choice(live)
+                if event == "up" and connection.transport is None:
+                    loop.connect(connection)
+                elif event == "data" and connection.transport and not connection.transport.aborted:
+                    connection.data_received(rng.choice(responses))
                 elif event in ("eof", "reset"):
-                    loop.disconnect(exchange, None if event == "eof" else ConnectionResetError())
+                    loop.disconnect(connection, None if event == "eof" else ConnectionResetError())
             assert len(loop.pending()) == 1
-            current = loop.watch.exchange
+            current = loop.watch.connection
             assert current is None or current.transport is None or not current.transport.aborted
         serve_until_updated(loop, STALENESS_LIMIT)
 
@@ -204,22 +208,22 @@
     for seed in range(20):
         loop = FakeLoop(seed)
         loop.watch.start()
-        loop.connect(loop.watch.exchange)
+        loop.connect(loop.watch.connection)
         for _ in range(refusals):
-            loop.watch.exchange.data_received(REFUSALS["refused"])
+            loop.watch.connection.data_received(REFUSALS["refused"])
             loop.fire_next_timer()
-        loop.watch.exchange.data_received(answer(whole_list(5)))
+        loop.watch.connection.data_received(answer(whole_list(5)))
         answered_at, requests_before = loop.now, len(loop.requests)
-        exchange = loop.watch.exchange
+        connection = loop.watch.connection
         slow_bytes = itertools.chain((HEAD + b"X-Slow: ",), itertools.repeat(b"a"))
         if silence == "in the middle":
-            exchange.data_received(RESPONSES["half a body"])
+            connection.data_received(RESPONSES["half a body"])
         while len(loop.requests) == requests_before:
-            if loop.watch.exchange and loop.watch.exchange.transport is None:
-                loop.connect(loop.watch.exchange)
-            elif silence == "trickling" and loop.watch.exchange is exchange:
+            if loop.watch.connection and loop.watch.connection.transport is None:
+                loop.connect(loop.watch.connection)
+            elif silence == "trickling" and loop.watch.connection is connection:
                 due = min(timer.when for timer in loop.pending())
-                exchange.data_received(next(slow_bytes))
+                connection.data_received(next(slow_bytes))
                 loop.now = min(due, loop.now + 0.1)
                 if loop.now == due:
                     loop.fire_next_timer()
@@ -234,28 +238,28 @@
     for cut in range(len(data) + 1):
         loop = FakeLoop()
         loop.watch.start()
-        exchange = loop.watch.exchange
-        loop.connect(exchange)
-        exchange.data_received(data[:cut])
-        loop.disconnect(exchange, None if end == "eof" else ConnectionResetError())
+        connection = loop.watch.connection
+        loop.connect(connection)
+        connection.data_received(data[:cut])
+        loop.disconnect(connection, None if end == "eof" else ConnectionResetError())
         assert [host_list.version for host_list in loop.updates] == (
             [5] if (end, cut) == ("eof", len(data)) else []
         )
-        assert len(loop.pending()) == 1 and loop.watch.exchange is None
+        assert len(loop.pending()) == 1 and loop.watch.connection is None
 
 
 def test_a_response_without_end_is_dropped_and_its_memory_bounded():
     loop = FakeLoop()
     loop.watch.start()
-    exchange = loop.watch.exchange
-    loop.connect(exchange)
-    exchange.data_received(HEAD + b"\r\n")
+    connection = loop.watch.connection
+    loop.connect(connection)
+    connection.data_received(HEAD + b"\r\n")
     chunk, sent_bytes = b"x" * 256 * 1024, 0
-    while loop.watch.exchange is exchange:
-        exchange.data_received(chunk)
+    while loop.watch.connection is connection:
+        connection.data_received(chunk)
         sent_bytes += len(chunk)
         assert sent_bytes <= discovery.RESPONSE_BYTES_MAX + len(chunk)
-    assert exchange.transport.aborted
+    assert connection.transport.aborted
 
 
 @asyncio_test
