--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -24,7 +24,7 @@
 STALENESS_LIMIT = 6.0  # a change at discovery counts as delivered after this time, whether it arrived or not
 # Between the starts of two attempts, whatever becomes of the first: it leaves time for the second to be
 # answered within STALENESS_LIMIT.
-CALL_INTERVAL_MAX = STALENESS_LIMIT - 2.0
+ATTEMPT_INTERVAL_MAX = STALENESS_LIMIT - 2.0
 CONNECT_TIMEOUT = 1.0
 LONG_POLL_WAIT = 2.0  # until it is over, a hung discovery agent can't be told from one without changes
 RESPONSE_TIMEOUT = 1.0  # added to the long-poll wait; after it the watch reconnects
@@ -35,7 +35,7 @@
 # costs every entry.
 REFUSED_INTERVAL_MIN = 0.5  # between two requests after a refused one, doubled with each further refusal
 REFUSED_INTERVAL_DECAY = 0.7  # factor by which an answered request reduces that interval
-FIRST_CALL_SPACING = 0.15  # average between the first requests of a fleet that starts together
+FIRST_REQUEST_SPACING = 0.15  # average between the first requests of a fleet that starts together
 
 # Raised by the parsers for a malformed response.
 MALFORMED_RESPONSE_ERRORS = (
@@ -49,12 +49,12 @@
 )
 
 
-def first_call_spread(gateways: int, on_request: bool) -> float:
+def first_request_spread(gateways: int, on_request: bool) -> float:
     """Seconds over which a fleet spreads its first requests.
 
     ``on_request``: discovery sends lists only on request, so each first request costs it work.
     """
-    return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if on_request else 0.0
+    return min(ATTEMPT_INTERVAL_MAX, FIRST_REQUEST_SPACING * (gateways - 1)) if on_request else 0.0
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -190,7 +190,7 @@
     def start(self) -> None:
         """Open a new connection and poll."""
         self.drop()
-        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + ATTEMPT_INTERVAL_MAX
         self._set_timer(CONNECT_TIMEOUT, self._connect_timed_out)
         self.connection = DiscoveryConnection(self)
 
@@ -246,7 +246,7 @@
     def slow_down(self) -> None:
         """Increase the interval between requests, after one was refused or timed out."""
         self.refused_interval = min(
-            CALL_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.refused_interval)
+            ATTEMPT_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.refused_interval)
         )
 
     def refused(self, keep_alive: bool) -> None:
@@ -266,7 +266,7 @@
 
     def _poll_again(self) -> None:
         """Start the next attempt on the same connection."""
-        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + ATTEMPT_INTERVAL_MAX
         self._poll()
 
     def _poll(self) -> None:
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -19,7 +19,7 @@
 from .clients import Clients
 from .config import Config, HostList
 from .control import Control
-from .discovery import Watch, first_call_spread
+from .discovery import Watch, first_request_spread
 from .driver import Driver
 from .hosts import Hosts
 from .peers import Peers
@@ -117,7 +117,7 @@
             self._on_host_list,
             random_fraction=random.Random(self.config.seed).random,
             version=None if predecessor else since,
-            spread=first_call_spread(settings.gateways, settings.asks_for_list),
+            spread=first_request_spread(settings.gateways, settings.asks_for_list),
         )
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         if predecessor or since is None:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -16,7 +16,7 @@
 from orchidlane import messages
 from saffrongw import discovery
 from saffrongw.config import parse_hosts
-from saffrongw.discovery import DiscoveryConnection, Watch, first_call_spread
+from saffrongw.discovery import DiscoveryConnection, Watch, first_request_spread
 from saffrongw.peers import Peers
 
 ZONES = ("hall-a", "hall-b")
@@ -182,7 +182,7 @@
     monkeypatch,
 ):
     monkeypatch.setattr(discovery, "REFUSED_INTERVAL_MIN", 0.1)
-    monkeypatch.setattr(discovery, "CALL_INTERVAL_MAX", 0.8)
+    monkeypatch.setattr(discovery, "ATTEMPT_INTERVAL_MAX", 0.8)
     whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
     empty = {"seq": 5, "whole": False, "hosts": []}
     agent, received = await watched([503] * 5 + [whole] + [empty] * 9)
@@ -237,7 +237,7 @@
     """
     moments: dict[int, list[float]] = {}
     for gateways in (1, 3, 20, 40, 230):
-        spread = first_call_spread(gateways, on_request=True)
+        spread = first_request_spread(gateways, on_request=True)
         for seed in range(gateways):
             delays: set[float] = set()
             draw = random.Random(seed).random
@@ -254,13 +254,13 @@
     assert moments[1] == [0.0]
     assert max(moments[3]) < 0.5
     for gateways in (20, 40, 230):
-        assert max(moments[gateways]) <= discovery.CALL_INTERVAL_MAX
+        assert max(moments[gateways]) <= discovery.ATTEMPT_INTERVAL_MAX
         even_rate = max(
-            1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX
+            1 / discovery.FIRST_REQUEST_SPACING, gateways / discovery.ATTEMPT_INTERVAL_MAX
         )  # in a second
         largest = max(sum(at <= m < at + 1 for m in moments[gateways]) for at in moments[gateways])
         assert largest <= 2 * even_rate
-    assert first_call_spread(60, on_request=False) == 0.0
+    assert first_request_spread(60, on_request=False) == 0.0
 
 
 def test_gateways_that_are_refused_at_the_same_time_retry_at_different_times():
@@ -269,7 +269,7 @@
         watch = Watch(
             RecordingLoop(delays), ("127.0.0.1", 1), ZONES, list, random_fraction=random.Random(seed).random
         )
-        watch.next_attempt_due = discovery.CALL_INTERVAL_MAX  # an attempt has just begun
+        watch.next_attempt_due = discovery.ATTEMPT_INTERVAL_MAX  # an attempt has just begun
         watch.slow_down()
         watch._reconnect_later()
     assert len(delays) == 8
