--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -84,7 +84,7 @@
         self.timer = pool.hosts.loop.call_later(pool.hosts.connect_timeout, pool.connect_failed, self)
         self.task = pool.hosts.loop.create_task(self._open())
         pool.opening += 1
-        pool.hosts.sockets += 1  # counted here: a burst opens many connections before any task runs
+        pool.hosts.connection_count += 1  # counted here: a burst opens many connections before any task runs
 
     async def _open(self) -> None:
         try:
@@ -229,7 +229,7 @@
             self.pool.idle.remove(self)
         self.pool.opening -= self.stage is Stage.OPENING
         self.stage, self.attempt = Stage.CLOSED, None
-        self.pool.hosts.sockets -= 1
+        self.pool.hosts.connection_count -= 1
         self.timer.cancel()
         if self.transport:
             self.transport.abort()
@@ -358,14 +358,14 @@
         self,
         driver: Driver,
         report_names: tuple[str, ...],
-        sockets: int,
+        max_connections: int,
         idle_close: float,
         connect_timeout: float,
     ) -> None:
         self.driver, self.loop, self.report_names = driver, driver.loop, report_names
-        self.max_connections, self.connect_timeout = sockets, connect_timeout
+        self.max_connections, self.connect_timeout = max_connections, connect_timeout
         self.idle_timeout = IDLE_TIMEOUT_SHARE * idle_close
-        self.sockets = 0  # connections that are open or being opened
+        self.connection_count = 0  # connections that are open or being opened
         self.pools: dict[api.Server, Pool] = {}
         self.streams: dict[Connection, None] = {}  # connections with a streamed response
         self._close_idle_connections()
@@ -439,7 +439,7 @@
     def gauges(self) -> dict[str, int]:
         """Connection counts by state, for metrics."""
         return {
-            "host_conns": self.sockets,
+            "host_conns": self.connection_count,
             "host_conns_most": self.max_connections,
             "host_streams": len(self.streams),
             "host_idle": sum(len(pool.idle) for pool in self.pools.values()),
@@ -448,13 +448,13 @@
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; at the limit the one idle longest is closed."""
-        if self.sockets >= self.max_connections:
+        if self.connection_count >= self.max_connections:
             oldest = min(
                 (p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0].idle_since, default=None
             )
             if oldest:
                 oldest.idle[0].close()
-        return self.sockets < self.max_connections
+        return self.connection_count < self.max_connections
 
     def _close_idle_connections(self) -> None:
         """Close connections before their host does, so that no request is sent on one being closed."""
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -60,17 +60,19 @@
         self.loop = asyncio.get_running_loop()
         self.stop = asyncio.Event()
         self.host_list_received = asyncio.Event()  # from discovery, at least once
-        self.client_sockets = int(CLIENT_DESCRIPTOR_SHARE * config.sockets)
-        self.host_sockets = max(1, config.sockets - RESERVED_DESCRIPTORS - self.client_sockets)
+        self.max_client_connections = int(CLIENT_DESCRIPTOR_SHARE * config.sockets)
+        self.max_host_connections = max(
+            1, config.sockets - RESERVED_DESCRIPTORS - self.max_client_connections
+        )
         self.driver = Driver(config.settings, config.seed, self.loop)
         self.driver.hosts = Hosts(
             self.driver,
             config.settings.report_names,
-            self.host_sockets,
+            self.max_host_connections,
             config.idle_close,
             config.connect_timeout,
         )
-        self.clients = Clients(self.driver, config, self.client_sockets)
+        self.clients = Clients(self.driver, config, self.max_client_connections)
         self.control = Control(self.driver, self.clients)
         self.peers: Peers | None = None
         self.metrics: Metrics | None = None
@@ -188,9 +190,9 @@
         self, predecessor: upgrade.Predecessor, predecessor_clients: int, predecessor_hosts: int
     ) -> None:
         """Subtract the descriptors that the predecessor still uses, as both processes share one limit."""
-        self.clients.max_connections = max(1, self.client_sockets - predecessor_clients)
+        self.clients.max_connections = max(1, self.max_client_connections - predecessor_clients)
         reserved = UPGRADE_DESCRIPTORS if predecessor.channel else 0
-        self.driver.hosts.max_connections = max(1, self.host_sockets - predecessor_hosts - reserved)
+        self.driver.hosts.max_connections = max(1, self.max_host_connections - predecessor_hosts - reserved)
 
     def reload(self) -> None:
         """Handle SIGHUP: reread the configuration, apply what is reloadable, and log what needs a restart."""
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -234,8 +234,8 @@
         while not self.clients.is_finished:
             for client in list(self.clients.open):
                 client.close_if_idle()
-            client_sockets = len(self.clients.open) + len(self.clients.half_closed)
-            self.channel.send(sockets=[client_sockets, self.driver.hosts.sockets])
+            client_connections = len(self.clients.open) + len(self.clients.half_closed)
+            self.channel.send(sockets=[client_connections, self.driver.hosts.connection_count])
             await asyncio.sleep(POLL_INTERVAL)
         log.info("handover_finished")
         self.channel.writer.close()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -77,7 +77,7 @@
     await caller.replied(2)
     caller.call(number=b"three")
     await until(lambda: len(host.commands) == 3)
-    assert len(host.connections) == rig.hosts.sockets == 2
+    assert len(host.connections) == rig.hosts.connection_count == 2
 
 
 @asyncio_test
@@ -134,7 +134,7 @@
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
-    await until(lambda: rig.hosts.sockets == 1)  # the other connection is closed
+    await until(lambda: rig.hosts.connection_count == 1)  # the other connection is closed
 
 
 @asyncio_test
@@ -201,7 +201,7 @@
     accepted, _ = await rig.loop.sock_accept(listener)
     await rig.loop.sock_sendall(accepted, b"-BUSY\r\n")
     assert error((await caller.replied())[0]).startswith("BUSY")
-    assert rig.hosts.sockets == 0
+    assert rig.hosts.connection_count == 0
     accepted.close()
     listener.close()
 
@@ -366,7 +366,7 @@
     caller = await rig.caller()
     caller.call()
     await caller.replied()
-    await until(lambda: not host.connections and not rig.hosts.sockets)
+    await until(lambda: not host.connections and not rig.hosts.connection_count)
 
 
 @asyncio_test
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -94,7 +94,7 @@
     assert (await receive_command(second))[2] == b"two"
     await rig.loop.sock_sendall(second, ANSWER)
     assert await caller.replied(2) == [b"fresh", b"fresh"]
-    assert rig.hosts.sockets == 1 and rig.driver.stats["host_stale"] == 1
+    assert rig.hosts.connection_count == 1 and rig.driver.stats["host_stale"] == 1
 
 
 @asyncio_test
@@ -154,7 +154,7 @@
         await until(lambda: pool.idle)
         caller.call(number=number)
         assert (await receive_command(first))[2] == number
-    assert rig.hosts.sockets == 1 and pool.opening == 0
+    assert rig.hosts.connection_count == 1 and pool.opening == 0
     await rig.loop.sock_sendall(first, ANSWER)
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
@@ -167,7 +167,7 @@
     for each in (first, *others):
         await rig.loop.sock_sendall(each, ANSWER)
     assert await caller.replied(6) == [b"fresh"] * 6
-    assert len(pool.idle) == rig.hosts.sockets == 3
+    assert len(pool.idle) == rig.hosts.connection_count == 3
 
 
 class Gate:
@@ -212,7 +212,7 @@
     await until(lambda: pool.idle)
     caller.call(kind, number=b"id2")
     assert await caller.replied(2) == [b"ok", b"ok"]
-    assert rig.hosts.sockets == len(host.connections)
+    assert rig.hosts.connection_count == len(host.connections)
 
 
 CONNECT_OUTCOMES = {
@@ -238,14 +238,16 @@
     caller = rig.test_caller = await rig.caller()
     caller.call("bill")
     await until(lambda: rig.hosts.pools[b"a"].waiting)
-    assert rig.hosts.sockets == 1
+    assert rig.hosts.connection_count == 1
     CONNECT_OUTCOMES[end](rig, host, gate)
     if end != "client gone":
         assert error((await caller.replied())[0]).startswith("BUSY")
     await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
     if end != "timed out":
         await until(lambda: gate.under_way == 0)
-    await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
+    await until(
+        lambda: rig.hosts.connection_count == sum(len(pool.idle) for pool in rig.hosts.pools.values())
+    )
     try:
         sock, _ = host.listener.accept()
     except OSError:
@@ -276,7 +278,7 @@
     sock = await host.accept()
     await rig.loop.sock_sendall(sock, early)
     assert error((await caller.replied())[0]).startswith("BUSY")
-    assert rig.hosts.sockets == 0
+    assert rig.hosts.connection_count == 0
 
 
 @asyncio_test
@@ -312,7 +314,7 @@
         assert rig.driver.stats["host_stale"] == 0
         with pytest.raises(BlockingIOError):
             host.listener.accept()
-        await until(lambda rig=rig: rig.hosts.sockets == 0)
+        await until(lambda rig=rig: rig.hosts.connection_count == 0)
         caller.transport.close()
 
 
@@ -369,8 +371,10 @@
         caller.call(number=b"%d" % number, wait=1500)
     assert len(await caller.replied(120)) == 120
     await until(lambda: not rig.driver.calls)
-    await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
+    await until(
+        lambda: rig.hosts.connection_count == sum(len(pool.idle) for pool in rig.hosts.pools.values())
+    )
     for pool in rig.hosts.pools.values():
         assert all(connection.stage is Stage.IDLE for connection in pool.idle) and not pool.waiting
         pool.close_idle(float("inf"))
-    assert rig.hosts.sockets == 0
+    assert rig.hosts.connection_count == 0
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -85,7 +85,7 @@
         assert await caller.replied(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
         await until(lambda: not rig.hosts.streams)
     assert rig.driver.stats["streamed"] == 3 and rig.hosts.streams == {}
-    assert len(host.connections) == rig.hosts.sockets <= 2
+    assert len(host.connections) == rig.hosts.connection_count <= 2
     await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
 
 
@@ -127,7 +127,7 @@
     host.connections[0].transport.abort()
     await until(lambda: caller.closed)
     assert caller.replies == [] and len(host.commands) == 1
-    assert rig.driver.stats["stream_broken"] == 1 and rig.hosts.sockets == 0
+    assert rig.driver.stats["stream_broken"] == 1 and rig.hosts.connection_count == 0
 
 
 @pytest.mark.parametrize("rest", [b"$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n", b""])
@@ -160,7 +160,7 @@
             assert str(caller.replies[0]) == "ERR failed" and len(caller.replies) == 1
         else:
             assert caller.closed and rig.driver.stats["stream_broken"] == 1
-        await until(lambda rig=rig: rig.hosts.sockets == 0)
+        await until(lambda rig=rig: rig.hosts.connection_count == 0)
         assert len(host.commands) == 1
         caller.transport.close()
 
@@ -231,7 +231,7 @@
     assert got == (b"$%d\r\n" % len(value) + value)[: len(got)]
     assert rig.hosts.streams
     sock.close()
-    await until(lambda: not rig.hosts.streams and not rig.hosts.sockets)
+    await until(lambda: not rig.hosts.streams and not rig.hosts.connection_count)
     assert not rig.driver.stats["stream_broken"]  # counts only streams that a host broke off
 
 
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -297,7 +297,7 @@
             world.check()
         world.loop.run(world.loop.now + 20.0)  # no more events: everything ends by its timers
         assert world.driver.calls == world.driver.gateway.requests == world.driver.gateway.attempts == {}
-        assert world.hosts.sockets == sum(len(pool.idle) for pool in world.hosts.pools.values())
+        assert world.hosts.connection_count == sum(len(pool.idle) for pool in world.hosts.pools.values())
         for call, times in world.answers.items():
             assert len(times) == (0 if call in world.gone and not times else 1), call
             COVERED["gone" if call in world.gone else "answered"] += 1
