--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -46,7 +46,7 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    control: Address | None  # listen address for operators' calls; None: off
+    control: Address | None  # listen address for operators' commands; None: off
     metrics: Address | None  # listen address for GET /metrics; None: off
     log_form: str  # one of ops.logs.FORMATS
     log_level: str  # one of ops.logs.LEVELS
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -132,7 +132,7 @@
         self.host_list_received.set()
 
     async def _listen_for_operators(self, retry_if_taken: bool) -> None:
-        """Listen for operators' calls and for metrics scrapes, each if it is configured."""
+        """Listen for operators' commands and for metrics scrapes, each if it is configured."""
         endpoints = []
         if self.config.control:
             endpoints.append(("operators", self.config.control, self.control.listen))
@@ -172,7 +172,7 @@
         listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
         await listeners.listen_now("clients", config.listen, listener)
         if taken_over:
-            predecessor.share_descriptors = functools.partial(self._update_descriptor_limits, predecessor)
+            predecessor.on_connection_counts = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
         self.control.predecessor = predecessor
         self.control.handover_server = upgrade.HandoverServer(
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -40,9 +40,9 @@
 FREEZE_TIMEOUT = 1.5  # seconds for which all decisions may be suspended
 DISCOVERY_TIMEOUT = 1.0  # seconds to wait for discovery's list before the predecessor's is used
 POLL_INTERVAL = 0.1  # seconds between two checks of the connections that the predecessor still has
-CONTROL_CALL_TIMEOUT = 0.5  # seconds for the other process to execute an operator's call
+CONTROL_COMMAND_TIMEOUT = 0.5  # seconds for the other process to execute an operator's command
 
-ExecuteCall = Callable[[bytes], Awaitable[str]]  # executes an operator's call and returns its answer
+ExecuteCommand = Callable[[bytes], Awaitable[str]]  # executes an operator's command and returns its answer
 
 # Raised by the channel and by malformed messages.
 CHANNEL_ERRORS = (
@@ -113,19 +113,19 @@
         driver: Driver,
         clients: Clients,
         peers: Peers | None,
-        execute_call: ExecuteCall,
+        execute_command: ExecuteCommand,
         stop: asyncio.Event,
     ) -> None:
         self.driver = driver
         self.clients = clients
         self.peers = peers
-        self.execute_call = execute_call
+        self.execute_command = execute_command
         self.loop = driver.loop
         self.stop = stop
         self.sock: socket.socket | None = None
         self.channel: Channel | None = None  # to the successor, once it has taken over
         self.successor_ended = False
-        self.pending_calls: dict[int, asyncio.Future[str]] = {}
+        self.pending_commands: dict[int, asyncio.Future[str]] = {}
         self.tasks: list[asyncio.Task] = []
 
     def listen(self, socket_path: Path | None) -> None:
@@ -249,8 +249,8 @@
                 match await self.channel.receive():
                     case {"answer": int(number), "reply": str(reply)}:
                         self.driver.answer_relayed(number, reply.encode("latin-1"))
-                    case {"said": int(number), "text": str(text)} if number in self.pending_calls:
-                        self.pending_calls.pop(number).set_result(text)
+                    case {"said": int(number), "text": str(text)} if number in self.pending_commands:
+                        self.pending_commands.pop(number).set_result(text)
                     case {"call": int(number), "line": str(line)}:
                         self.tasks.append(self.loop.create_task(self._execute_and_answer(number, line)))
         except CHANNEL_ERRORS:
@@ -259,7 +259,7 @@
                 self.driver.answer_relayed(call.event.request, FAILED_REPLY)
 
     async def _execute_and_answer(self, number: int, line: str) -> None:
-        self.channel.send(said=number, text=await self.execute_call(line.encode("latin-1")))
+        self.channel.send(said=number, text=await self.execute_command(line.encode("latin-1")))
 
     def forward_request(self, call: Call) -> None:
         """Relay a request that this process has read: the successor decides on it."""
@@ -295,22 +295,24 @@
             self.channel.send(peer=event.sender, body=event.body.decode("latin-1"))
 
     async def forward(self, line: bytes) -> str:
-        """Forward an operator's call to the successor; returns its answer."""
-        return await forward_call(self.channel, self.pending_calls, line)
+        """Forward an operator's command to the successor and return its answer."""
+        return await forward_command(self.channel, self.pending_commands, line)
 
 
-async def forward_call(channel: Channel, pending_calls: dict[int, asyncio.Future[str]], line: bytes) -> str:
-    """Have the other process execute an operator's call; returns its answer, or an error on timeout."""
-    number = max(pending_calls, default=0) + 1
-    pending_calls[number] = asyncio.get_running_loop().create_future()
+async def forward_command(
+    channel: Channel, pending_commands: dict[int, asyncio.Future[str]], line: bytes
+) -> str:
+    """Have the other process execute an operator's command; return its answer, or an error on timeout."""
+    number = max(pending_commands, default=0) + 1
+    pending_commands[number] = asyncio.get_running_loop().create_future()
     channel.send(call=number, line=line.decode("latin-1"))
     try:
-        async with asyncio.timeout(CONTROL_CALL_TIMEOUT):
-            return await pending_calls[number]
+        async with asyncio.timeout(CONTROL_COMMAND_TIMEOUT):
+            return await pending_commands[number]
     except TimeoutError:
         return "error the other process does not answer"
     finally:
-        pending_calls.pop(number, None)
+        pending_commands.pop(number, None)
 
 
 def _host_row(entry: api.ServerEntry, address: Address) -> list[Any]:
@@ -384,10 +386,11 @@
         self.driver: Driver | None = None
         self.attempts_out: dict[tuple[int, int], bytes] = {}  # hosts of the predecessor's open attempts
         self.relayed: dict[int, Call] = {}
-        self.pending_calls: dict[int, asyncio.Future[str]] = {}
+        self.pending_commands: dict[int, asyncio.Future[str]] = {}
         self.tasks: list[asyncio.Task] = []
-        self.share_descriptors: Callable[[int, int], None] = lambda clients, hosts: None
-        self.execute_call: ExecuteCall | None = None  # for operators' calls forwarded by the predecessor
+        # Called with the numbers of client and host connections that the predecessor still has.
+        self.on_connection_counts: Callable[[int, int], None] = lambda clients, hosts: None
+        self.execute_command: ExecuteCommand | None = None  # for commands that the predecessor forwards
 
     async def take_over(self, driver: Driver, host_list_received: asyncio.Event) -> bool:
         """Take over the state, after discovery's first list or DISCOVERY_TIMEOUT.
@@ -432,10 +435,11 @@
                 attempts_out.append(message["began"])
         return state, rows, attempts_out
 
-    def start_receiving(self, execute_call: ExecuteCall) -> None:
+    def start_receiving(self, execute_command: ExecuteCommand) -> None:
         """Handle the predecessor's messages from now on, until it ends."""
-        self.execute_call = execute_call
-        self.share_descriptors(self.config.sockets // 6, self.config.sockets // 3)
+        self.execute_command = execute_command
+        # Assumed until its first message with the actual numbers.
+        self.on_connection_counts(self.config.sockets // 6, self.config.sockets // 3)
         self.tasks.append(self.driver.loop.create_task(self._receive_messages()))
 
     async def _receive_messages(self) -> None:
@@ -447,7 +451,7 @@
         self.channel.writer.close()
         self.channel = None
         self._predecessor_lost()
-        self.share_descriptors(0, 0)
+        self.on_connection_counts(0, 0)
 
     def _handle_message(self, message: dict[str, Any]) -> None:
         match message:
@@ -476,14 +480,14 @@
             case {"peer": int(rank), "body": str(body)}:
                 self.driver.peer_message_received(rank, body.encode("latin-1"))
             case {"sockets": [int(clients), int(hosts)]}:
-                self.share_descriptors(clients, hosts)
+                self.on_connection_counts(clients, hosts)
             case {"call": int(number), "line": str(line)}:
                 self.tasks.append(self.driver.loop.create_task(self._execute_and_answer(number, line)))
-            case {"said": int(number), "text": str(text)} if number in self.pending_calls:
-                self.pending_calls.pop(number).set_result(text)
+            case {"said": int(number), "text": str(text)} if number in self.pending_commands:
+                self.pending_commands.pop(number).set_result(text)
 
     async def _execute_and_answer(self, number: int, line: str) -> None:
-        text = await self.execute_call(line.encode("latin-1"))
+        text = await self.execute_command(line.encode("latin-1"))
         if self.channel:
             self.channel.send(said=number, text=text)
 
@@ -516,5 +520,5 @@
         self.relayed.clear()
 
     async def forward(self, line: bytes) -> str:
-        """Forward an operator's call to the predecessor; returns its answer, or ``done`` if it has ended."""
-        return await forward_call(self.channel, self.pending_calls, line) if self.channel else "done"
+        """Forward an operator's command to the predecessor; return its answer, ``done`` if it has ended."""
+        return await forward_command(self.channel, self.pending_commands, line) if self.channel else "done"
