--- a/saffrongw/address_book.py
+++ b/saffrongw/address_book.py
@@ -2,14 +2,14 @@
 
 Like the membership protocol it has neither clock nor sockets: ``receive`` and ``tick`` take the time
 (microseconds) and return datagrams to send. A rank is bound to an address only by a reply from that address
-that echoes a random number of ours; what other gateways or the list service report are candidates, which are
+that echoes a nonce of ours; what other gateways or the list service report are candidates, which are
 contacted to verify them. Messages have the format of membership with version 2:
 
     u8 format, u8 version, authentication tag of 8 bytes, header, rows
-    header  u8 kind (1 HELLO, 2 HELLO_REPLY), u16 rank, life of 7 bytes, u32 number, u32 digest, u16 page
+    header  u8 kind (1 HELLO, 2 HELLO_REPLY), u16 rank, life of 7 bytes, u32 nonce, u32 digest, u16 page
     row     u16 rank, life of 7 bytes, IPv4 address of 4 bytes, u16 port
 
-HELLO asks the process at an address to reply with the same number. If the digests of the two tables of
+HELLO asks the process at an address to reply with the same nonce. If the digests of the two tables of
 addresses differ, the reply carries rows of the receiver's table from index ``page`` on, the most recently
 bound first; its own ``page`` is the index of the next row, 0 after the last one.
 """
@@ -41,11 +41,11 @@
 HELLO_INTERVAL = 50 * MS  # between messages to different candidates
 HELLO_TIMEOUT = 1 * SECOND  # until a candidate is contacted again
 HELLO_ATTEMPTS_MAX = 4  # per candidate
-SYNC_INTERVAL = 5 * SECOND  # mean interval of anti-entropy: a known peer is asked for what we don't know
+SYNC_INTERVAL = 5 * SECOND  # mean interval of anti-entropy with a known peer
 EARLY_SYNC_DELAY = 500 * MS  # mean delay of the next sync after a peer's digest differed
-FULL_SYNC_EVERY = 4  # one in so many syncs requests all pages
-REJOIN_EVERY = 8  # one in so many goes to an address of ``join``, to merge groups that started separately
-PENDING_HELLOS_MAX = 256  # messages whose replies are still accepted
+FULL_SYNC_EVERY = 4  # syncs, one of which requests all pages
+REJOIN_EVERY = 8  # syncs, one of which goes to an address of ``join``: merges groups that started separately
+PENDING_HELLOS_MAX = 256  # HELLO messages whose replies are still accepted
 REPLIES_PER_SECOND_MAX = 64.0  # unknown senders get replies, too
 
 
@@ -128,7 +128,7 @@
         self.peers: dict[int, PeerAddress] = {}
         self.peers_digest = 0  # XOR of the digest parts of all peers
         self.candidates: dict[int, Candidate] = {}
-        # (number, destination) of HELLO messages whose reply is accepted: whether all pages are requested
+        # By nonce and destination of HELLO messages whose reply is accepted: whether all pages are requested.
         self.pending_hellos: OrderedDict[tuple[int, Address], bool] = OrderedDict()
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
@@ -141,8 +141,10 @@
     # -- entry points ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Action]:
-        """Send what is due; to be called every HELLO_INTERVAL while ``has_candidates``, else every
-        JOIN_INTERVAL_MIN."""
+        """Send what is due.
+
+        To be called every HELLO_INTERVAL while ``has_candidates``, else every JOIN_INTERVAL_MIN.
+        """
         self.actions = []
         if not self.peers and now >= self.next_join_at and self.join:
             self._contact_seed()
@@ -167,16 +169,16 @@
         """Process a datagram of this version, whoever sent it."""
         self.actions = []
         try:
-            kind, rank, life, number, digest, page, rows = self._unpack(data)
+            kind, rank, life, nonce, digest, page, rows = self._unpack(data)
         except messages.InvalidMessage as reason:
             self.counts[f"dropped_{reason}"] += 1
             return []
         if rank == self.rank:
-            self._process_own_rank(sender_address, kind, life, number, now)
+            self._process_own_rank(sender_address, kind, life, nonce, now)
         elif kind == HELLO:
-            self._process_hello(now, sender_address, rank, life, number, digest, page)
+            self._process_hello(now, sender_address, rank, life, nonce, digest, page)
         else:
-            self._process_reply(now, sender_address, rank, life, number, digest, page, rows)
+            self._process_reply(now, sender_address, rank, life, nonce, digest, page, rows)
         return self._take_actions()
 
     def add_candidate(self, now: int, rank: int, life: int, address: Address) -> None:
@@ -201,11 +203,11 @@
         return actions
 
     def _digest(self) -> int:
-        """Hash of our table including ourselves; equal for gateways that know the same addresses."""
+        """Return a hash of our table including ourselves; equal for gateways that know the same addresses."""
         return self.peers_digest ^ _digest_part(self.rank, PeerAddress(self.life, self.own_address))
 
     def _apply_report(self, now: int, rank: int, peer: PeerAddress) -> bool:
-        """Apply an unverified report, which may concern ourselves; whether it gave a new candidate."""
+        """Apply an unverified report, which may concern ourselves; return whether it gave a new candidate."""
         if rank == self.rank:
             if peer.life > self.life:
                 self.actions.append(NewerLifeFound(peer.life))
@@ -245,7 +247,7 @@
         if current is None or current.address != peer.address:
             self.actions.append(AddressChanged(rank, peer.address))
 
-    def _process_own_rank(self, sender_address: Address, kind: int, life: int, number: int, now: int) -> None:
+    def _process_own_rank(self, sender_address: Address, kind: int, life: int, nonce: int, now: int) -> None:
         """Process a message with our rank: our own, sent to an address of ``join``, or another process's.
 
         Of two processes under one rank the one with the smaller life yields.
@@ -254,11 +256,11 @@
             self.actions.append(NewerLifeFound(life))
         elif life < self.life and kind == HELLO:
             self._send_reply(
-                now, sender_address, number, 0, PeerAddress(self.life, self.own_address), self.rank
+                now, sender_address, nonce, 0, PeerAddress(self.life, self.own_address), self.rank
             )
 
     def _process_hello(
-        self, now: int, sender_address: Address, rank: int, life: int, number: int, digest: int, page: int
+        self, now: int, sender_address: Address, rank: int, life: int, nonce: int, digest: int, page: int
     ) -> None:
         current = self.peers.get(rank)
         if (
@@ -269,11 +271,11 @@
             self._set_candidate(now, rank, PeerAddress(life, sender_address))
         superseding = current if current and life < current.life else None
         differs = digest != self._digest()
-        if differs:  # one of us knows more; a sync finds out soon
+        if differs:  # the sender may know addresses that we don't: sync soon
             self.next_sync_at = min(
                 self.next_sync_at, now + int(EARLY_SYNC_DELAY * (0.5 + self.random.random()))
             )
-        self._send_reply(now, sender_address, number, page if differs else None, superseding, rank)
+        self._send_reply(now, sender_address, nonce, page if differs else None, superseding, rank)
 
     def _process_reply(
         self,
@@ -281,12 +283,12 @@
         sender_address: Address,
         rank: int,
         life: int,
-        number: int,
+        nonce: int,
         digest: int,
         page: int,
         rows: Iterable[tuple[int, PeerAddress]],
     ) -> None:
-        all_pages = self.pending_hellos.pop((number, sender_address), None)
+        all_pages = self.pending_hellos.pop((nonce, sender_address), None)
         if all_pages is None:
             self.counts["dropped_unasked"] += 1
             return
@@ -301,24 +303,25 @@
         self.join_position += 1
 
     def _send_hello(self, address: Address, page: int = 0, all_pages: bool = False) -> None:
-        number = self.random.getrandbits(32)
-        self.pending_hellos[number, address] = all_pages
+        nonce = self.random.getrandbits(32)
+        self.pending_hellos[nonce, address] = all_pages
         if len(self.pending_hellos) > PENDING_HELLOS_MAX:
             self.pending_hellos.popitem(last=False)
-        self._send(address, HELLO, number, page)
+        self._send(address, HELLO, nonce, page)
 
     def _send_reply(
         self,
         now: int,
         destination: Address,
-        number: int,
+        nonce: int,
         page: int | None,
         superseding: PeerAddress | None,
         rank: int,
     ) -> None:
         """Reply with rows from index ``page`` on (None: no rows).
 
-        If another process has replaced the sender under its rank, the first row tells so.
+        ``superseding`` is the process that has replaced the sender under its rank, if there is one; it
+        is sent as the first row.
         """
         self.reply_tokens = min(
             REPLIES_PER_SECOND_MAX,
@@ -336,17 +339,17 @@
             capacity = ROWS_MAX - len(rows)
             next_page = page + capacity if len(others) > capacity else 0
             rows += [(other, self.peers[other]) for other in others[:capacity]]
-        self._send(destination, HELLO_REPLY, number, next_page, rows)
+        self._send(destination, HELLO_REPLY, nonce, next_page, rows)
 
     def _send(
         self,
         destination: Address,
         kind: int,
-        number: int,
+        nonce: int,
         page: int,
         rows: Iterable[tuple[int, PeerAddress]] = (),
     ) -> None:
-        body = HEADER.pack(kind, self.rank, _encode_life(self.life), number, self._digest(), page)
+        body = HEADER.pack(kind, self.rank, _encode_life(self.life), nonce, self._digest(), page)
         for rank, peer in rows:
             host, port = peer.address
             body += ROW.pack(rank, _encode_life(peer.life), socket.inet_aton(host), port)
@@ -359,11 +362,11 @@
         body = messages.unseal(data, self.key, VERSION)
         if len(body) < HEADER.size or (len(body) - HEADER.size) % ROW.size:
             raise messages.InvalidMessage("malformed")
-        kind, rank, life, number, digest, page = HEADER.unpack_from(body)
+        kind, rank, life, nonce, digest, page = HEADER.unpack_from(body)
         rows = list(self._unpack_rows(body))
         if kind not in (HELLO, HELLO_REPLY) or max(rank, page, *(other for other, _ in rows)) >= self.size:
             raise messages.InvalidMessage("malformed")
-        return kind, rank, _decode_life(life), number, digest, page, rows
+        return kind, rank, _decode_life(life), nonce, digest, page, rows
 
     @staticmethod
     def _unpack_rows(body: bytes) -> Iterator[tuple[int, PeerAddress]]:
--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -42,7 +42,7 @@
 
 
 def clock() -> int:
-    """Microseconds of a monotonic clock that keeps running while the machine sleeps."""
+    """Return the microseconds of a monotonic clock that keeps running while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
@@ -50,7 +50,7 @@
     """Membership of this gateway in its cluster."""
 
     def __init__(self, driver: Driver, config: Config, peers: Peers, drain: Callable[[], None]) -> None:
-        """``drain`` is called if another process runs under our rank."""
+        """``drain`` is called if another process runs under our rank and this one yields."""
         settings = config.settings
         random_seed = int.from_bytes(os.urandom(8), "big")
         life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + random_seed % (1 << LIFE_RANDOM_BITS)
@@ -85,7 +85,7 @@
                 self.rendezvous.start()
 
     def _next_due(self, now: int) -> int:
-        """When ``_tick`` is needed next; an idle process wakes up only for its own probes."""
+        """Return when ``_tick`` is needed next; an idle process wakes up only for its own probes."""
         core = self.core
         if core.left:
             return now + PROBE_INTERVAL
@@ -135,7 +135,10 @@
             self._schedule(now)
 
     def check_pause(self) -> api.MembersChanged | None:
-        """Called before each decision, which must take a pause of this process into account."""
+        """Detect a pause of this process before an event is handled, as decisions must take it into account.
+
+        Return the view if the pause has changed it.
+        """
         now = clock()
         if self.timer and now - self.core.last_called > PAUSE_THRESHOLD:
             return self._process_actions(self.core.tick(now))
@@ -169,7 +172,7 @@
                 self._process_and_feed(self.core.on_newer_life(now, action.life))
 
     def leave(self) -> None:
-        """Announce that this process shuts down."""
+        """Announce to the other members that this process shuts down."""
         if self.timer:
             self._process_and_feed(self.core.leave(clock()))
 
@@ -179,7 +182,7 @@
             self.driver.feed(changed)
 
     def _process_actions(self, actions: Iterable[state.Action]) -> api.MembersChanged | None:
-        """Send and log; returns an event for the decision module if the view has changed."""
+        """Send messages and log events; return an event for the decision module if the view has changed."""
         for action in actions:
             if isinstance(action, state.Send):
                 self.peers.send_to_rank(action.rank, action.body)
@@ -192,7 +195,7 @@
         return event
 
     def _members_changed(self) -> api.MembersChanged:
-        """The view for the decision module; gateways without a known address are unavailable, too."""
+        """Return the view for the decision module; gateways without a known address are unavailable, too."""
         view = self.core.view
         isolated = view.cut_off or view.outbound_down or view.doubtful or self.core.yielded
         unavailable = view.absent
@@ -227,7 +230,7 @@
     # -- for operators and metrics --------------------------------------------------------------------------
 
     def health_warnings(self) -> tuple[str, ...]:
-        """Reasons why this process's view of the cluster may be wrong."""
+        """Return reasons why this process's view of the cluster may be wrong."""
         view = self.core.view
         active, total = view.active_of_total
         others = f"{active - 1} of {total - 1} other gateways are active"
@@ -245,8 +248,11 @@
         return tuple(warnings)
 
     def table(self) -> dict[str, object]:
-        """The view for operators: each member's state, life, incarnation and the milliseconds since its last
-        message; links that are down as pairs (from, to)."""
+        """Return the view for operators.
+
+        A member's row is its state, life, incarnation and the milliseconds since its last message. Links that
+        are down are pairs (from, to).
+        """
         core, now = self.core, clock()
         rows = {
             m.rank: [
@@ -273,7 +279,7 @@
         }
 
     def gauges(self) -> dict[str, int]:
-        """Gauges for the periodic log line and the metrics."""
+        """Return the gauges for the ``stats`` event and the metrics."""
         view = self.core.view
         return {
             "members_here": view.active_of_total[0],
--- a/saffrongw/peers.py
+++ b/saffrongw/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways. The sender of one is identified by its source address alone."""
+"""Datagrams between gateways. The sender is identified by its source address, except by ``address_book``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from .members import Members
 
-# First bytes of messages, repeated here because ``member_messages`` and ``address_book`` are loaded only
+# Leading bytes of messages, repeated here because ``member_messages`` and ``address_book`` are loaded only
 # where ``cluster`` is configured.
 MEMBERSHIP_FORMAT = 3
 ADDRESS_MESSAGE_VERSION = 2  # second byte of the messages of ``address_book``, which have the same format
@@ -25,10 +25,10 @@
 class Peers(asyncio.DatagramProtocol):
     """The UDP socket at ``peer_listen``."""
 
-    def __init__(self, driver: Driver, addresses: Iterable[Address], own: int) -> None:
-        """``addresses`` in the order of the ranks; empty if they are discovered, see ``set_address``."""
+    def __init__(self, driver: Driver, addresses: Iterable[Address], own_rank: int) -> None:
+        """``addresses`` are in the order of the ranks; empty if they are discovered, see ``set_address``."""
         self.driver, self.addresses = driver, dict(enumerate(addresses))
-        self.ranks = {address: rank for rank, address in self.addresses.items() if rank != own}
+        self.ranks = {address: rank for rank, address in self.addresses.items() if rank != own_rank}
         self.transport: asyncio.DatagramTransport | None = None
         self.members: Members | None = None
 
@@ -41,7 +41,7 @@
             await loop.create_datagram_endpoint(lambda: self, local_addr=endpoint, reuse_port=True)
 
     def fileno(self) -> int:
-        """The socket's descriptor."""
+        """Return the socket's descriptor."""
         return self.transport.get_extra_info("socket").fileno()
 
     def detach_socket(self) -> socket.socket:
@@ -56,14 +56,17 @@
         return duplicate
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket is bound."""
+        """Enable sending to peers, and start membership, now that the socket is bound."""
         self.transport = transport
         self.driver.send_to_peer = self.send_to_rank
         if self.members:
             self.members.start()
 
     def datagram_received(self, body: bytes, source: Address) -> None:
-        """Dispatch a datagram; those from unknown senders and those of an invalid length are dropped."""
+        """Dispatch a datagram.
+
+        Those of an invalid length are dropped. Only address messages are accepted from unknown addresses.
+        """
         rank = self.ranks.get(source)
         if not 0 < len(body) <= messages.MESSAGE_BYTES_MAX:
             return
@@ -89,7 +92,7 @@
             self.transport.sendto(body, address)
 
     def set_address(self, rank: int, address: Address) -> None:
-        """Bind a gateway to an address; any other gateway that was bound to it loses it."""
+        """Bind a gateway to an address; another gateway that was bound to it is left without an address."""
         previous = self.addresses.get(rank)
         if self.ranks.get(previous) == rank:
             del self.ranks[previous]
--- a/saffrongw/rendezvous.py
+++ b/saffrongw/rendezvous.py
@@ -27,7 +27,7 @@
 class RendezvousClient:
     """Renews the announcement while the gateway owns the peer socket.
 
-    A failure of the service is logged once, until a call succeeds again.
+    Failures of the service are logged once per outage.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
             await asyncio.sleep(interval * random.uniform(0.5, 1.0))
 
     async def _announce(self) -> list[dict[str, str]]:
-        """Announce our address; returns the other gateways.
+        """Announce our address and return the other gateways.
 
-        Raises ValueError with the error that the service returned, or if the response is malformed.
+        Raise ValueError with the error that the service returned, or if the response is malformed.
         """
         address_book = self.address_book
         host, port = address_book.own_address
@@ -89,7 +89,7 @@
         return list(response["gateways"])
 
     async def _post(self, body: bytes) -> tuple[int, bytes]:
-        """POST a request on a new connection; returns status and body of the response."""
+        """POST a request on a new connection; return status and body of the response."""
         reader, writer = await asyncio.open_connection(*self.service)
         try:
             http = h11.Connection(h11.CLIENT)
