--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -88,7 +88,7 @@
         self._pause_reading()
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Resume reading and streaming, as the write buffer has drained."""
         self.stalled_since = 0.0
         if self.slots and self.slots[0].source:
             self.slots[0].source.resume()
@@ -119,11 +119,11 @@
             self.transport.write(data)
 
     def is_write_closed(self) -> bool:
-        """Whether nothing can be written any more."""
+        """Return whether nothing can be written any more."""
         return self.stage is Stage.HALF_CLOSED or self.transport.is_closing()
 
     def _accepts_commands(self) -> bool:
-        """Whether received commands are executed; those of a client that has disconnected are not."""
+        """Return whether received commands are executed; those of a client that has disconnected are not."""
         return self.stage is Stage.OPEN and not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
@@ -310,7 +310,7 @@
 
     def _accept_request(self, terms: Terms, parts: tuple[bytes | Body, ...], body_bytes: int = 0) -> None:
         """Pass a complete request on or refuse it; its body holds ``body_bytes`` of upload memory."""
-        # Keeps descriptors free; the request is refused as not executed.
+        # Surplus connections are closed to free their descriptors; the request is refused as not executed.
         if self.is_surplus and len(self.clients.open) > self.clients.max_connections:
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
@@ -346,7 +346,7 @@
         self.close_if_idle()
 
     def is_idle(self) -> bool:
-        """Whether no request is in flight, buffered, or unread in the socket.
+        """Return whether no request is in flight, buffered or unread, and the client reads its responses.
 
         With event loop lag, requests are often still unread; closing then would force the client to retry.
         """
@@ -357,7 +357,7 @@
         return not self.slots and not self.upload and parsed and not self._has_unread_bytes()
 
     def _has_unread_bytes(self) -> bool:
-        """Whether the socket holds unread input."""
+        """Return whether the socket holds unread input."""
         try:
             descriptor = self.transport.get_extra_info("socket").fileno()
             return any(fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)))
@@ -365,7 +365,7 @@
             return False  # FIONREAD is not supported, or the socket is closing
 
     def client_has_closed(self) -> bool:
-        """Whether the client has closed; while reading is paused, its FIN waits behind unread input."""
+        """Return whether the client has closed; its FIN may wait behind input while reading is paused."""
         if self.transport.is_closing():
             return False
         poller = select.poll()
@@ -384,7 +384,7 @@
             self.half_close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed: end the requests that its client was waiting for."""
+        """End the requests that the client of the closed connection was waiting for."""
         self.clients.open.pop(self, None)
         self.clients.half_closed.pop(self, None)
         self._release_resources()
@@ -404,7 +404,7 @@
 
     def _free_upload(self) -> None:
         upload, self.upload = self.upload, None
-        waited = self.clients.upload_memory.waiting.pop(self, 0)
+        queued_bytes = self.clients.upload_memory.waiting.pop(self, 0)
         self.clients.upload_memory.release(
-            upload.large.length if upload and upload.terms and not waited else 0
+            upload.large.length if upload and upload.terms and not queued_bytes else 0
         )
--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -1,7 +1,7 @@
 """Feeds events to the decision module ``Gateway`` and executes its actions: timers, attempts and answers.
 
-A ``Call`` is a client's request, from the arrival of its last byte to its final answer. ``_finish`` alone
-answers it.
+A ``Call`` is a client's request, from the arrival of its last byte to its final answer. It is answered by
+``_finish`` or, if its response is streamed, by ``stream_started``.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
         """Give up an attempt; its outcome is reported by the caller."""
 
     def apply_host_list(self, host_list: HostList) -> list[Attempt]:
-        """Apply an update of discovery's list; returns queued attempts that must not be sent any more."""
+        """Apply an update of discovery's list; return queued attempts that must not be sent any more."""
 
     def ban_host(self, server: api.Server) -> list[Attempt]:
-        """Close a banned host's idle connections; returns queued attempts that must not be sent any more."""
+        """Close a banned host's idle connections; return queued attempts that must not be sent any more."""
 
 
 class Successor(Protocol):
@@ -64,11 +64,13 @@
     """Receives measurements for ``metrics.py``, if that is enabled; durations are in microseconds."""
 
     def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
-        """A request of this class got its final answer, or its client went away; ``server`` is empty unless
-        a host served it."""
+        """Record a request of this class that got its final answer, or whose client has gone.
+
+        ``server`` is empty unless a host served it.
+        """
 
     def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
-        """An attempt has ended."""
+        """Record a finished attempt."""
 
 
 class Driver:
@@ -82,13 +84,13 @@
         self.calls: dict[int, Call] = {}
         self.stats = Stats()
         self.readiness = Readiness()
-        self.last_request = 0
+        self.last_request_number = 0
         self.pending_events: deque[api.Event] = deque()
         self.is_handling = False
         self.frozen = False  # the state is being handed over: events are queued
         self.successor: Successor | None = None  # the process that has taken over the state
         self.observer: Observer | None = None
-        # Runs before each event to detect event loop lag; may return an event to be handled first.
+        # Runs before each event to detect a pause of this process; may return an event to be handled first.
         self.pre_event_hook: Callable[[], api.MembersChanged | None] | None = None
 
     def start(self, known: HostList) -> None:
@@ -105,12 +107,15 @@
         answer: Callable[[bytes], None],
         sink: Sink | None = None,
     ) -> Call:
-        """Take on a completely received request; clients' own ids are not passed to the decision module."""
-        self.last_request += 1
+        """Register a completely received request and have it decided on, here or by the successor.
+
+        It gets a number of our own: clients' ids are not passed to the decision module.
+        """
+        self.last_request_number += 1
         self.stats["requests"] += 1
         time_left = max(MS, terms.timeout - REPLY_MARGIN)
         event = api.RequestArrived(
-            self.last_request,
+            self.last_request_number,
             terms.customer,
             terms.plan,
             terms.kind,
@@ -121,7 +126,7 @@
             terms.is_repeat,
         )
         call = Call(event, parts, self.clock() + time_left, answer, sink)
-        self.calls[self.last_request] = call
+        self.calls[self.last_request_number] = call
         call.deadline_timer = self._call_at(call.deadline, self._deadline_passed, call)
         if self.successor:
             self._relay(call)
@@ -151,7 +156,7 @@
                 self._withdraw(attempt)
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still be sent; asked right before it is written.
+        """Return whether an attempt may still be sent, and end it if not; called right before it is written.
 
         It may not once the request is answered, nor once the client has closed, even if the event loop is
         lagging and has not reported the close yet.
@@ -170,7 +175,7 @@
         value: bytes | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Record an attempt's outcome; the first one served is answered before the module is notified."""
+        """Record an attempt's outcome; if it is the first one served, answer before notifying the module."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -202,7 +207,7 @@
     def stream_started(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
         """Mark a request as served at the first bytes of a large response.
 
-        Returns the sink for its chunks, or None if nobody waits for it or its client cannot take a stream.
+        Return the sink for its chunks, or None if nobody waits for it or its client cannot take a stream.
         """
         call = attempt.call
         if attempt.ended or call.finished or call.sink is None:
@@ -227,7 +232,7 @@
             self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
 
     def ban(self, server: api.Server, is_banned: bool) -> bool:
-        """Ban a host for an operator, or lift the ban; returns False if discovery has never listed it."""
+        """Ban a host for an operator, or lift the ban; return False if discovery has never listed it."""
         if server not in self.gateway.server_names:
             return False
         unsent = self.hosts.ban_host(server) if is_banned else []
@@ -296,7 +301,7 @@
                 self.feed(event)
 
     def hand_over(self, successor: Successor) -> None:
-        """Another process has taken over the state: relay to it all requests not yet sent to a host."""
+        """Relay to the process that has taken over the state all requests not yet sent to a host."""
         self.successor = successor
         unsent = [call for call in self.calls.values() if not call.attempts and not call.finished]
         queued_events, self.pending_events = self.pending_events, deque()
@@ -377,7 +382,7 @@
         self.send_to_peer(action.peer, action.body)
 
     def _ignore(self, action: api.Action) -> None:
-        """Ignored: the discovery watch runs in any case, and this module sends no probes."""
+        """Ignore an action: the discovery watch runs in any case, and this package sends no probes."""
 
     _HANDLERS: ClassVar = {
         api.Send: _send,
@@ -437,7 +442,7 @@
                 self.feed(api.ClientGone(call.event.request))
 
     def _call_after(self, delay: int, callback: Callable, *args) -> asyncio.TimerHandle:
-        """Call back no earlier than ``delay`` from now; the loop's timers have millisecond resolution."""
+        """Call back no earlier than ``delay`` microseconds from now; timers have millisecond resolution."""
         return self.loop.call_later((delay // MS + 1) / 1_000, callback, *args)
 
     def _call_at(self, when: int, callback: Callable, *args) -> asyncio.TimerHandle:
--- a/saffrongw/requests.py
+++ b/saffrongw/requests.py
@@ -10,7 +10,7 @@
 from .calls import Terms
 from .config import Config
 
-BODY_INDEX = 4  # of the body among the values of a command
+BODY_INDEX = 4  # position of the body among the values of a command
 CUSTOMER_BITS = 33
 REQUEST_ID_BYTES_MAX = 64
 REQUEST_TIMEOUT_MAX = 3_600_000  # milliseconds
@@ -22,7 +22,10 @@
 
 
 def parse(command: list[object], config: Config) -> tuple[Terms, tuple[bytes, ...]]:
-    """Return a request's terms, and its parts for hosts with the terms split around the value of ``d``."""
+    """Return a request's terms, and the parts of its command for hosts.
+
+    The parts have the terms split around the value of ``d``, the timeout, which differs for each attempt.
+    """
     if not 4 <= len(command) <= 5 or (command[0] == b"CALL.GET" and len(command) != 4):
         raise MalformedRequest("wrong number of values")
     name, customer, request_id, text = command[:4]
@@ -55,7 +58,14 @@
         raise MalformedRequest("terms spread and first are out of range")
     if not 0 < len(request_id) <= REQUEST_ID_BYTES_MAX:
         raise MalformedRequest("the request's id is empty or too long")
-    at = (b"," + text).index(b",d=") + 2
-    parts = (name, customer, request_id, text[:at], text[at + len(timeout) :], *command[4:])
+    timeout_start = (b"," + text).index(b",d=") + 2
+    parts = (
+        name,
+        customer,
+        request_id,
+        text[:timeout_start],
+        text[timeout_start + len(timeout) :],
+        *command[4:],
+    )
     is_repeat = terms.get(b"r") == b"1"
     return Terms(key, kind, plan, int(timeout) * MS, units, set_size, set_first, is_repeat), parts
--- a/saffrongw/resp.py
+++ b/saffrongw/resp.py
@@ -12,7 +12,7 @@
 ARRAY_LENGTH_MAX = 1024  # values in one array
 LINE_BYTES_MAX = 1024  # bytes of a line: a type, and a number or a short text
 CRLF = b"\r\n"
-PLACEHOLDER = os.urandom(16)  # replaces a large value in parsed arrays; random so that no peer can forge it
+PLACEHOLDER = os.urandom(16)  # replaces a large value in parsed arrays; random so that it cannot be forged
 
 
 class LargeValue:
@@ -33,8 +33,8 @@
 class Reader(hiredis.Reader):
     """A hiredis reader that checks headers before the parser sees them, and streams large values.
 
-    The parser allocates room for as many values as an array header declares, so 13 bytes from a peer can make
-    it allocate two thousand million slots. It never touches them, but every run of the garbage collector
+    The parser allocates room for as many values as an array header declares, so 13 bytes from a client or
+    host can make it allocate two billion slots. It never touches them, but every run of the garbage collector
     scans all of them, which blocks the process for seconds.
 
     At one index of an array (``large_index``) a value may exceed 64 KiB. The parser then gets a placeholder,
@@ -68,42 +68,42 @@
 
     def feed(self, data: bytes) -> None:
         """Pass bytes to the parser up to the first invalid header."""
-        at = fed = 0  # bytes checked, and bytes passed to the parser or streamed
-        while at < len(data) and not self.error:
+        checked = consumed = 0  # bytes checked, and bytes passed to the parser or streamed
+        while checked < len(data) and not self.error:
             if self.body_bytes_left:
-                step = min(self.body_bytes_left, len(data) - at)
+                step = min(self.body_bytes_left, len(data) - checked)
                 self.body_bytes_left -= step
-                if not self._has_valid_terminator(data[at : at + step]):
+                if not self._has_valid_terminator(data[checked : checked + step]):
                     self.error = "malformed end of a value"
                     break
-                at += step
+                checked += step
                 if self.streaming:
-                    self._stream(data[fed:at])
-                    fed = at
+                    self._stream(data[consumed:checked])
+                    consumed = checked
                 continue
-            begun, end = len(self.header), data.find(b"\n", at) + 1
-            self.header += data[at : end or None]
+            bytes_before, end = len(self.header), data.find(b"\n", checked) + 1
+            self.header += data[checked : end or None]
             self.error = self._check_header(self.header) if end else self._check_header_length(self.header)
             if self.error or not end:
                 break
-            if begun or self.streaming:  # otherwise the header is passed on with the bytes around it
-                super().feed(data[fed:at])
+            if bytes_before or self.streaming:  # otherwise the header is passed on with the bytes around it
+                super().feed(data[consumed:checked])
                 super().feed(
                     b"$%d\r\n%b\r\n" % (len(PLACEHOLDER), PLACEHOLDER) if self.streaming else self.header
                 )
-                fed = end
-            self.header, at = b"", end
-        super().feed(data[fed:at])
+                consumed = end
+            self.header, checked = b"", end
+        super().feed(data[consumed:checked])
 
     def gets(self) -> object:
-        """Return the next complete value, or False; raises once all values before an error have been read."""
+        """Return the next complete value, or False; raise once all values before an error have been read."""
         value = super().gets()
         if value is False and self.error:
             raise hiredis.ProtocolError(self.error)
         return value
 
     def _has_valid_terminator(self, data: bytes) -> bool:
-        """Whether the part of the value's CRLF that these bytes hold is valid.
+        """Return whether the part of the value's CRLF that these bytes hold is valid.
 
         The parser skips those two bytes unchecked: a value longer or shorter than its header declares would
         be accepted as a different, valid one.
@@ -126,7 +126,7 @@
         return "line too long" if len(line) > LINE_BYTES_MAX else ""
 
     def _check_header(self, line: bytes) -> str:
-        """Update the framing state by a complete header line; returns an error, or an empty string."""
+        """Update the framing state by a complete header line; return an error, or an empty string."""
         kind, number = line[:1], line[1 : -len(CRLF)]
         if not line.endswith(CRLF):
             return "malformed line"
