--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -17,12 +17,12 @@
 
 
 def read_config() -> Config:
-    """Read and parse the file that LB_CONFIG names; raises one of CONFIG_ERRORS."""
+    """Read and parse the file that LB_CONFIG names; raise one of CONFIG_ERRORS if it is unusable."""
     return parse(Path(os.environ["LB_CONFIG"]).read_text())
 
 
 def main(read: Callable[[], Config] = read_config) -> int:
-    """Read the configuration and serve; prints one line and returns 1 if the gateway cannot start."""
+    """Read the configuration and serve; print one line and return 1 if the gateway cannot start."""
     try:
         config = read()
     except CONFIG_ERRORS as error:
--- a/saffrongw/calls.py
+++ b/saffrongw/calls.py
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Parsed terms of a client's command; ``timeout`` is in microseconds."""
+    """Parsed terms of a client's command; ``timeout`` is in microseconds.
+
+    ``kind`` and ``plan`` are the indexes of the request's class and the customer's plan in the settings;
+    ``set_first`` and ``set_size`` denote the gateways that the customer may use, as consecutive ranks.
+    """
 
     customer: int
     kind: int
@@ -34,7 +38,7 @@
         """Continue delivering chunks."""
 
     def abort(self) -> None:
-        """Discard the rest: nobody will read it."""
+        """Discard the rest, which nobody will read."""
 
 
 class Sink(Protocol):
@@ -47,13 +51,13 @@
         """Take the next chunk."""
 
     def end(self) -> None:
-        """The response is complete."""
+        """Complete the response."""
 
     def fail(self) -> None:
-        """The rest of the response will not come."""
+        """Abort the response, as the rest of it will not come."""
 
     def is_client_gone(self) -> bool:
-        """Whether the client has closed its connection, even if the event loop has not noticed yet."""
+        """Return whether the client has closed its connection, even if the event loop has not noticed yet."""
 
 
 Body = tuple[bytes, ...]  # a large body, in the chunks in which it was received
--- a/saffrongw/clients.py
+++ b/saffrongw/clients.py
@@ -59,7 +59,7 @@
         return not (self.driver.calls or self.open or self.half_closed or self.accepting)
 
     def connection_opened(self, client: Client) -> int:
-        """Register a connection, evicting the one idle longest at the limit; returns the excess over it."""
+        """Register a connection, evicting the one idle longest at the limit; return the excess over it."""
         self.driver.stats["client_accepted"] += 1
         if len(self.open) >= self.max_connections:
             idle = next((client for client in self.open if client.is_idle()), None)
@@ -86,11 +86,11 @@
         self.open[client] = None
 
     def unfinished_bytes(self) -> int:
-        """Total buffered bytes of unfinished commands."""
+        """Return the total of buffered bytes of unfinished commands."""
         return sum(client.unfinished_bytes for client in self.open)
 
     def gauges(self) -> dict[str, int]:
-        """Connection counts by state, for metrics."""
+        """Return connection counts by state, for the ``stats`` event and the metrics."""
         return {
             "client_conns": len(self.open),
             "client_conns_most": self.max_connections,
--- a/saffrongw/clock.py
+++ b/saffrongw/clock.py
@@ -9,6 +9,7 @@
     """Unix time in microseconds, read once at start and then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
+        # Nanoseconds; the successor of an upgrade takes over its predecessor's.
         self.base = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -43,31 +43,31 @@
 
     listen: Address
     discovery: Address
-    seed: int
-    sockets: int
+    seed: int  # of the decision module's random generator
+    sockets: int  # limit of file descriptors for the process
     memory: int  # bytes
     control: Address | None  # listen address for operators' commands; None: off
     metrics: Address | None  # listen address for GET /metrics; None: off
     log_form: str  # one of ops.logs.FORMATS
     log_level: str  # one of ops.logs.LEVELS
     peer_listen: Address | None
-    peers: tuple[Address, ...]
+    peers: tuple[Address, ...]  # ``peer_listen`` of all gateways in the order of their ranks
     cluster: str | None  # name of the cluster for membership; None: membership is off
     join: tuple[Address, ...]  # seed members that give the other members' addresses, instead of ``peers``
     meet: Address | None  # list service through which gateways find each other
     advertise: Address | None  # address at which other gateways reach ``peer_listen``; None: the same
     known: HostList  # list of hosts to start with
     settings: api.Settings
-    classes: dict[bytes, int]
-    plans: dict[bytes, int]
+    classes: dict[bytes, int]  # index in the settings by name
+    plans: dict[bytes, int]  # index in the settings by name
     zones: tuple[str, ...]
-    units_most: float
-    idle_close: float  # seconds
+    units_most: float  # limit of a request's units
+    idle_close: float  # seconds after which hosts close idle connections
     connect_timeout: float  # seconds
 
 
 def address(text: str) -> Address:
-    """Parse ``HOST:PORT``; raises ValueError."""
+    """Parse ``HOST:PORT``; raise ValueError if the text is not an address."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -83,7 +83,7 @@
             entry = api.ServerEntry(
                 server=str(raw_host["host"]).encode(),
                 phase=PHASE_BY_HEALTH[raw_host["health"]],
-                zone=zones.index(site) if site in zones else len(zones),
+                zone=zones.index(site) if site in zones else len(zones),  # the latter: zone not configured
                 cell=int(raw_host["block"]),
                 launched=int(raw_host["born_ms"]) * MICROSECONDS_PER_MS,
                 size=float(raw_host["share"]),
--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -100,13 +100,13 @@
     """The predecessor or successor of an upgrade, to which operators' commands are forwarded."""
 
     async def forward(self, line: bytes) -> str:
-        """Have it execute a command; returns its answer."""
+        """Have it execute a command; return its answer."""
 
 
 class Control:
-    """Listens for operators' commands, which are idempotent.
+    """Listens for operators' commands, which are idempotent, and executes them.
 
-    Commands are executed at once, except during a handover.
+    They are executed at once, except during a handover.
     """
 
     def __init__(self, driver: Driver, clients: Clients) -> None:
@@ -118,7 +118,7 @@
         self.members: Members | None = None
 
     async def listen(self, address: Address) -> None:
-        """Start listening; raises OSError."""
+        """Start listening; raise OSError if that fails."""
         self.server = await self.loop.create_server(
             lambda: ControlConnection(self), *address, backlog=CONNECTIONS_MAX
         )
--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -22,7 +22,7 @@
 
 # All times in seconds.
 STALENESS_LIMIT = 6.0  # a change at discovery counts as delivered after this time, whether it arrived or not
-# Between the starts of two attempts, whatever becomes of the first: it leaves time for the second to be
+# Between the starts of two attempts, whether or not the first one fails: it leaves time for the second to be
 # answered within STALENESS_LIMIT.
 ATTEMPT_INTERVAL_MAX = STALENESS_LIMIT - 2.0
 CONNECT_TIMEOUT = 1.0
@@ -50,7 +50,7 @@
 
 
 def first_request_spread(gateways: int, on_request: bool) -> float:
-    """Seconds over which a fleet spreads its first requests.
+    """Return the seconds over which a fleet spreads its first requests.
 
     ``on_request``: discovery sends lists only on request, so each first request costs it work.
     """
@@ -175,7 +175,8 @@
         self.spread = spread  # seconds over which the first requests of the whole fleet are spread
         self.backoff = BACKOFF_MIN
         self.refused_interval = 0.0  # seconds between requests after refusals; 0: discovery is not overloaded
-        # Loop time by which the next attempt starts: what this one misses counts as delivered soon after.
+        # Latest loop time at which the next attempt starts: a change that this one misses counts as delivered
+        # soon after.
         self.next_attempt_due = 0.0
         self.connection: DiscoveryConnection | None = None
         self.last_connect_succeeded: bool | None = None  # None: no attempt yet
@@ -223,8 +224,10 @@
         self.backoff = min(BACKOFF_MAX, 2 * self.backoff)
 
     def _jittered_delay(self, delay: float) -> float:
-        """Add jitter, so that the gateways of a fleet do not poll in step, and cap the delay so that the next
-        attempt starts before what this one missed counts as delivered."""
+        """Return a delay with jitter, so that the gateways of a fleet do not poll in step.
+
+        It is capped so that the next attempt starts before a change that this one missed counts as delivered.
+        """
         return min(
             delay * (1 + self.random_fraction()) / 2,
             max(BACKOFF_MIN, self.next_attempt_due - self.loop.time()),
@@ -236,7 +239,7 @@
         self.connect_failed(self.connection, "connect timed out")
 
     def connect_failed(self, connection: DiscoveryConnection, reason: str) -> None:
-        """Connecting failed: retry after the backoff."""
+        """Retry after the backoff, as connecting failed."""
         if connection is self.connection:
             if self.last_connect_succeeded is not False:  # logged once per outage
                 log.warning("discovery_unreachable", address=self.address, error=reason)
@@ -250,7 +253,7 @@
         )
 
     def refused(self, keep_alive: bool) -> None:
-        """Discovery is overloaded: retry later, on the same connection if it is kept alive."""
+        """Retry later, as discovery is overloaded; on the same connection if it is kept alive."""
         self.slow_down()
         if keep_alive:
             self._set_timer(self._jittered_delay(self.refused_interval), self._poll_again)
@@ -258,7 +261,7 @@
             self._reconnect_later()
 
     def connected(self) -> None:
-        """The connection is established: send the first request."""
+        """Send the first request on the established connection."""
         if self.last_connect_succeeded is False:
             log.info("discovery_reached", address=self.address)
         self.last_connect_succeeded = True
@@ -281,13 +284,14 @@
         self.connection.send_request(target, ":".join(map(str, self.address)))
 
     def parse(self, body: bytes) -> HostList:
-        """Parse a response body; raises one of MALFORMED_RESPONSE_ERRORS."""
+        """Parse a response body; raise one of MALFORMED_RESPONSE_ERRORS if it is malformed."""
         return parse_hosts(json.loads(body), self.zones)
 
     def answered(self, host_list: HostList, keep_alive: bool) -> None:
-        """Pass on the list, then poll again at once if the connection is kept alive, so that the watch has no
-        gap. A request sent before a long list is applied could be answered meanwhile, and clients would wait
-        until both lists are applied.
+        """Pass on the list, then poll again at once if the connection is kept alive, so as to miss no change.
+
+        The next request is sent only after the list is applied: with a long list its response could arrive
+        meanwhile, and clients would wait until both lists are applied.
 
         A lower version means that discovery restarted with another list: the whole list is requested.
         """
@@ -310,14 +314,14 @@
             self._reconnect_later()
 
     def response_failed(self, connection: DiscoveryConnection, error: Exception) -> None:
-        """The response was malformed: the current list may be out of date, so the whole list is requested."""
+        """Request the whole list after a malformed response, as the current one may be out of date."""
         if connection is self.connection:
             log.warning("discovery_failed", error=error, address=self.address)
             self.version = None
             self._reconnect_later()
 
     def connection_closed(self, connection: DiscoveryConnection) -> None:
-        """The connection was closed: reconnect after the backoff."""
+        """Reconnect after the backoff, as the connection was closed."""
         if connection is self.connection:
             self._reconnect_later()
 
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -20,7 +20,8 @@
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
 
 # Shutdown, in seconds after SIGTERM.
-# Requests are refused from here on: what arrives from 0.7 s on would have to be answered before SIGKILL.
+# Requests are refused from here on: any that arrives 0.7 s or later after SIGTERM must be answered before
+# SIGKILL.
 SHUTDOWN_REFUSE_DELAY = 0.65
 # After the listener is closed, incomplete commands delay the exit by at most this.
 SHUTDOWN_COMMAND_TIMEOUT = 1.0
@@ -48,7 +49,7 @@
         ]
 
     def cancel(self) -> str:
-        """Cancel the drain at any step; returns the answer to the operator."""
+        """Cancel the drain at any step; return the answer to the operator."""
         if self.clients.driver.readiness.shutting_down:
             return "error ending"
         for timer in self.timers:
@@ -59,7 +60,7 @@
         return "done joined"
 
     def hand_over(self) -> None:
-        """The successor accepts new connections: stop listening and close idle connections."""
+        """Stop listening and close idle connections, as the successor accepts the new ones."""
         self.cancel()
         self.clients.server.close()
         self._close_idle()
--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -44,7 +44,7 @@
 
 
 def pack_request(attempt: Attempt, now: int) -> tuple[bytes, ...]:
-    """The client's command, with its timeout replaced by how long the gateway will wait."""
+    """Return the client's command, with its timeout replaced by how long the gateway will wait."""
     command, customer, request_id, terms_before, terms_after, *body = attempt.call.parts
     timeout_ms = max(1, (attempt.expires_at - now) // MS)
     terms = terms_before + b"%d" % timeout_ms + terms_after
@@ -75,7 +75,7 @@
         self.attempt: Attempt | None = None
         self.large: LargeValue | None = None  # the streamed value of the current response
         self.sink: Sink | None = None  # where its chunks go
-        self.reply: object = False  # parsed response; False until complete, then the connection is reusable
+        self.reply: object = False  # parsed response, a large value replaced; False until complete
         self.paused = False
         self.last_received_at = 0.0  # when the last chunk of a streamed response was received
         self.received = 0  # bytes of the response
@@ -93,7 +93,7 @@
             self.pool.connect_failed(self)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is established.
+        """Set up the established connection and hand it to the pool.
 
         With a high-water mark of 0, ``resume_writing`` is called when the last byte has left the process.
         """
@@ -109,7 +109,7 @@
         self.pool.connected(self)
 
     def is_clean(self) -> bool:
-        """Whether the socket has nothing to read: no close, no reset, and no bytes that answer no request."""
+        """Return whether the socket has nothing to read: no close, no reset and no unrequested bytes."""
         if self.transport.is_closing():
             return False
         poller = select.poll()
@@ -124,10 +124,10 @@
         attempt.fully_sent = not self.transport.get_write_buffer_size() and not self.transport.is_closing()
 
     def pause_writing(self) -> None:
-        """The socket's send buffer is full."""
+        """Ignore that the send buffer is full: the connection carries no further request meanwhile."""
 
     def resume_writing(self) -> None:
-        """All data has been written to the socket."""
+        """Mark the attempt as fully sent: all data has been written to the socket."""
         if self.attempt:
             self.attempt.fully_sent = True
 
@@ -197,7 +197,7 @@
             self.received = 0
 
     def pause(self) -> None:
-        """Apply backpressure to the host: the client is reading slowly."""
+        """Apply backpressure to the host, as the client is reading slowly."""
         if not self.paused and not self.transport.is_closing():
             self.paused = True
             self.transport.pause_reading()
@@ -209,7 +209,7 @@
             self.transport.resume_reading()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The host or the network closed the connection."""
+        """Report the outcome of the attempt in flight after the host or the network closed the connection."""
         attempt = self.attempt
         self.close()
         if attempt:
@@ -286,7 +286,7 @@
             self.timer = self.hosts.loop.call_later(max(0.001, delay), self._dispatch)
 
     def _take_idle(self) -> Connection | None:
-        """Take the most recently used idle connection that is past its cooldown; closes stale ones."""
+        """Take the most recently used idle connection that is past its cooldown; close stale ones."""
         cutoff = self.hosts.loop.time() - CONNECTION_COOLDOWN
         for connection in self.idle[::-1]:
             if connection.idle_since > cutoff:
@@ -300,14 +300,14 @@
         return None
 
     def connect_failed(self, connection: Connection) -> None:
-        """A connection could not be established: fail the attempt queued longest, which has not run."""
+        """Fail the attempt queued longest, which has not run, as a connection could not be established."""
         if connection.stage is Stage.OPENING:
             connection.close()
             if self.waiting:
                 self.hosts.driver.attempt_ended(self.waiting.popleft(), api.Outcome.NOT_CONNECTED)
 
     def connected(self, connection: Connection) -> None:
-        """A connection is established: send the attempt queued longest on it."""
+        """Send the attempt queued longest on a connection that was just established."""
         self.opening -= 1
         connection.stage = Stage.BUSY
         if attempt := self._next_attempt():
@@ -374,7 +374,7 @@
     def apply_host_list(self, host_list: HostList) -> list[Attempt]:
         """Update the pools from discovery's list, and retire those of hosts that are gone or have moved.
 
-        Returns queued attempts to those and to draining hosts. They must not be sent when their connection is
+        Return queued attempts to those and to draining hosts. They must not be sent when their connection is
         established: a draining host gets no new requests.
         """
         unsent = []
@@ -437,7 +437,7 @@
             pool.close_idle(float("inf"))
 
     def gauges(self) -> dict[str, int]:
-        """Connection counts by state, for metrics."""
+        """Return connection counts by state, for the ``stats`` event and the metrics."""
         return {
             "host_conns": self.connection_count,
             "host_conns_most": self.max_connections,
@@ -447,7 +447,7 @@
         }
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; at the limit the one idle longest is closed."""
+        """Return whether another connection may be opened; at the limit, close the one idle longest."""
         if self.connection_count >= self.max_connections:
             oldest = min(
                 (p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0].idle_since, default=None
--- a/saffrongw/listeners.py
+++ b/saffrongw/listeners.py
@@ -20,7 +20,7 @@
 
 
 def listen_error(purpose: str, address: Address, error: OSError) -> StartupError:
-    """Describe why an address cannot be opened, and what to do about it."""
+    """Return an error that says why an address cannot be opened, and what to do about it."""
     advice = {
         errno.EADDRINUSE: "another process listens there: end it or choose another port",
         errno.EADDRNOTAVAIL: "this machine has no such address",
@@ -30,7 +30,7 @@
 
 
 async def listen_now(purpose: str, address: Address, listen: Callable[[], Awaitable[None]]) -> None:
-    """Open an address; raises StartupError."""
+    """Open an address; raise StartupError if that fails."""
     try:
         await listen()
     except OSError as error:
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -124,7 +124,7 @@
         self.server: Server | None = None
 
     async def listen(self, address: Address) -> None:
-        """Start to serve scrapes; raises OSError."""
+        """Start to serve scrapes; raise OSError if the address cannot be opened."""
         server = Server(self.page.handle, SCRAPE_CONNECTIONS_MAX)
         await server.listen(address)
         self.server = server
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -41,7 +41,7 @@
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """Names of the fields that differ; those of the settings with the prefix ``settings.``."""
+    """Return the names of the fields that differ; those of the settings with the prefix ``settings.``."""
 
     def differing(a: object, b: object) -> list[str]:
         fields = [field.name for field in dataclasses.fields(a)]
@@ -81,7 +81,7 @@
         self.bind_tasks: list[asyncio.Task[None]] = []  # retry addresses still in use
 
     async def run(self) -> None:
-        """Start, serve until stopped, and shut down; raises StartupError if it cannot start."""
+        """Start, serve until stopped, and shut down; raise StartupError if the gateway cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
         socket_path = upgrade.handover_socket_path(self.config)
@@ -215,5 +215,5 @@
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
-    """Run one gateway in the running event loop; raises StartupError."""
+    """Run one gateway in the running event loop; raise StartupError if it cannot start."""
     await Process(config, read).run()
--- a/saffrongw/response_slots.py
+++ b/saffrongw/response_slots.py
@@ -32,7 +32,7 @@
         self.client.flush()
 
     def release_body(self) -> None:
-        """Return the upload memory of the request's body."""
+        """Release the upload memory of the request's body."""
         body_bytes, self.body_bytes = self.body_bytes, 0
         self.client.clients.upload_memory.release(body_bytes)
 
@@ -58,7 +58,7 @@
         self.client.flush()
 
     def is_client_gone(self) -> bool:
-        """Whether the client has closed, even if its FIN is still unread in the socket."""
+        """Return whether the client has closed, even if its FIN is still unread in the socket."""
         return self.client.transport.is_closing() or self.client.client_has_closed()
 
     def fail(self) -> None:
--- a/saffrongw/stats.py
+++ b/saffrongw/stats.py
@@ -28,7 +28,7 @@
         self.gauges: Callable[[], dict[str, int]] = dict
 
     def totals(self) -> Counter[str]:
-        """Counts since the process started."""
+        """Return the counts since the process started."""
         return self.reported + self
 
     def start(self, loop: asyncio.AbstractEventLoop, gauges: Callable[[], dict[str, int]]) -> None:
@@ -49,6 +49,6 @@
 
 
 def rss_kb() -> int:
-    """Resident memory of this process in KiB."""
+    """Return the resident memory of this process in KiB."""
     resident_pages = int(Path("/proc/self/statm").read_text().split()[1])
     return resident_pages * resource.getpagesize() // 1024
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -55,13 +55,13 @@
 
 
 def handover_socket_path(config: Config) -> Path | None:
-    """Path of the handover socket for the configured listen address; None if TMPDIR is not set."""
+    """Return the path of the handover socket for the configured address; None if TMPDIR is not set."""
     directory = os.environ.get("TMPDIR")
     return Path(directory) / "saffrongw-{}-{}.sock".format(*config.listen) if directory else None
 
 
 def _short_path(socket_path: Path, directory: int) -> str:
-    """The same path through its directory's descriptor: a Unix socket path is limited to 107 bytes."""
+    """Return the path through its directory's descriptor: a Unix socket path is limited to 107 bytes."""
     return f"/proc/self/fd/{directory}/{socket_path.name}"
 
 
@@ -91,7 +91,7 @@
             self.writer.write(json.dumps(message).encode() + b"\n")
 
     async def receive(self) -> dict[str, Any]:
-        """Return the next message; raises one of CHANNEL_ERRORS. Safe to cancel: no data is lost."""
+        """Return the next message; raise one of CHANNEL_ERRORS. Safe to cancel: no data is lost."""
         message = json.loads(await self.reader.readuntil(b"\n"), parse_constant=_reject_constant)
         if not isinstance(message, dict):
             raise ValueError("message is not a JSON object")
@@ -346,7 +346,7 @@
 
 
 def connect_to_predecessor(socket_path: Path | None, config: Config) -> Predecessor | None:
-    """Connect to the process that serves the configured addresses; None if none answers.
+    """Connect to the process that serves the configured addresses; return None if none answers.
 
     Called before anything else is started.
     """
@@ -385,7 +385,7 @@
         self.channel: Channel | None = None
         self.driver: Driver | None = None
         self.attempts_out: dict[tuple[int, int], bytes] = {}  # hosts of the predecessor's open attempts
-        self.relayed: dict[int, Call] = {}
+        self.relayed: dict[int, Call] = {}  # by the predecessor's request number
         self.pending_commands: dict[int, asyncio.Future[str]] = {}
         self.tasks: list[asyncio.Task] = []
         # Called with the numbers of client and host connections that the predecessor still has.
@@ -395,7 +395,7 @@
     async def take_over(self, driver: Driver, host_list_received: asyncio.Event) -> bool:
         """Take over the state, after discovery's first list or DISCOVERY_TIMEOUT.
 
-        Returns False if that failed: this process then starts without the predecessor's state.
+        Return False if that failed: this process then starts without the predecessor's state.
         """
         self.driver = driver
         try:
--- a/saffrongw/uploads.py
+++ b/saffrongw/uploads.py
@@ -13,7 +13,7 @@
 
 UPLOAD_MEMORY_SHARE = 1 / 5  # share of the memory limit for all buffered bodies
 UPLOAD_RATE_MIN = 16 * 1024  # bytes a second, after the command timeout
-UPLOAD_MEMORY_TIMEOUT = 1.6  # seconds to wait for memory: a client is owed an answer or a close within 3 s
+UPLOAD_MEMORY_TIMEOUT = 1.6  # seconds to wait for memory: a client must get an answer or a close within 3 s
 UPLOAD_RESUME_TIMEOUT = 0.6  # seconds for the next chunk once memory is granted: the client has it ready
 
 
@@ -22,14 +22,14 @@
     """A command whose large body is still being received; without terms it is malformed and discarded."""
 
     large: LargeValue
-    began: float
+    began: float  # loop time of its first bytes or, if it had to wait for memory, of the grant
     terms: Terms | None = None
     parts: tuple[bytes, ...] = ()
     chunks: list[bytes] = field(default_factory=list)
     has_memory: bool = True
 
     def is_late(self, cutoff: float, grace: float) -> bool:
-        """Whether it has waited too long for memory, or is slower than the minimum rate.
+        """Return whether it has waited too long for memory, or is slower than the minimum rate.
 
         ``cutoff`` is now less the command timeout ``grace``, in which the rate is not enforced.
         """
