--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -63,13 +63,13 @@
 class Observer(Protocol):
     """Receives measurements for ``metrics.py``, if that is enabled; durations are in microseconds."""
 
-    def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
+    def request_finished(self, kind: int, outcome: str, server: api.Server, duration: int) -> None:
         """Record a request of this class that got its final answer, or whose client has gone.
 
         ``server`` is empty unless a host served it.
         """
 
-    def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
+    def attempt_finished(self, outcome: api.Outcome, server: api.Server, duration: int) -> None:
         """Record a finished attempt."""
 
 
@@ -187,16 +187,16 @@
             self.stats["served"] += 1
             self._observe(call, "served", attempt.server)
             self._finish(call, value)
-        took = self.clock() - attempt.sent_at
+        duration = self.clock() - attempt.sent_at
         if self.observer:
-            self.observer.attempt_finished(outcome, attempt.server, took)
+            self.observer.attempt_finished(outcome, attempt.server, duration)
         self.feed(
             api.AttemptEnded(
                 call.event.request,
                 attempt.number,
                 attempt.server,
                 outcome,
-                took,
+                duration,
                 call.finished,
                 0,
                 0.0,
@@ -406,8 +406,8 @@
 
     def _observe(self, call: Call, outcome: str, server: api.Server = b"") -> None:
         if self.observer:
-            took = self.clock() - call.deadline + call.event.time_left
-            self.observer.request_finished(call.event.kind, outcome, server, took)
+            duration = self.clock() - call.deadline + call.event.time_left
+            self.observer.request_finished(call.event.kind, outcome, server, duration)
 
     def _mark_finished(self, call: Call) -> None:
         call.finished = True
--- a/saffrongw/metrics.py
+++ b/saffrongw/metrics.py
@@ -139,16 +139,16 @@
         is_configured = host is not None and host.entry.zone < len(self.zones)
         return self.zones[host.entry.zone] if is_configured else NO_ZONE
 
-    def request_finished(self, kind: int, outcome: str, server: api.Server, took: int) -> None:
-        """Record a request that got its final answer, or whose client has gone; ``took`` in microseconds."""
+    def request_finished(self, kind: int, outcome: str, server: api.Server, duration: int) -> None:
+        """Record a request that got its final answer, or whose client has gone; ``duration`` in µs."""
         self.answers.labels(self.class_names[kind], outcome, self._zone(server)).observe(
-            took / MICROSECONDS_PER_SECOND
+            duration / MICROSECONDS_PER_SECOND
         )
 
-    def attempt_finished(self, outcome: api.Outcome, server: api.Server, took: int) -> None:
-        """Record a finished attempt; ``took`` in microseconds."""
+    def attempt_finished(self, outcome: api.Outcome, server: api.Server, duration: int) -> None:
+        """Record a finished attempt; ``duration`` in µs."""
         name = outcome.value.replace(" ", "_")
-        self.attempts.labels(name, self._zone(server)).observe(took / MICROSECONDS_PER_SECOND)
+        self.attempts.labels(name, self._zone(server)).observe(duration / MICROSECONDS_PER_SECOND)
 
     def _collect(self) -> Iterable[Metric]:
         totals, gauges = self.driver.stats.totals(), self.driver.stats.gauges()
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -159,18 +159,18 @@
         if config.peer_listen and config.settings.may_tell_peers:
             # Without configured peers, membership provides their addresses.
             self.peers = Peers(driver, config.peers, config.settings.rank)
-            peer_address = (predecessor and predecessor.peers) or config.peer_listen
+            peer_endpoint = (predecessor and predecessor.peer_socket) or config.peer_listen
             if config.cluster:
                 from .members import Members  # imports hashlib: only if configured
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
             await listeners.listen_now(
-                "peers", config.peer_listen, functools.partial(self.peers.listen, peer_address)
+                "peers", config.peer_listen, functools.partial(self.peers.listen, peer_endpoint)
             )
         driver.stats.start(self.loop, self._gauges)
-        listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
-        await listeners.listen_now("clients", config.listen, listener)
+        listen = functools.partial(self.clients.listen, predecessor and predecessor.listener)
+        await listeners.listen_now("clients", config.listen, listen)
         if taken_over:
             predecessor.on_connection_counts = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
--- a/saffrongw/requests.py
+++ b/saffrongw/requests.py
@@ -30,7 +30,10 @@
         raise MalformedRequest("wrong number of values")
     name, customer, request_id, text = command[:4]
     try:
-        if not re.fullmatch(rb"[0-9A-Fa-f]{16}", customer) or (key := int(customer, 16)) >> CUSTOMER_BITS:
+        if (
+            not re.fullmatch(rb"[0-9A-Fa-f]{16}", customer)
+            or (customer_number := int(customer, 16)) >> CUSTOMER_BITS
+        ):
             raise MalformedRequest("customer is not 16 hex digits below 2^33")
         pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
         terms = dict(pairs)
@@ -68,4 +71,4 @@
         *command[4:],
     )
     is_repeat = terms.get(b"r") == b"1"
-    return Terms(key, kind, plan, int(timeout) * MS, units, set_size, set_first, is_repeat), parts
+    return Terms(customer_number, kind, plan, int(timeout) * MS, units, set_size, set_first, is_repeat), parts
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -32,7 +32,7 @@
 
 log = logs.get_logger(__name__)
 
-VERSION = 1
+VERSION = 1  # of the messages between the two processes
 MESSAGE_BYTES_MAX = 2 * 1024 * 1024  # fits a request with the largest body, or one batch of accounts
 ACCOUNTS_PER_MESSAGE = 200  # the event loop runs between two batches
 CONNECT_TIMEOUT = 1.0  # seconds for the first message: a hung process is not waited for
@@ -320,8 +320,8 @@
     return [server, phase, entry.zone, entry.cell, entry.launched, entry.size, *address]
 
 
-def _host_entry(line: list[Any]) -> HostEntry:
-    server, phase, zone, cell, launched, size, host, port = line
+def _host_entry(row: list[Any]) -> HostEntry:
+    server, phase, zone, cell, launched, size, host, port = row
     entry = api.ServerEntry(
         server.encode("latin-1"), api.Phase[phase], int(zone), int(cell), int(launched), float(size)
     )
@@ -378,9 +378,9 @@
         self.sock, self.config = sock, config
         sockets_by_address = {s.getsockname(): s for s in sockets}
         self.listener = sockets_by_address.get(config.listen)
-        self.peers = sockets_by_address.get(config.peer_listen)
+        self.peer_socket = sockets_by_address.get(config.peer_listen)
         for other in sockets:
-            if other not in (self.listener, self.peers):
+            if other not in (self.listener, self.peer_socket):
                 other.close()
         self.channel: Channel | None = None
         self.driver: Driver | None = None
@@ -412,8 +412,8 @@
             if not host_list_received.is_set():
                 driver.apply_host_list(HostList(0, True, hosts))
             restored.apply_to(driver.gateway)
-            for message in attempts_out:
-                self._attempt_started(message)
+            for row in attempts_out:
+                self._attempt_started(row)
             # Written directly, not through the transport: the confirmation is sent at once or not at all.
             self.sock.send(json.dumps({"serving": True}).encode() + b"\n")
         except (TimeoutError, *CHANNEL_ERRORS) as error:
@@ -456,9 +456,9 @@
     def _handle_message(self, message: dict[str, Any]) -> None:
         match message:
             case {"arrived": int(number), "terms": terms, "parts": parts}:
-                customer, kind, plan, time_left, units, spread, first, is_repeat = terms
-                wait = int(time_left) + REPLY_MARGIN
-                request_terms = Terms(customer, kind, plan, wait, units, spread, first, is_repeat)
+                customer, kind, plan, time_left, units, set_size, set_first, is_repeat = terms
+                timeout = int(time_left) + REPLY_MARGIN
+                request_terms = Terms(customer, kind, plan, timeout, units, set_size, set_first, is_repeat)
                 request_parts = tuple(part.encode("latin-1") for part in parts)
                 call = self.driver.accept_request(
                     request_terms, request_parts, lambda reply: self._send_reply(number, reply)
@@ -469,13 +469,13 @@
                 self.driver.client_gone(self.relayed.pop(number))
             case {"began": began}:
                 self._attempt_started(began)
-            case {"ended": [number, attempt, server, outcome, took]}:
+            case {"ended": [number, attempt, server, outcome, duration]}:
                 self._attempt_ended(
                     _predecessor_request_id(number),
                     attempt,
                     server.encode("latin-1"),
                     api.Outcome[outcome],
-                    took,
+                    duration,
                 )
             case {"peer": int(rank), "body": str(body)}:
                 self.driver.peer_message_received(rank, body.encode("latin-1"))
@@ -496,20 +496,20 @@
         if self.channel:
             self.channel.send(answer=number, reply=reply.decode("latin-1"))
 
-    def _attempt_started(self, message: list[Any]) -> None:
-        number, customer, plan, kind, units, first, size, attempt, server, sent = message
+    def _attempt_started(self, row: list[Any]) -> None:
+        number, customer, plan, kind, units, set_first, set_size, attempt, server, sent = row
         server = server.encode("latin-1")
         self.attempts_out[_predecessor_request_id(number), attempt] = server
         arrived = api.RequestArrived(
-            _predecessor_request_id(number), customer, plan, kind, units, 0, first, size, False
+            _predecessor_request_id(number), customer, plan, kind, units, 0, set_first, set_size, False
         )
         self.driver.feed(api.AttemptElsewhere(arrived, attempt, server, sent))
 
     def _attempt_ended(
-        self, number: int, attempt: int, server: bytes, outcome: api.Outcome, took: int
+        self, number: int, attempt: int, server: bytes, outcome: api.Outcome, duration: int
     ) -> None:
         self.attempts_out.pop((number, attempt), None)
-        self.driver.feed(api.AttemptEnded(number, attempt, server, outcome, took, True, 0, 0.0, ()))
+        self.driver.feed(api.AttemptEnded(number, attempt, server, outcome, duration, True, 0, 0.0, ()))
 
     def _predecessor_lost(self) -> None:
         """Cancel the predecessor's open attempts, and drop the requests that it relayed."""
