--- a/saffrongw/address_book.py
+++ b/saffrongw/address_book.py
@@ -36,7 +36,7 @@
 ROW = struct.Struct(f"<H{messages.LIFE_BYTES}s4sH")
 ROWS_MAX = (messages.MESSAGE_BYTES_MAX - messages.HEADER_OFFSET - HEADER.size) // ROW.size
 
-# Between two attempts at ``join`` while no peer is known, doubled with each.
+# Between two messages to addresses of ``join`` while no peer is known, doubled with each.
 JOIN_INTERVAL_MIN, JOIN_INTERVAL_MAX = 250 * MS, 4 * SECOND
 HELLO_INTERVAL = 50 * MS  # between messages to different candidates
 HELLO_TIMEOUT = 1 * SECOND  # until a candidate is contacted again
--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -144,8 +144,8 @@
     async def execute(self, line: bytes) -> str:
         """Execute one command and return its answer.
 
-        During an upgrade, commands wait until the handover is over, and are then executed by the successor.
-        HEALTH is neither delayed nor forwarded: it reports on this process alone.
+        During a handover, commands wait until it is over; they are then executed by the successor or, if it
+        failed, by this process. HEALTH is neither delayed nor forwarded: it reports on this process alone.
         """
         line = line.removesuffix(b"\r")
         if line == b"HEALTH":
--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -31,8 +31,8 @@
 BACKOFF_MIN, BACKOFF_MAX = 0.05, 1.0  # before reconnecting, doubled with each failure
 
 # Discovery may be overloaded: requests then queue there, and with too many of them none is answered in time.
-# Continuing a watch costs discovery nothing, a new watch costs one request and the changes, and a whole list
-# costs every entry.
+# Continuing a watch costs discovery nothing, a new watch costs one request and the changes since its version,
+# and a whole list costs work for every entry.
 REFUSED_INTERVAL_MIN = 0.5  # between two requests after a refused one, doubled with each further refusal
 REFUSED_INTERVAL_DECAY = 0.7  # factor by which an answered request reduces that interval
 FIRST_REQUEST_SPACING = 0.15  # average between the first requests of a fleet that starts together
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -1,4 +1,7 @@
-"""Closing of client connections: in a drain ordered by an operator, after a handover, and at shutdown."""
+"""Closing of client connections: in a drain, after a handover, and at shutdown.
+
+A drain is ordered by an operator, or begins when this process yields its rank to another one.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 log = logs.get_logger(__name__)
 
-# Drain, in seconds after an operator's LEAVE.
+# Drain, in seconds after its begin.
 DRAIN_NOTICE_DELAY = 0.6  # by now the load balancer in front has seen the drain and sends no new connections
 DRAIN_REFUSE_DELAY = 1.8  # requests are refused from here on
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
@@ -28,7 +31,10 @@
 
 
 class Drain:
-    """Progress of a drain: idle connections are closed first, then new requests are refused."""
+    """Progress of a drain: idle connections are closed first, then new requests are refused.
+
+    At last, all connections without a request in flight are closed.
+    """
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
--- a/saffrongw/readiness.py
+++ b/saffrongw/readiness.py
@@ -11,7 +11,7 @@
 
     has_hosts: bool = False  # a list with at least one host has been received
     serving: bool = False  # this process listens for clients
-    draining: bool = False  # an operator ordered a drain
+    draining: bool = False  # an operator ordered a drain, or this process yielded its rank
     shutting_down: bool = False  # the process received a signal to end
     has_duplicate_rank: bool = False  # another process runs with the same rank
     handed_over: bool = False  # the successor of an upgrade serves in place of this process
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -74,7 +74,30 @@
 
 
 class Channel:
-    """Messages between the two processes: JSON, one per line."""
+    """Messages between the two processes: JSON objects, one per line, told apart by their keys.
+
+    From the successor:
+
+        version, listen          greeting; answered by a NUL byte that carries the listening sockets
+        take                     request for the state
+        serving                  confirmation that it has taken over
+        answer, reply            answer to a relayed request
+
+    From the predecessor:
+
+        state, hosts, clock      the state, followed by rows (accounts), began (open attempts) and end
+        arrived, terms, parts    a relayed request
+        gone                     the client of a relayed request has gone
+        began                    an attempt has started
+        ended                    an attempt's outcome
+        peer, body               a datagram of another gateway
+        sockets                  numbers of connections to clients and to hosts that it still has
+
+    From either:
+
+        call, line               an operator's command to execute
+        said, text               the answer to one
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
