--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -91,7 +91,7 @@
         began                    an attempt has started
         ended                    an attempt's outcome
         peer, body               a datagram of another gateway
-        sockets                  numbers of connections to clients and to hosts that it still has
+        sockets                  numbers of its remaining connections with clients and hosts
 
     From either:
 
