--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -100,13 +100,13 @@
     """The predecessor or successor of an upgrade, to which operators' commands are forwarded."""
 
     async def forward(self, line: bytes) -> str:
-        """Have it execute a command; returns its answer."""
+        """Have it execute a command; return its answer."""
 
 
 class Control:
-    """Listens for operators' commands, which are idempotent.
+    """Listens for operators' commands, which are idempotent, and executes them.
 
-    Commands are executed at once, except during a handover.
+    They are executed at once, except during a handover.
     """
 
     def __init__(self, driver: Driver, clients: Clients) -> None:
@@ -118,7 +118,7 @@
         self.members: Members | None = None
 
     async def listen(self, address: Address) -> None:
-        """Start listening; raises OSError."""
+        """Start listening; raise OSError if that fails."""
         self.server = await self.loop.create_server(
             lambda: ControlConnection(self), *address, backlog=CONNECTIONS_MAX
         )
@@ -144,8 +144,8 @@
     async def execute(self, line: bytes) -> str:
         """Execute one command and return its answer.
 
-        During an upgrade, commands wait until the handover is over, and are then executed by the successor.
-        HEALTH is neither delayed nor forwarded: it reports on this process alone.
+        During a handover, commands wait until it is over; they are then executed by the successor or, if it
+        failed, by this process. HEALTH is neither delayed nor forwarded: it reports on this process alone.
         """
         line = line.removesuffix(b"\r")
         if line == b"HEALTH":
--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -22,20 +22,20 @@
 
 # All times in seconds.
 STALENESS_LIMIT = 6.0  # a change at discovery counts as delivered after this time, whether it arrived or not
-# Between the starts of two attempts, whatever becomes of the first: it leaves time for the second to be
+# Between the starts of two attempts, whether or not the first one fails: it leaves time for the second to be
 # answered within STALENESS_LIMIT.
-CALL_INTERVAL_MAX = STALENESS_LIMIT - 2.0
+ATTEMPT_INTERVAL_MAX = STALENESS_LIMIT - 2.0
 CONNECT_TIMEOUT = 1.0
 LONG_POLL_WAIT = 2.0  # until it is over, a hung discovery agent can't be told from one without changes
 RESPONSE_TIMEOUT = 1.0  # added to the long-poll wait; after it the watch reconnects
 BACKOFF_MIN, BACKOFF_MAX = 0.05, 1.0  # before reconnecting, doubled with each failure
 
 # Discovery may be overloaded: requests then queue there, and with too many of them none is answered in time.
-# Continuing a watch costs discovery nothing, a new watch costs one request and the changes, and a whole list
-# costs every entry.
+# Continuing a watch costs discovery nothing, a new watch costs one request and the changes since its version,
+# and a whole list costs work for every entry.
 REFUSED_INTERVAL_MIN = 0.5  # between two requests after a refused one, doubled with each further refusal
 REFUSED_INTERVAL_DECAY = 0.7  # factor by which an answered request reduces that interval
-FIRST_CALL_SPACING = 0.15  # average between the first requests of a fleet that starts together
+FIRST_REQUEST_SPACING = 0.15  # average between the first requests of a fleet that starts together
 
 # Raised by the parsers for a malformed response.
 MALFORMED_RESPONSE_ERRORS = (
@@ -49,15 +49,15 @@
 )
 
 
-def first_call_spread(gateways: int, on_request: bool) -> float:
-    """Seconds over which a fleet spreads its first requests.
+def first_request_spread(gateways: int, on_request: bool) -> float:
+    """Return the seconds over which a fleet spreads its first requests.
 
     ``on_request``: discovery sends lists only on request, so each first request costs it work.
     """
-    return min(CALL_INTERVAL_MAX, FIRST_CALL_SPACING * (gateways - 1)) if on_request else 0.0
+    return min(ATTEMPT_INTERVAL_MAX, FIRST_REQUEST_SPACING * (gateways - 1)) if on_request else 0.0
 
 
-class Exchange(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One HTTP connection with one request in flight at a time.
 
     Once the watch has replaced it, its events are ignored.
@@ -88,7 +88,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Notify the watch, which sends the first request."""
         self.transport = transport
-        if self.watch.exchange is self:
+        if self.watch.connection is self:
             self.watch.connected()
         else:  # the connection was established just as the watch gave it up
             transport.abort()
@@ -102,7 +102,7 @@
         """Parse a response or a part of it; empty data stands for the end of the stream."""
         try:
             self.http.receive_data(data)
-            while self.watch.exchange is self:
+            while self.watch.connection is self:
                 event = self.http.next_event()
                 if event in (h11.NEED_DATA, h11.PAUSED) or isinstance(event, h11.ConnectionClosed):
                     break
@@ -140,14 +140,14 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the watch that the connection was closed by either side."""
-        self.watch.exchange_lost(self)
+        self.watch.connection_closed(self)
 
 
 class Watch:
     """Keeps the list of hosts up to date for as long as the gateway runs.
 
-    Once started, it is in one of four states: disconnected (``exchange`` is None), connecting, waiting for a
-    response, or connected with the next request postponed. Each state has exactly one timer. An event that
+    Once started, it is in one of four states: disconnected (``connection`` is None), connecting, waiting for
+    a response, or connected with the next request postponed. Each state has exactly one timer. An event that
     ends a state early sets the timer of the next one through ``_set_timer``, so that there is always a
     request in flight or a time set for the next one.
     """
@@ -175,9 +175,10 @@
         self.spread = spread  # seconds over which the first requests of the whole fleet are spread
         self.backoff = BACKOFF_MIN
         self.refused_interval = 0.0  # seconds between requests after refusals; 0: discovery is not overloaded
-        # Loop time by which the next attempt starts: what this one misses counts as delivered soon after.
+        # Latest loop time at which the next attempt starts: a change that this one misses counts as delivered
+        # soon after.
         self.next_attempt_due = 0.0
-        self.exchange: Exchange | None = None
+        self.connection: DiscoveryConnection | None = None
         self.last_connect_succeeded: bool | None = None  # None: no attempt yet
         self.timer: asyncio.TimerHandle | None = None
 
@@ -190,9 +191,9 @@
     def start(self) -> None:
         """Open a new connection and poll."""
         self.drop()
-        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + ATTEMPT_INTERVAL_MAX
         self._set_timer(CONNECT_TIMEOUT, self._connect_timed_out)
-        self.exchange = Exchange(self)
+        self.connection = DiscoveryConnection(self)
 
     def set_address(self, address: Address) -> None:
         """Switch to another address of discovery, dropping the connection to the previous one."""
@@ -206,9 +207,9 @@
 
     def drop(self) -> None:
         """Close the connection and ignore its further events."""
-        exchange, self.exchange = self.exchange, None
-        if exchange:
-            exchange.close()
+        connection, self.connection = self.connection, None
+        if connection:
+            connection.close()
 
     def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
         """Set the one timer, at the beginning of each state; an event may end the state earlier."""
@@ -223,8 +224,10 @@
         self.backoff = min(BACKOFF_MAX, 2 * self.backoff)
 
     def _jittered_delay(self, delay: float) -> float:
-        """Add jitter, so that the gateways of a fleet do not poll in step, and cap the delay so that the next
-        attempt starts before what this one missed counts as delivered."""
+        """Return a delay with jitter, so that the gateways of a fleet do not poll in step.
+
+        It is capped so that the next attempt starts before a change that this one missed counts as delivered.
+        """
         return min(
             delay * (1 + self.random_fraction()) / 2,
             max(BACKOFF_MIN, self.next_attempt_due - self.loop.time()),
@@ -233,11 +236,11 @@
     # -- events ---------------------------------------------------------------------------------------------
 
     def _connect_timed_out(self) -> None:
-        self.connect_failed(self.exchange, "connect timed out")
+        self.connect_failed(self.connection, "connect timed out")
 
-    def connect_failed(self, exchange: Exchange, reason: str) -> None:
-        """Connecting failed: retry after the backoff."""
-        if exchange is self.exchange:
+    def connect_failed(self, connection: DiscoveryConnection, reason: str) -> None:
+        """Retry after the backoff, as connecting failed."""
+        if connection is self.connection:
             if self.last_connect_succeeded is not False:  # logged once per outage
                 log.warning("discovery_unreachable", address=self.address, error=reason)
             self.last_connect_succeeded = False
@@ -246,11 +249,11 @@
     def slow_down(self) -> None:
         """Increase the interval between requests, after one was refused or timed out."""
         self.refused_interval = min(
-            CALL_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.refused_interval)
+            ATTEMPT_INTERVAL_MAX, max(REFUSED_INTERVAL_MIN, self.spread, 2 * self.refused_interval)
         )
 
     def refused(self, keep_alive: bool) -> None:
-        """Discovery is overloaded: retry later, on the same connection if it is kept alive."""
+        """Retry later, as discovery is overloaded; on the same connection if it is kept alive."""
         self.slow_down()
         if keep_alive:
             self._set_timer(self._jittered_delay(self.refused_interval), self._poll_again)
@@ -258,7 +261,7 @@
             self._reconnect_later()
 
     def connected(self) -> None:
-        """The connection is established: send the first request."""
+        """Send the first request on the established connection."""
         if self.last_connect_succeeded is False:
             log.info("discovery_reached", address=self.address)
         self.last_connect_succeeded = True
@@ -266,7 +269,7 @@
 
     def _poll_again(self) -> None:
         """Start the next attempt on the same connection."""
-        self.next_attempt_due = self.loop.time() + CALL_INTERVAL_MAX
+        self.next_attempt_due = self.loop.time() + ATTEMPT_INTERVAL_MAX
         self._poll()
 
     def _poll(self) -> None:
@@ -278,16 +281,17 @@
         if self.refused_interval:  # overloaded: the response may take until the next attempt is due
             timeout = max(timeout, self.next_attempt_due - BACKOFF_MIN - self.loop.time())
         self._set_timer(timeout, self._response_timed_out)
-        self.exchange.send_request(target, ":".join(map(str, self.address)))
+        self.connection.send_request(target, ":".join(map(str, self.address)))
 
     def parse(self, body: bytes) -> HostList:
-        """Parse a response body; raises one of MALFORMED_RESPONSE_ERRORS."""
+        """Parse a response body; raise one of MALFORMED_RESPONSE_ERRORS if it is malformed."""
         return parse_hosts(json.loads(body), self.zones)
 
     def answered(self, host_list: HostList, keep_alive: bool) -> None:
-        """Pass on the list, then poll again at once if the connection is kept alive, so that the watch has no
-        gap. A request sent before a long list is applied could be answered meanwhile, and clients would wait
-        until both lists are applied.
+        """Pass on the list, then poll again at once if the connection is kept alive, so as to miss no change.
+
+        The next request is sent only after the list is applied: with a long list its response could arrive
+        meanwhile, and clients would wait until both lists are applied.
 
         A lower version means that discovery restarted with another list: the whole list is requested.
         """
@@ -309,16 +313,16 @@
         else:
             self._reconnect_later()
 
-    def response_failed(self, exchange: Exchange, error: Exception) -> None:
-        """The response was malformed: the current list may be out of date, so the whole list is requested."""
-        if exchange is self.exchange:
+    def response_failed(self, connection: DiscoveryConnection, error: Exception) -> None:
+        """Request the whole list after a malformed response, as the current one may be out of date."""
+        if connection is self.connection:
             log.warning("discovery_failed", error=error, address=self.address)
             self.version = None
             self._reconnect_later()
 
-    def exchange_lost(self, exchange: Exchange) -> None:
-        """The connection was closed: reconnect after the backoff."""
-        if exchange is self.exchange:
+    def connection_closed(self, connection: DiscoveryConnection) -> None:
+        """Reconnect after the backoff, as the connection was closed."""
+        if connection is self.connection:
             self._reconnect_later()
 
     def _response_timed_out(self) -> None:
--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -1,4 +1,7 @@
-"""Closing of client connections: in a drain ordered by an operator, after a handover, and at shutdown."""
+"""Closing of client connections: in a drain, after a handover, and at shutdown.
+
+A drain is ordered by an operator, or begins when this process yields its rank to another one.
+"""
 
 from __future__ import annotations
 
@@ -14,20 +17,24 @@
 
 log = logs.get_logger(__name__)
 
-# Drain, in seconds after an operator's LEAVE.
+# Drain, in seconds after it begins.
 DRAIN_NOTICE_DELAY = 0.6  # by now the load balancer in front has seen the drain and sends no new connections
 DRAIN_REFUSE_DELAY = 1.8  # requests are refused from here on
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
 
 # Shutdown, in seconds after SIGTERM.
-# Requests are refused from here on: what arrives from 0.7 s on would have to be answered before SIGKILL.
+# Requests are refused from here on: any that arrives 0.7 s or later after SIGTERM must be answered before
+# SIGKILL.
 SHUTDOWN_REFUSE_DELAY = 0.65
 # After the listener is closed, incomplete commands delay the exit by at most this.
 SHUTDOWN_COMMAND_TIMEOUT = 1.0
 
 
 class Drain:
-    """Progress of a drain: idle connections are closed first, then new requests are refused."""
+    """Progress of a drain: idle connections are closed first, then new requests are refused.
+
+    At last, all connections without a request in flight are closed.
+    """
 
     def __init__(self, clients: Clients) -> None:
         self.clients = clients
@@ -48,7 +55,7 @@
         ]
 
     def cancel(self) -> str:
-        """Cancel the drain at any step; returns the answer to the operator."""
+        """Cancel the drain at any step; return the answer to the operator."""
         if self.clients.driver.readiness.shutting_down:
             return "error ending"
         for timer in self.timers:
@@ -59,7 +66,7 @@
         return "done joined"
 
     def hand_over(self) -> None:
-        """The successor accepts new connections: stop listening and close idle connections."""
+        """Stop listening and close idle connections, as the successor accepts the new ones."""
         self.cancel()
         self.clients.server.close()
         self._close_idle()
--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -15,11 +15,11 @@
 from ops import logs
 from orchidlane.wire import WireError
 
-from . import listening, upgrade
+from . import listeners, upgrade
 from .clients import Clients
 from .config import Config, HostList
 from .control import Control
-from .discovery import Watch, first_call_spread
+from .discovery import Watch, first_request_spread
 from .driver import Driver
 from .hosts import Hosts
 from .peers import Peers
@@ -41,7 +41,7 @@
 
 
 def changed_fields(old: Config, new: Config) -> list[str]:
-    """Names of the fields that differ; those of the settings with the prefix ``settings.``."""
+    """Return the names of the fields that differ; those of the settings with the prefix ``settings.``."""
 
     def differing(a: object, b: object) -> list[str]:
         fields = [field.name for field in dataclasses.fields(a)]
@@ -60,17 +60,19 @@
         self.loop = asyncio.get_running_loop()
         self.stop = asyncio.Event()
         self.host_list_received = asyncio.Event()  # from discovery, at least once
-        self.client_sockets = int(CLIENT_DESCRIPTOR_SHARE * config.sockets)
-        self.host_sockets = max(1, config.sockets - RESERVED_DESCRIPTORS - self.client_sockets)
+        self.max_client_connections = int(CLIENT_DESCRIPTOR_SHARE * config.sockets)
+        self.max_host_connections = max(
+            1, config.sockets - RESERVED_DESCRIPTORS - self.max_client_connections
+        )
         self.driver = Driver(config.settings, config.seed, self.loop)
         self.driver.hosts = Hosts(
             self.driver,
             config.settings.report_names,
-            self.host_sockets,
+            self.max_host_connections,
             config.idle_close,
             config.connect_timeout,
         )
-        self.clients = Clients(self.driver, config, self.client_sockets)
+        self.clients = Clients(self.driver, config, self.max_client_connections)
         self.control = Control(self.driver, self.clients)
         self.peers: Peers | None = None
         self.metrics: Metrics | None = None
@@ -79,7 +81,7 @@
         self.bind_tasks: list[asyncio.Task[None]] = []  # retry addresses still in use
 
     async def run(self) -> None:
-        """Start, serve until stopped, and shut down; raises StartupError if it cannot start."""
+        """Start, serve until stopped, and shut down; raise StartupError if the gateway cannot start."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop.set)
         socket_path = upgrade.handover_socket_path(self.config)
@@ -117,7 +119,7 @@
             self._on_host_list,
             random_fraction=random.Random(self.config.seed).random,
             version=None if predecessor else since,
-            spread=first_call_spread(settings.gateways, settings.asks_for_list),
+            spread=first_request_spread(settings.gateways, settings.asks_for_list),
         )
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         if predecessor or since is None:
@@ -130,21 +132,21 @@
         self.host_list_received.set()
 
     async def _listen_for_operators(self, retry_if_taken: bool) -> None:
-        """Listen for operators' calls and for metrics scrapes, each if it is configured."""
-        listeners = []
+        """Listen for operators' commands and for metrics scrapes, each if it is configured."""
+        endpoints = []
         if self.config.control:
-            listeners.append(("operators", self.config.control, self.control.listen))
+            endpoints.append(("operators", self.config.control, self.control.listen))
         if self.config.metrics:
             try:
                 from .metrics import Metrics  # heavy import: only if configured
             except ModuleNotFoundError as missing:
-                raise listening.StartupError(
+                raise listeners.StartupError(
                     f"metrics need {missing.name}: install requirements-tools.txt, or leave metrics out"
                 ) from None
             self.metrics = self.driver.observer = Metrics(self.driver, self.config)
-            listeners.append(("metrics", self.config.metrics, self.metrics.listen))
-        for purpose, address, listen in listeners:
-            task = await listening.listen_when_free(
+            endpoints.append(("metrics", self.config.metrics, self.metrics.listen))
+        for purpose, address, listen in endpoints:
+            task = await listeners.listen_when_free(
                 purpose, address, functools.partial(listen, address), retry_if_taken
             )
             if task:
@@ -157,20 +159,20 @@
         if config.peer_listen and config.settings.may_tell_peers:
             # Without configured peers, membership provides their addresses.
             self.peers = Peers(driver, config.peers, config.settings.rank)
-            peer_address = (predecessor and predecessor.peers) or config.peer_listen
+            peer_endpoint = (predecessor and predecessor.peer_socket) or config.peer_listen
             if config.cluster:
                 from .members import Members  # imports hashlib: only if configured
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
-            await listening.listen_now(
-                "peers", config.peer_listen, functools.partial(self.peers.listen, peer_address)
+            await listeners.listen_now(
+                "peers", config.peer_listen, functools.partial(self.peers.listen, peer_endpoint)
             )
         driver.stats.start(self.loop, self._gauges)
-        listener = functools.partial(self.clients.listen, predecessor and predecessor.listener)
-        await listening.listen_now("clients", config.listen, listener)
+        listen = functools.partial(self.clients.listen, predecessor and predecessor.listener)
+        await listeners.listen_now("clients", config.listen, listen)
         if taken_over:
-            predecessor.share_descriptors = functools.partial(self._update_descriptor_limits, predecessor)
+            predecessor.on_connection_counts = functools.partial(self._update_descriptor_limits, predecessor)
             predecessor.start_receiving(self.control.execute_locally)
         self.control.predecessor = predecessor
         self.control.handover_server = upgrade.HandoverServer(
@@ -188,9 +190,9 @@
         self, predecessor: upgrade.Predecessor, predecessor_clients: int, predecessor_hosts: int
     ) -> None:
         """Subtract the descriptors that the predecessor still uses, as both processes share one limit."""
-        self.clients.max_connections = max(1, self.client_sockets - predecessor_clients)
+        self.clients.max_connections = max(1, self.max_client_connections - predecessor_clients)
         reserved = UPGRADE_DESCRIPTORS if predecessor.channel else 0
-        self.driver.hosts.max_connections = max(1, self.host_sockets - predecessor_hosts - reserved)
+        self.driver.hosts.max_connections = max(1, self.max_host_connections - predecessor_hosts - reserved)
 
     def reload(self) -> None:
         """Handle SIGHUP: reread the configuration, apply what is reloadable, and log what needs a restart."""
@@ -213,5 +215,5 @@
 
 
 async def serve(config: Config, read: Callable[[], Config]) -> None:
-    """Run one gateway in the running event loop; raises StartupError."""
+    """Run one gateway in the running event loop; raise StartupError if it cannot start."""
     await Process(config, read).run()
--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -32,7 +32,7 @@
 
 log = logs.get_logger(__name__)
 
-VERSION = 1
+VERSION = 1  # of the messages between the two processes
 MESSAGE_BYTES_MAX = 2 * 1024 * 1024  # fits a request with the largest body, or one batch of accounts
 ACCOUNTS_PER_MESSAGE = 200  # the event loop runs between two batches
 CONNECT_TIMEOUT = 1.0  # seconds for the first message: a hung process is not waited for
@@ -40,9 +40,9 @@
 FREEZE_TIMEOUT = 1.5  # seconds for which all decisions may be suspended
 DISCOVERY_TIMEOUT = 1.0  # seconds to wait for discovery's list before the predecessor's is used
 POLL_INTERVAL = 0.1  # seconds between two checks of the connections that the predecessor still has
-CONTROL_CALL_TIMEOUT = 0.5  # seconds for the other process to execute an operator's call
+CONTROL_COMMAND_TIMEOUT = 0.5  # seconds for the other process to execute an operator's command
 
-ExecuteCall = Callable[[bytes], Awaitable[str]]  # executes an operator's call and returns its answer
+ExecuteCommand = Callable[[bytes], Awaitable[str]]  # executes an operator's command and returns its answer
 
 # Raised by the channel and by malformed messages.
 CHANNEL_ERRORS = (
@@ -55,13 +55,13 @@
 
 
 def handover_socket_path(config: Config) -> Path | None:
-    """Path of the handover socket for the configured listen address; None if TMPDIR is not set."""
+    """Return the path of the handover socket for the configured address; None if TMPDIR is not set."""
     directory = os.environ.get("TMPDIR")
     return Path(directory) / "saffrongw-{}-{}.sock".format(*config.listen) if directory else None
 
 
 def _short_path(socket_path: Path, directory: int) -> str:
-    """The same path through its directory's descriptor: a Unix socket path is limited to 107 bytes."""
+    """Return the path through its directory's descriptor: a Unix socket path is limited to 107 bytes."""
     return f"/proc/self/fd/{directory}/{socket_path.name}"
 
 
@@ -74,7 +74,30 @@
 
 
 class Channel:
-    """Messages between the two processes: JSON, one per line."""
+    """Messages between the two processes: JSON objects, one per line, told apart by their keys.
+
+    From the successor:
+
+        version, listen          greeting; answered by a NUL byte that carries the listening sockets
+        take                     request for the state
+        serving                  confirmation that it has taken over
+        answer, reply            answer to a relayed request
+
+    From the predecessor:
+
+        state, hosts, clock      the state, followed by rows (accounts), began (open attempts) and end
+        arrived, terms, parts    a relayed request
+        gone                     the client of a relayed request has gone
+        began                    an attempt has started
+        ended                    an attempt's outcome
+        peer, body               a datagram of another gateway
+        sockets                  numbers of its remaining connections with clients and hosts
+
+    From either:
+
+        call, line               an operator's command to execute
+        said, text               the answer to one
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -91,7 +114,7 @@
             self.writer.write(json.dumps(message).encode() + b"\n")
 
     async def receive(self) -> dict[str, Any]:
-        """Return the next message; raises one of CHANNEL_ERRORS. Safe to cancel: no data is lost."""
+        """Return the next message; raise one of CHANNEL_ERRORS. Safe to cancel: no data is lost."""
         message = json.loads(await self.reader.readuntil(b"\n"), parse_constant=_reject_constant)
         if not isinstance(message, dict):
             raise ValueError("message is not a JSON object")
@@ -113,19 +136,19 @@
         driver: Driver,
         clients: Clients,
         peers: Peers | None,
-        execute_call: ExecuteCall,
+        execute_command: ExecuteCommand,
         stop: asyncio.Event,
     ) -> None:
         self.driver = driver
         self.clients = clients
         self.peers = peers
-        self.execute_call = execute_call
+        self.execute_command = execute_command
         self.loop = driver.loop
         self.stop = stop
         self.sock: socket.socket | None = None
         self.channel: Channel | None = None  # to the successor, once it has taken over
         self.successor_ended = False
-        self.pending_calls: dict[int, asyncio.Future[str]] = {}
+        self.pending_commands: dict[int, asyncio.Future[str]] = {}
         self.tasks: list[asyncio.Task] = []
 
     def listen(self, socket_path: Path | None) -> None:
@@ -234,8 +257,8 @@
         while not self.clients.is_finished:
             for client in list(self.clients.open):
                 client.close_if_idle()
-            client_sockets = len(self.clients.open) + len(self.clients.half_closed)
-            self.channel.send(sockets=[client_sockets, self.driver.hosts.sockets])
+            client_connections = len(self.clients.open) + len(self.clients.half_closed)
+            self.channel.send(sockets=[client_connections, self.driver.hosts.connection_count])
             await asyncio.sleep(POLL_INTERVAL)
         log.info("handover_finished")
         self.channel.writer.close()
@@ -249,8 +272,8 @@
                 match await self.channel.receive():
                     case {"answer": int(number), "reply": str(reply)}:
                         self.driver.answer_relayed(number, reply.encode("latin-1"))
-                    case {"said": int(number), "text": str(text)} if number in self.pending_calls:
-                        self.pending_calls.pop(number).set_result(text)
+                    case {"said": int(number), "text": str(text)} if number in self.pending_commands:
+                        self.pending_commands.pop(number).set_result(text)
                     case {"call": int(number), "line": str(line)}:
                         self.tasks.append(self.loop.create_task(self._execute_and_answer(number, line)))
         except CHANNEL_ERRORS:
@@ -259,7 +282,7 @@
                 self.driver.answer_relayed(call.event.request, FAILED_REPLY)
 
     async def _execute_and_answer(self, number: int, line: str) -> None:
-        self.channel.send(said=number, text=await self.execute_call(line.encode("latin-1")))
+        self.channel.send(said=number, text=await self.execute_command(line.encode("latin-1")))
 
     def forward_request(self, call: Call) -> None:
         """Relay a request that this process has read: the successor decides on it."""
@@ -295,22 +318,24 @@
             self.channel.send(peer=event.sender, body=event.body.decode("latin-1"))
 
     async def forward(self, line: bytes) -> str:
-        """Forward an operator's call to the successor; returns its answer."""
-        return await forward_call(self.channel, self.pending_calls, line)
+        """Forward an operator's command to the successor and return its answer."""
+        return await forward_command(self.channel, self.pending_commands, line)
 
 
-async def forward_call(channel: Channel, pending_calls: dict[int, asyncio.Future[str]], line: bytes) -> str:
-    """Have the other process execute an operator's call; returns its answer, or an error on timeout."""
-    number = max(pending_calls, default=0) + 1
-    pending_calls[number] = asyncio.get_running_loop().create_future()
+async def forward_command(
+    channel: Channel, pending_commands: dict[int, asyncio.Future[str]], line: bytes
+) -> str:
+    """Have the other process execute an operator's command; return its answer, or an error on timeout."""
+    number = max(pending_commands, default=0) + 1
+    pending_commands[number] = asyncio.get_running_loop().create_future()
     channel.send(call=number, line=line.decode("latin-1"))
     try:
-        async with asyncio.timeout(CONTROL_CALL_TIMEOUT):
-            return await pending_calls[number]
+        async with asyncio.timeout(CONTROL_COMMAND_TIMEOUT):
+            return await pending_commands[number]
     except TimeoutError:
         return "error the other process does not answer"
     finally:
-        pending_calls.pop(number, None)
+        pending_commands.pop(number, None)
 
 
 def _host_row(entry: api.ServerEntry, address: Address) -> list[Any]:
@@ -318,8 +343,8 @@
     return [server, phase, entry.zone, entry.cell, entry.launched, entry.size, *address]
 
 
-def _host_entry(line: list[Any]) -> HostEntry:
-    server, phase, zone, cell, launched, size, host, port = line
+def _host_entry(row: list[Any]) -> HostEntry:
+    server, phase, zone, cell, launched, size, host, port = row
     entry = api.ServerEntry(
         server.encode("latin-1"), api.Phase[phase], int(zone), int(cell), int(launched), float(size)
     )
@@ -344,7 +369,7 @@
 
 
 def connect_to_predecessor(socket_path: Path | None, config: Config) -> Predecessor | None:
-    """Connect to the process that serves the configured addresses; None if none answers.
+    """Connect to the process that serves the configured addresses; return None if none answers.
 
     Called before anything else is started.
     """
@@ -376,23 +401,24 @@
         self.sock, self.config = sock, config
         sockets_by_address = {s.getsockname(): s for s in sockets}
         self.listener = sockets_by_address.get(config.listen)
-        self.peers = sockets_by_address.get(config.peer_listen)
+        self.peer_socket = sockets_by_address.get(config.peer_listen)
         for other in sockets:
-            if other not in (self.listener, self.peers):
+            if other not in (self.listener, self.peer_socket):
                 other.close()
         self.channel: Channel | None = None
         self.driver: Driver | None = None
         self.attempts_out: dict[tuple[int, int], bytes] = {}  # hosts of the predecessor's open attempts
-        self.relayed: dict[int, Call] = {}
-        self.pending_calls: dict[int, asyncio.Future[str]] = {}
+        self.relayed: dict[int, Call] = {}  # by the predecessor's request number
+        self.pending_commands: dict[int, asyncio.Future[str]] = {}
         self.tasks: list[asyncio.Task] = []
-        self.share_descriptors: Callable[[int, int], None] = lambda clients, hosts: None
-        self.execute_call: ExecuteCall | None = None  # for operators' calls forwarded by the predecessor
+        # Called with the numbers of client and host connections that the predecessor still has.
+        self.on_connection_counts: Callable[[int, int], None] = lambda clients, hosts: None
+        self.execute_command: ExecuteCommand | None = None  # for commands that the predecessor forwards
 
     async def take_over(self, driver: Driver, host_list_received: asyncio.Event) -> bool:
         """Take over the state, after discovery's first list or DISCOVERY_TIMEOUT.
 
-        Returns False if that failed: this process then starts without the predecessor's state.
+        Return False if that failed: this process then starts without the predecessor's state.
         """
         self.driver = driver
         try:
@@ -409,8 +435,8 @@
             if not host_list_received.is_set():
                 driver.apply_host_list(HostList(0, True, hosts))
             restored.apply_to(driver.gateway)
-            for message in attempts_out:
-                self._attempt_started(message)
+            for row in attempts_out:
+                self._attempt_started(row)
             # Written directly, not through the transport: the confirmation is sent at once or not at all.
             self.sock.send(json.dumps({"serving": True}).encode() + b"\n")
         except (TimeoutError, *CHANNEL_ERRORS) as error:
@@ -432,10 +458,11 @@
                 attempts_out.append(message["began"])
         return state, rows, attempts_out
 
-    def start_receiving(self, execute_call: ExecuteCall) -> None:
+    def start_receiving(self, execute_command: ExecuteCommand) -> None:
         """Handle the predecessor's messages from now on, until it ends."""
-        self.execute_call = execute_call
-        self.share_descriptors(self.config.sockets // 6, self.config.sockets // 3)
+        self.execute_command = execute_command
+        # Assumed until its first message with the actual numbers.
+        self.on_connection_counts(self.config.sockets // 6, self.config.sockets // 3)
         self.tasks.append(self.driver.loop.create_task(self._receive_messages()))
 
     async def _receive_messages(self) -> None:
@@ -447,14 +474,14 @@
         self.channel.writer.close()
         self.channel = None
         self._predecessor_lost()
-        self.share_descriptors(0, 0)
+        self.on_connection_counts(0, 0)
 
     def _handle_message(self, message: dict[str, Any]) -> None:
         match message:
             case {"arrived": int(number), "terms": terms, "parts": parts}:
-                customer, kind, plan, time_left, units, spread, first, is_repeat = terms
-                wait = int(time_left) + REPLY_MARGIN
-                request_terms = Terms(customer, kind, plan, wait, units, spread, first, is_repeat)
+                customer, kind, plan, time_left, units, set_size, set_first, is_repeat = terms
+                timeout = int(time_left) + REPLY_MARGIN
+                request_terms = Terms(customer, kind, plan, timeout, units, set_size, set_first, is_repeat)
                 request_parts = tuple(part.encode("latin-1") for part in parts)
                 call = self.driver.accept_request(
                     request_terms, request_parts, lambda reply: self._send_reply(number, reply)
@@ -465,25 +492,25 @@
                 self.driver.client_gone(self.relayed.pop(number))
             case {"began": began}:
                 self._attempt_started(began)
-            case {"ended": [number, attempt, server, outcome, took]}:
+            case {"ended": [number, attempt, server, outcome, duration]}:
                 self._attempt_ended(
                     _predecessor_request_id(number),
                     attempt,
                     server.encode("latin-1"),
                     api.Outcome[outcome],
-                    took,
+                    duration,
                 )
             case {"peer": int(rank), "body": str(body)}:
                 self.driver.peer_message_received(rank, body.encode("latin-1"))
             case {"sockets": [int(clients), int(hosts)]}:
-                self.share_descriptors(clients, hosts)
+                self.on_connection_counts(clients, hosts)
             case {"call": int(number), "line": str(line)}:
                 self.tasks.append(self.driver.loop.create_task(self._execute_and_answer(number, line)))
-            case {"said": int(number), "text": str(text)} if number in self.pending_calls:
-                self.pending_calls.pop(number).set_result(text)
+            case {"said": int(number), "text": str(text)} if number in self.pending_commands:
+                self.pending_commands.pop(number).set_result(text)
 
     async def _execute_and_answer(self, number: int, line: str) -> None:
-        text = await self.execute_call(line.encode("latin-1"))
+        text = await self.execute_command(line.encode("latin-1"))
         if self.channel:
             self.channel.send(said=number, text=text)
 
@@ -492,20 +519,20 @@
         if self.channel:
             self.channel.send(answer=number, reply=reply.decode("latin-1"))
 
-    def _attempt_started(self, message: list[Any]) -> None:
-        number, customer, plan, kind, units, first, size, attempt, server, sent = message
+    def _attempt_started(self, row: list[Any]) -> None:
+        number, customer, plan, kind, units, set_first, set_size, attempt, server, sent = row
         server = server.encode("latin-1")
         self.attempts_out[_predecessor_request_id(number), attempt] = server
         arrived = api.RequestArrived(
-            _predecessor_request_id(number), customer, plan, kind, units, 0, first, size, False
+            _predecessor_request_id(number), customer, plan, kind, units, 0, set_first, set_size, False
         )
         self.driver.feed(api.AttemptElsewhere(arrived, attempt, server, sent))
 
     def _attempt_ended(
-        self, number: int, attempt: int, server: bytes, outcome: api.Outcome, took: int
+        self, number: int, attempt: int, server: bytes, outcome: api.Outcome, duration: int
     ) -> None:
         self.attempts_out.pop((number, attempt), None)
-        self.driver.feed(api.AttemptEnded(number, attempt, server, outcome, took, True, 0, 0.0, ()))
+        self.driver.feed(api.AttemptEnded(number, attempt, server, outcome, duration, True, 0, 0.0, ()))
 
     def _predecessor_lost(self) -> None:
         """Cancel the predecessor's open attempts, and drop the requests that it relayed."""
@@ -516,5 +543,5 @@
         self.relayed.clear()
 
     async def forward(self, line: bytes) -> str:
-        """Forward an operator's call to the predecessor; returns its answer, or ``done`` if it has ended."""
-        return await forward_call(self.channel, self.pending_calls, line) if self.channel else "done"
+        """Forward an operator's command to the predecessor; return its answer, ``done`` if it has ended."""
+        return await forward_command(self.channel, self.pending_commands, line) if self.channel else "done"
