--- a/lab/address_discovery.py
+++ b/lab/address_discovery.py
@@ -1,4 +1,4 @@
-"""Simulation of gateways that discover each other's addresses: ``saffrongw/address_book.py`` on a virtual clock."""
+"""Simulated gateways that discover each other's addresses: ``saffrongw/address_book.py`` on a virtual clock."""
 
 from __future__ import annotations
 
