--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -10,9 +10,17 @@
 import subprocess
 
 import pytest
-from command import COMMAND, GATEWAY_TOML, drop_capabilities, environment, processes_matching, refused, run
+from birchdrum_command import (
+    COMMAND,
+    GATEWAY_TOML,
+    drop_capabilities,
+    environment,
+    processes_matching,
+    refused,
+    run,
+)
 from conftest import FakeHost, asyncio_test, free_address, until
-from listing import PATH, call, registration
+from registry_processes import PATH, call, registration
 
 PORT_IN_USE = "another process listens there: end it or choose another port"
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from command import COMMAND, environment, processes_matching, refused, run
+from birchdrum_command import COMMAND, environment, processes_matching, refused, run
 from conftest import asyncio_test, until
 
 from lab import defects
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 import tomllib
 
 import pytest
-from command import GATEWAY_TOML, refused, run
+from birchdrum_command import GATEWAY_TOML, refused, run
 from conftest import SITE
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 import yaml
-from command import run
+from birchdrum_command import run
 from conftest import FakeHost, Service, asyncio_test, free_address
-from listing import Registry
+from registry_processes import Registry
 from test_metrics import scrape
 
 from saffrongw import metrics
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 import numpy as np
 import pytest
 import tomlkit
-from command import refused, run
+from birchdrum_command import refused, run
 from msgspec.structs import replace
 
 from lab import experiment, judge, runs, scenario, virtual
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 import pytest
-from command import refused, run
+from birchdrum_command import refused, run
 from hypothesis import given
 from hypothesis import strategies as st
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from conftest import SITE, FakeHost, Service, asyncio_test, free_address
-from listing import Connection, Registry, call
 from prometheus_client.parser import text_string_to_metric_families
+from registry_processes import Connection, Registry, call
 
 from saffrongw import metrics
 
--- a/tests/test_places.py
+++ b/tests/test_peer_addresses.py
@@ -8,7 +8,7 @@
 from conftest import asyncio_test, until
 from hypothesis import given
 from hypothesis import strategies as st
-from listing import Registry, call
+from registry_processes import Registry, call
 
 from lab.defects import DoesNotPassOn, TakesHearsay, TakesSource
 from lab.placing import Network
--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import PATH, Connection, Registry, address_of, call, host_names, registration
+from registry_processes import PATH, Connection, Registry, address_of, call, host_names, registration
 
 from ops.http import Server
 
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -9,7 +9,7 @@
 import time
 
 from conftest import asyncio_test, until
-from listing import PATH, Connection, Node, Registry, call, change_state, registration
+from registry_processes import PATH, Connection, Node, Registry, call, change_state, registration
 
 WATCHERS, HOSTS = 200, 200
 
--- a/tests/test_registry_copies.py
+++ b/tests/test_registry_followers.py
@@ -8,7 +8,17 @@
 import sqlite3
 
 from conftest import FakeHost, Service, asyncio_test, free_address
-from listing import PATH, AgentNode, Connection, Node, Registry, address_of, call, host_names, registration
+from registry_processes import (
+    PATH,
+    AgentNode,
+    Connection,
+    Node,
+    Registry,
+    address_of,
+    call,
+    host_names,
+    registration,
+)
 
 
 class UnresponsiveService:
--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import Registry, call, host_names
+from registry_processes import Registry, call, host_names
 
 from registry import primary
 from registry.entries import Entry, Record
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import asyncio_test
-from listing import PATH, Connection, Registry, call, change_state, host_names
+from registry_processes import PATH, Connection, Registry, call, change_state, host_names
 
 from registry.entries import Entry, Record
 from registry.ledger import Ledger
--- a/tests/test_contradiction.py
+++ b/tests/test_settings_changes.py
@@ -7,7 +7,7 @@
 
 import pytest
 import tomlkit
-from command import refused, run
+from birchdrum_command import refused, run
 
 from birchdrum import contradiction
 from birchdrum.model import Config
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,8 +7,8 @@
 
 import pytest
 from conftest import FakeHost, Service, asyncio_test, until
-from listing import Connection, Registry
-from test_news import Agent
+from registry_processes import Connection, Registry
+from test_discovery import Agent
 
 from saffrongw import meeting, places
 from saffrongw.config import address
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 import hiredis
 import pytest
 from conftest import SECOND, SITE, Bench, FakeHost, Service, asyncio_test, entry, listed, of, until
-from test_news import Agent
+from test_discovery import Agent
 
 from orchidlane import handover
 from orchidlane import interface as api
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import FakeHost, asyncio_test, until
-from test_news import ZONES, Agent
+from test_discovery import ZONES, Agent
 
 from saffrongw import discovery
 from saffrongw.discovery import LONG_POLL_WAIT, STALENESS_LIMIT, Exchange, Watch
