--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
 """Settings and helpers that the tests share.
 
 ``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
-simulated network. ``Rig`` runs one gateway on loopback sockets within the test's process, ``Service``
+simulated network. ``LoopbackGateway`` runs one gateway on loopback sockets within the test's process,
+``GatewayProcesses``
 starts it as separate processes. The settings are examples.
 """
 
@@ -119,11 +120,23 @@
         self.now = end
         return actions
 
-    def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
+    def send_request(
+        self,
+        request: int,
+        kind=0,
+        customer=7,
+        plan=0,
+        units=1.0,
+        time_left=2 * SECOND,
+        set_first=0,
+        set_size=3,
+    ):
         """Handles the arrival of a request from a client."""
-        return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
+        return self.feed(
+            api.RequestArrived(request, customer, plan, kind, units, time_left, set_first, set_size, False)
+        )
 
-    def outcome(
+    def end_attempt(
         self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
     ):
         """Handles the end of an attempt; by default only a served one has been answered."""
@@ -161,15 +174,15 @@
             elif isinstance(action, api.Send):
                 self.answers[action.request] = action
                 self._execute(
-                    rank, self.benches[rank].outcome(action.request, action.server, api.Outcome.SERVED)
+                    rank, self.benches[rank].end_attempt(action.request, action.server, api.Outcome.SERVED)
                 )
             elif isinstance(action, api.Refuse | api.Fail):
                 self.answers[action.request] = action
 
-    def ask(self, rank: int, **request) -> int:
+    def send_request(self, rank: int, **request) -> int:
         """Sends a request to one gateway; returns its number."""
         self.request_count += 1
-        self._execute(rank, self.benches[rank].ask(self.request_count, **request))
+        self._execute(rank, self.benches[rank].send_request(self.request_count, **request))
         return self.request_count
 
     def run(self, span: int) -> None:
@@ -192,9 +205,9 @@
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
-def of(actions, kind) -> list:
+def of_type(actions, action_type) -> list:
     """Returns the actions of the given type."""
-    return [a for a in actions if isinstance(a, kind)]
+    return [a for a in actions if isinstance(a, action_type)]
 
 
 @pytest.fixture
@@ -205,7 +218,7 @@
 
 # -- the gateway on loopback sockets -------------------------------------------------------------------
 
-SITE = {
+RAW_SETTINGS = {
     "balancers": 2,
     "rank": 0,
     "locality": 0,
@@ -244,9 +257,9 @@
     return run
 
 
-async def until(condition, within: float = 10.0) -> None:
+async def until(condition, timeout: float = 10.0) -> None:
     """Waits for a condition; the timeout only ends a test that would hang."""
-    async with asyncio.timeout(within):
+    async with asyncio.timeout(timeout):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -295,10 +308,10 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def line(self, health="SERVING", **changes) -> dict:
+    def list_entry(self, health="SERVING", **changes) -> dict:
         """Returns its entry in discovery's list."""
-        line = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
-        return line | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
+        fields = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
+        return fields | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
 
 class Caller(asyncio.Protocol):
@@ -320,31 +333,31 @@
     def connection_lost(self, error) -> None:
         self.closed = True
 
-    def ask(self, *words: bytes) -> None:
+    def send_command(self, *words: bytes) -> None:
         """Sends one command."""
         self.transport.write(hiredis.pack_command(words))
 
-    def call(self, kind="read", wait=2000, number=b"id1", extra_terms="") -> None:
+    def send_request(self, class_name="read", deadline_ms=2000, request_id=b"id1", extra_terms="") -> None:
         """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
-        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{extra_terms}".encode()
-        if kind == "read":
-            self.ask(b"CALL.GET", b"0000000000000007", number, terms)
+        terms = f"c={class_name},t=team,d={deadline_ms},units=1,spread=2,first=0{extra_terms}".encode()
+        if class_name == "read":
+            self.send_command(b"CALL.GET", b"0000000000000007", request_id, terms)
         else:
-            self.ask(b"CALL.POST", b"0000000000000007", number, terms + b",k=key7", b"BODY")
+            self.send_command(b"CALL.POST", b"0000000000000007", request_id, terms + b",k=key7", b"BODY")
 
-    async def replied(self, count=1) -> list:
+    async def wait_for_replies(self, count=1) -> list:
         """Waits until at least ``count`` replies have arrived; returns all."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
 
 
-class Rig:
+class LoopbackGateway:
     """One gateway with its components connected as in the program, and a list of hosts from discovery."""
 
-    def __init__(self, *hosts: FakeHost, lines=None, sockets=64, **changes) -> None:
+    def __init__(self, *hosts: FakeHost, entries=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
-        host_list = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
-        site = SITE | changes
+        host_list = {"seq": 1, "whole": True, "hosts": entries or [host.list_entry() for host in hosts]}
+        site = RAW_SETTINGS | changes
         configuration = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
         configuration |= {"limits": {"sockets": sockets}, "known": host_list, "settings": site}
         self.config = config.parse(json.dumps(configuration))
@@ -369,9 +382,9 @@
         _, caller = await self.loop.create_connection(Caller, "127.0.0.1", port)
         return caller
 
-    def told(self, *lines: dict, whole=False) -> None:
+    def apply_host_list(self, *entries: dict, whole=False) -> None:
         """Applies an update of the host list from discovery."""
-        raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
+        raw = {"seq": 2, "whole": whole, "hosts": list(entries)}
         self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
@@ -387,16 +400,20 @@
 """
 
 
-class Service:
+class GatewayProcesses:
     """Gateway processes that take over one address from each other and share one $TMPDIR."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
         self.folder = folder
         self.processes = []
-        host_list = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
+        host_list = {"seq": 1, "whole": True, "hosts": [host.list_entry() for host in hosts]}
         peers = [free_address(), free_address()]
         self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
-        self.configuration |= {"limits": {"sockets": 256}, "known": host_list, "settings": SITE | changes}
+        self.configuration |= {
+            "limits": {"sockets": 256},
+            "known": host_list,
+            "settings": RAW_SETTINGS | changes,
+        }
         self.configuration |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
@@ -413,12 +430,12 @@
         program = ("-c", PROGRAM_WITH_LONG_COMMAND_TIMEOUT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
         self.processes.append(process)
-        while ready and not (await self.say(b"HEALTH")).startswith("done"):
+        while ready and not (await self.send_control_call(b"HEALTH")).startswith("done"):
             assert process.returncode is None
             await asyncio.sleep(0.02)
         return process
 
-    async def say(self, line: bytes, control: str = "") -> str:
+    async def send_control_call(self, line: bytes, control: str = "") -> str:
         """Sends a control call and returns the answer, or "nobody" if the connection fails."""
         try:
             reader, writer = await asyncio.open_connection(*config.address(control or self.control))
@@ -434,7 +451,7 @@
         address = config.address(self.configuration["listen"])
         return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
 
-    async def __aenter__(self) -> Service:
+    async def __aenter__(self) -> GatewayProcesses:
         return self
 
     async def __aexit__(self, *error) -> None:
--- a/tests/registry_processes.py
+++ b/tests/registry_processes.py
@@ -110,7 +110,7 @@
         assert len(lines) == 1 and "Traceback" not in output
         return lines[0]
 
-    def service(self, name="a", **changes) -> Node:
+    def node(self, name="a", **changes) -> Node:
         return Node(self, name, **changes)
 
 
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -5,7 +5,19 @@
 import asyncio
 
 import pytest
-from conftest import SECOND, SITE, Bench, FakeHost, Rig, Service, asyncio_test, entry, listed, of, until
+from conftest import (
+    RAW_SETTINGS,
+    SECOND,
+    Bench,
+    FakeHost,
+    GatewayProcesses,
+    LoopbackGateway,
+    asyncio_test,
+    entry,
+    listed,
+    of_type,
+    until,
+)
 from test_control import call, listening_control
 from test_upgrade import restored_copy
 
@@ -23,13 +35,13 @@
     """Send requests, at most two open at a time; returns the servers that got one."""
     servers, last_attempt = set(), None
     for number in range(first, first + requests):
-        for send in of(bench.ask(number, customer=number, **request), api.Send):
+        for send in of_type(bench.send_request(number, customer=number, **request), api.Send):
             servers.add(send.server)
             if last_attempt:
-                bench.outcome(*last_attempt, api.Outcome.SERVED)
+                bench.end_attempt(*last_attempt, api.Outcome.SERVED)
             last_attempt = number, send.server
         bench.run(20_000)
-    bench.outcome(*last_attempt, api.Outcome.SERVED)
+    bench.end_attempt(*last_attempt, api.Outcome.SERVED)
     return servers
 
 
@@ -65,11 +77,11 @@
 def test_a_retry_is_not_sent_to_a_banned_server():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
-    (send,) = of(bench.ask(1, kind=1), api.Send)
+    (send,) = of_type(bench.send_request(1, kind=1), api.Send)
     other = SERVER_1 if send.server == SERVER_2 else SERVER_2
     ban(bench, other)
     for number in range(3):
-        again = of(bench.outcome(1, send.server, api.Outcome.FULL, attempt=number), api.Send)
+        again = of_type(bench.end_attempt(1, send.server, api.Outcome.FULL, attempt=number), api.Send)
         assert [action.server for action in again] == [send.server]
 
 
@@ -82,10 +94,10 @@
     host = bench.gateway.hosts[SERVER_1]
     bench.run(SECOND)
     host.updated_at, host.slowdown, host.failures = bench.now, 8.0, 6.0  # too slow ever to be chosen
-    (send,) = of(bench.ask(100, customer=100), api.Send)
+    (send,) = of_type(bench.send_request(100, customer=100), api.Send)
     assert send.server == SERVER_1
-    bench.outcome(100, SERVER_1, api.Outcome.NOT_CONNECTED)
-    bench.outcome(100, SERVER_2, api.Outcome.SERVED, attempt=1)
+    bench.end_attempt(100, SERVER_1, api.Outcome.NOT_CONNECTED)
+    bench.end_attempt(100, SERVER_2, api.Outcome.SERVED, attempt=1)
     assert servers_used(bench, 101, 5) == {SERVER_2}  # no further trial request so soon
     bench.run(SECOND)
     assert SERVER_1 in servers_used(bench, 200, 1)
@@ -124,7 +136,7 @@
     gateway = restored_copy(bench)
     for number in range(20):
         event = api.RequestArrived(number, number, 0, 0, 1.0, 2 * SECOND, 0, 3, False)
-        for action in of(gateway.handle(bench.now, event), api.Send):
+        for action in of_type(gateway.handle(bench.now, event), api.Send):
             assert action.server == SERVER_2
             ended = api.AttemptEnded(number, 0, SERVER_2, api.Outcome.SERVED, 9_000, True, 0, 0.0, ())
             gateway.handle(bench.now, ended)
@@ -135,10 +147,10 @@
 @asyncio_test
 async def test_a_request_waiting_for_a_connection_to_a_banned_host_is_sent_to_another():
     old_host, new_host = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(old_host)
-    control = await listening_control(rig)
-    caller = await rig.caller()
-    connect_gate, connect = asyncio.Event(), rig.loop.create_connection
+    gateway = LoopbackGateway(old_host)
+    control = await listening_control(gateway)
+    caller = await gateway.caller()
+    connect_gate, connect = asyncio.Event(), gateway.loop.create_connection
 
     class SlowConnectLoop:
         async def create_connection(self, factory, host, port):
@@ -147,47 +159,47 @@
             return await connect(factory, host, port)
 
         def __getattr__(self, name):
-            return getattr(rig.loop, name)
+            return getattr(gateway.loop, name)
 
-    rig.hosts.loop = SlowConnectLoop()
-    caller.call("bill")
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
-    rig.told(new_host.line())
+    gateway.hosts.loop = SlowConnectLoop()
+    caller.send_request("bill")
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
+    gateway.apply_host_list(new_host.list_entry())
     assert await call(control, b"OFFLINE a") == await call(control, b"OFFLINE a") == "done out\n"
     connect_gate.set()
-    assert await caller.replied() == [b"ok"]
-    rig.told(old_host.line(), new_host.line(), whole=True)
+    assert await caller.wait_for_replies() == [b"ok"]
+    gateway.apply_host_list(old_host.list_entry(), new_host.list_entry(), whole=True)
     for _ in range(5):
-        caller.call()
-    await caller.replied(6)
+        caller.send_request()
+    await caller.wait_for_replies(6)
     assert len(new_host.commands) == 6 and old_host.commands == []
     assert await call(control, b"ONLINE a") == await call(control, b"ONLINE a") == "done back\n"
     await asyncio.sleep(0.2)
-    caller.call()
+    caller.send_request()
     await until(lambda: old_host.commands)
 
 
 @asyncio_test
 async def test_a_host_can_be_banned_and_reinstated_during_a_drain():
     hosts = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(*hosts)
-    control = await listening_control(rig)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(*hosts)
+    control = await listening_control(gateway)
+    caller = await gateway.caller()
     await call(control, b"LEAVE")
     assert (await call(control, b"OFFLINE a")).startswith("done")
     for _ in range(5):
-        caller.call()
-    await caller.replied(5)
+        caller.send_request()
+    await caller.wait_for_replies(5)
     assert (await call(control, b"JOIN")).startswith("done")
     for _ in range(5):
-        caller.call()
-    await caller.replied(10)
+        caller.send_request()
+    await caller.wait_for_replies(10)
     assert hosts[0].commands == [] and len(hosts[1].commands) == 10
     await call(control, b"LEAVE")
     assert (await call(control, b"ONLINE a")).startswith("done")
     await call(control, b"JOIN")
     await asyncio.sleep(0.2)
-    caller.call()
+    caller.send_request()
     await until(lambda: hosts[0].commands)
 
 
@@ -198,29 +210,34 @@
     for host in hosts:
         host.script = lambda command: replies.get(command[2], b"*1\r\n$2\r\nok\r\n")
     replies[b"held"] = None
-    async with Service(tmp_path, *hosts, permissions=SITE["permissions"] | {"cancel": False}) as service:
-        old_process = await service.start()
-        old_control = service.control
-        assert (await service.say(b"OFFLINE a")).startswith("done")
-        assert (await service.say(b"OFFLINE nobody")).startswith("error")
-        open_caller = await service.caller()
-        open_caller.call(wait=10_000, number=b"held")
+    async with GatewayProcesses(
+        tmp_path, *hosts, permissions=RAW_SETTINGS["permissions"] | {"cancel": False}
+    ) as gateway:
+        old_process = await gateway.start()
+        old_control = gateway.control
+        assert (await gateway.send_control_call(b"OFFLINE a")).startswith("done")
+        assert (await gateway.send_control_call(b"OFFLINE nobody")).startswith("error")
+        open_caller = await gateway.caller()
+        open_caller.send_request(deadline_ms=10_000, request_id=b"held")
         await until(lambda: hosts[1].commands or hosts[2].commands)
-        await service.start()
+        await gateway.start()
         holding_host = hosts[1] if hosts[1].commands else hosts[2]
         other_host = hosts[2] if holding_host is hosts[1] else hosts[1]
         assert old_process.returncode is None
         # A call to the old process applies to both: its open request is not retried on the banned host.
-        assert await service.say(b"OFFLINE " + other_host.name.encode(), old_control) == "done out\n"
+        assert (
+            await gateway.send_control_call(b"OFFLINE " + other_host.name.encode(), old_control)
+            == "done out\n"
+        )
         holding_host.connections[0].transport.abort()
-        caller = await service.caller()
+        caller = await gateway.caller()
         for number in range(5):
-            caller.call(number=b"%d" % number)
-        await caller.replied(5)
+            caller.send_request(request_id=b"%d" % number)
+        await caller.wait_for_replies(5)
         assert hosts[0].commands == other_host.commands == []
-        assert await service.say(b"ONLINE a", old_control) == "done back\n"
+        assert await gateway.send_control_call(b"ONLINE a", old_control) == "done back\n"
         for number in range(200):
-            caller.call(number=b"more%d" % number)
+            caller.send_request(request_id=b"more%d" % number)
             await asyncio.sleep(0.01)
             if hosts[0].commands:
                 break
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -13,7 +13,7 @@
 
 import hiredis
 import pytest
-from conftest import SITE, FakeHost, Rig, Service, asyncio_test, until
+from conftest import RAW_SETTINGS, FakeHost, GatewayProcesses, LoopbackGateway, asyncio_test, until
 from test_host_links import Gate, reset, wait_readable
 from test_large import answer, post
 
@@ -37,8 +37,8 @@
 class PlainClient:
     """A client as a plain socket."""
 
-    def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
-        self.loop = rig.loop
+    def __init__(self, gateway: LoopbackGateway, address: tuple[str, int], receive_buffer: int = 0) -> None:
+        self.loop = gateway.loop
         self.sock = socket.socket()
         if receive_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -62,14 +62,14 @@
         return data
 
 
-async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
+async def connected(gateway: LoopbackGateway, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
     """A client's socket, and the gateway's object for it."""
-    if rig.clients.server is None:
-        await rig.clients.listen()
-    before = set(rig.clients.open)
-    plain = PlainClient(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
-    await until(lambda: set(rig.clients.open) - before)
-    return plain, (set(rig.clients.open) - before).pop()
+    if gateway.clients.server is None:
+        await gateway.clients.listen()
+    before = set(gateway.clients.open)
+    plain = PlainClient(gateway, gateway.clients.server.sockets[0].getsockname(), receive_buffer)
+    await until(lambda: set(gateway.clients.open) - before)
+    return plain, (set(gateway.clients.open) - before).pop()
 
 
 def fileno(client: Client) -> int:
@@ -90,36 +90,36 @@
     client.half_close = end
 
 
-async def by_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_drain(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
-    rig.clients.drain._close_idle()
+    gateway.clients.drain._close_idle()
     return b""
 
 
-async def by_eviction(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    rig.clients.max_connections = len(rig.clients.open)
-    await connected(rig)
+async def by_eviction(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    gateway.clients.max_connections = len(gateway.clients.open)
+    await connected(gateway)
     return b""
 
 
-async def by_command_timeout(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    client.waiting_since = rig.loop.time() - COMMAND_TIMEOUT - 1
+async def by_command_timeout(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    client.waiting_since = gateway.loop.time() - COMMAND_TIMEOUT - 1
     return b""
 
 
-async def by_error(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_error(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     plain.send(b"junk\r\n")
     return b"-ERR not a RESP2 value\r\n"
 
 
-async def by_late_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_late_drain(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
-    rig.clients.drain._close_without_request()
+    gateway.clients.drain._close_without_request()
     return b""
 
 
-async def by_connection_limit(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    rig.clients.max_connections, client.is_surplus = 0, True
+async def by_connection_limit(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    gateway.clients.max_connections, client.is_surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
@@ -140,35 +140,35 @@
 async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
     """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    plain, client = await connected(rig)
+    gateway = LoopbackGateway(host)
+    plain, client = await connected(gateway)
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
     send_at_half_close(client, plain, CROSSING_INPUT[crossing])
-    last = await end(rig, plain, client)
+    last = await end(gateway, plain, client)
     assert await plain.rest() == last
     assert (
         client.stage is Stage.HALF_CLOSED
-        and client in rig.clients.half_closed
-        and client not in rig.clients.open
+        and client in gateway.clients.half_closed
+        and client not in gateway.clients.open
     )
     for _ in range(3):  # a client that keeps sending is not reset either during the lingering close
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
     plain.sock.shutdown(socket.SHUT_WR)
-    await until(lambda: client not in rig.clients.half_closed)
+    await until(lambda: client not in gateway.clients.half_closed)
     assert [command[2] for command in host.commands] == [b"id1"]
-    assert rig.driver.calls == {}
+    assert gateway.driver.calls == {}
 
 
 @asyncio_test
 async def test_drain_answers_all_commands_received_in_one_segment():
     """The connection was closed after the first response, and later commands were still sent to hosts."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    plain, client = await connected(rig)
-    rig.clients.drain.closing_idle = True
+    gateway = LoopbackGateway(host)
+    plain, client = await connected(gateway)
+    gateway.clients.drain.closing_idle = True
     client.waiting_since = 0.0
     plain.send(PING + request(1) + PING)
     assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
@@ -178,35 +178,35 @@
 @asyncio_test
 async def test_half_closed_connections_are_bounded_and_aborted_after_the_linger_timeout(monkeypatch):
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
-    rig = Rig(await FakeHost("a").listen())
-    held = [await connected(rig) for _ in range(4)]
-    rig.clients.max_connections = 4
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    held = [await connected(gateway) for _ in range(4)]
+    gateway.clients.max_connections = 4
     for _ in range(3 * SURPLUS_CONNECTIONS_MAX):
-        held.append(await connected(rig))
+        held.append(await connected(gateway))
         assert (
-            len(rig.clients.open) + len(rig.clients.half_closed)
-            <= rig.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
+            len(gateway.clients.open) + len(gateway.clients.half_closed)
+            <= gateway.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
         )
-    assert rig.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
-    await until(lambda: not rig.clients.half_closed)
-    assert len(rig.clients.open) == 4
+    assert gateway.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
+    await until(lambda: not gateway.clients.half_closed)
+    assert len(gateway.clients.open) == 4
 
 
 @asyncio_test
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
     """They were reset together with the listener."""
-    rig = Rig(await FakeHost("a").listen())
-    await rig.clients.listen()
-    where = rig.clients.server.sockets[0].getsockname()
-    late = [PlainClient(rig, where) for _ in range(5)]
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    await gateway.clients.listen()
+    where = gateway.clients.server.sockets[0].getsockname()
+    late = [PlainClient(gateway, where) for _ in range(5)]
     for plain in late:
         plain.send(request())
-    rig.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
+    gateway.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
-        PlainClient(rig, where)
-    assert not rig.clients.accepting
+        PlainClient(gateway, where)
+    assert not gateway.clients.accepting
 
 
 @asyncio_test
@@ -216,20 +216,20 @@
     monkeypatch.setattr(drain_module, "SHUTDOWN_COMMAND_TIMEOUT", 0.0)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
-    rig = Rig(host)
-    plain, client = await connected(rig, receive_buffer=4096)
+    gateway = LoopbackGateway(host)
+    plain, client = await connected(gateway, receive_buffer=4096)
     sock = client.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     count = 5
     plain.send(b"".join(request(number) for number in range(count)))
-    await until(lambda: len(host.commands) == count and not rig.driver.calls)
-    drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
+    await until(lambda: len(host.commands) == count and not gateway.driver.calls)
+    drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
     await until(lambda: client.stage is Stage.HALF_CLOSED)
     assert client.transport.get_write_buffer_size() and not drain.done()
     assert await plain.rest() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
     plain.sock.close()
     await asyncio.wait_for(drain, 10)
-    assert rig.clients.is_finished
+    assert gateway.clients.is_finished
 
 
 @asyncio_test
@@ -239,14 +239,14 @@
     host = await FakeHost("a").listen()
     out = []
     host.script = lambda command: out.append(host.sender)
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"0")
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(request_id=b"0")
     await until(lambda: len(host.commands) == 1)
-    drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
-    asked, stats = 1, rig.driver.stats
+    drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
+    asked, stats = 1, gateway.driver.stats
     while True:  # the next request arrives before the last is answered
-        caller.call(number=b"%d" % asked)
+        caller.send_request(request_id=b"%d" % asked)
         asked += 1
         await until(lambda asked=asked: len(host.commands) == asked or stats["refused_leaving"])
         if stats["refused_leaving"]:
@@ -266,80 +266,82 @@
     monkeypatch.setattr(drain_module, "WRITE_STALL_TIMEOUT", 0.5)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
-    rig = Rig(host)
-    plain, client = await connected(rig, receive_buffer=4096)
+    gateway = LoopbackGateway(host)
+    plain, client = await connected(gateway, receive_buffer=4096)
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
-    await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
+    await until(lambda: len(host.commands) == 4 and not gateway.driver.calls)
     client.check_timeouts = lambda before: None  # it reads a byte now and then, so it never stalls
-    await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
-    assert not rig.clients.is_finished
+    await asyncio.wait_for(gateway.clients.drain.shut_down(0.0), 10)
+    assert not gateway.clients.is_finished
 
 
 # -- a client that disconnects while reading is paused
 
 
-async def behind_a_full_pipeline(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
+async def behind_a_full_pipeline(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
+    gate = Gate(gateway, host.port)
     plain.send(b"".join(request(number, b"bill") for number in range(1, 25)))
-    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).reading_paused)
+    await until(lambda: len(gateway.driver.calls) == 16 and next(iter(gateway.clients.open)).reading_paused)
     return gate
 
 
-async def behind_an_upload_without_memory(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
-    rig.clients.upload_memory.free = 0
+async def behind_an_upload_without_memory(
+    gateway: LoopbackGateway, host: FakeHost, plain: PlainClient
+) -> Gate:
+    gate = Gate(gateway, host.port)
+    gateway.clients.upload_memory.free = 0
     plain.send(request(1, b"bill") + post(b"x" * 200_000)[:150_000])
-    await until(lambda: rig.clients.upload_memory.waiting and rig.driver.calls)
+    await until(lambda: gateway.clients.upload_memory.waiting and gateway.driver.calls)
     return gate
 
 
-async def behind_unread_responses(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
+async def behind_unread_responses(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
     """The request waits behind a large response that the client does not read."""
     plain.send(request(0))
     await plain.read(8)
-    (idle,) = rig.hosts.pools[b"a"].idle
-    await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
-    gate = Gate(rig, host.port)
+    (idle,) = gateway.hosts.pools[b"a"].idle
+    await until(lambda: gateway.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
+    gate = Gate(gateway, host.port)
     host.script = lambda command: answer(b"v" * 4_000_000) if command[2] == b"id0" else answer(b"ok")
     plain.send(request(0) + request(1, b"bill"))
-    await until(lambda: next(iter(rig.clients.open)).reading_paused and rig.hosts.pools[b"a"].waiting)
+    await until(lambda: next(iter(gateway.clients.open)).reading_paused and gateway.hosts.pools[b"a"].waiting)
     return gate
 
 
-async def for_a_host_connection(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
+async def for_a_host_connection(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
+    gate = Gate(gateway, host.port)
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
     return gate
 
 
 class ListHost:
     """``open`` lists the host as serving."""
 
-    def __init__(self, rig: Rig, host: FakeHost) -> None:
-        self.open = lambda: rig.told(host.line())
+    def __init__(self, gateway: LoopbackGateway, host: FakeHost) -> None:
+        self.open = lambda: gateway.apply_host_list(host.list_entry())
 
 
-async def for_an_available_host(rig: Rig, host: FakeHost, plain: PlainClient) -> ListHost:
-    rig.told(host.line("DRAINING"))
+async def for_an_available_host(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> ListHost:
+    gateway.apply_host_list(host.list_entry("DRAINING"))
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    return ListHost(rig, host)
+    await until(lambda: gateway.driver.calls)
+    return ListHost(gateway, host)
 
 
 class ThawDriver:
     """``open`` ends the handover as failed."""
 
-    def __init__(self, rig: Rig) -> None:
-        self.open = rig.driver.thaw
+    def __init__(self, gateway: LoopbackGateway) -> None:
+        self.open = gateway.driver.thaw
 
 
-async def during_a_handover(rig: Rig, host: FakeHost, plain: PlainClient) -> ThawDriver:
-    rig.driver.freeze()
+async def during_a_handover(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> ThawDriver:
+    gateway.driver.freeze()
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    return ThawDriver(rig)
+    await until(lambda: gateway.driver.calls)
+    return ThawDriver(gateway)
 
 
 WAIT_REASONS = (
@@ -360,46 +362,46 @@
     """While reading is paused the event loop does not report a close, wherever the request waits."""
     monkeypatch.setattr(client_module, "PIPELINE_MAX", 16)
     host = await FakeHost("a").listen()
-    permissions = SITE["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
-    rig = Rig(host, permissions=permissions, sockets=256)
-    plain, _ = await connected(rig, receive_buffer=4096)
-    opens = await wait(rig, host, plain)
-    asked = rig.loop.time()
+    permissions = RAW_SETTINGS["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
+    gateway = LoopbackGateway(host, permissions=permissions, sockets=256)
+    plain, _ = await connected(gateway, receive_buffer=4096)
+    opens = await wait(gateway, host, plain)
+    asked = gateway.loop.time()
     leave(plain.sock)
-    await until(lambda: not rig.driver.calls, within=20)
-    assert rig.loop.time() - asked < 1.5  # well before the deadline of 2 s
-    stats = rig.driver.stats
+    await until(lambda: not gateway.driver.calls, timeout=20)
+    assert gateway.loop.time() - asked < 1.5  # well before the deadline of 2 s
+    stats = gateway.driver.stats
     assert stats["client_gone_waiting"] > 0 and stats["client_gone_sent_late"] == 0
     opens.open()
-    other, _ = await connected(rig)
+    other, _ = await connected(gateway)
     other.send(request(99, b"bill"))  # anything sent earlier arrives before it
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
-    gateway = rig.driver.gateway
-    await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [host.open_attempts for host in gateway.hosts.values()] == [0]
+    core = gateway.driver.gateway
+    await until(lambda: core.requests == core.attempts == {})
+    assert [host.open_attempts for host in core.hosts.values()] == [0]
 
 
-async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
+async def when_dispatched(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
     """A request waits for a host; returns what dispatches it on an established connection."""
-    (idle,) = rig.hosts.pools[b"a"].idle
-    await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
-    rig.told(rig.line | {"health": "DRAINING"})
+    (idle,) = gateway.hosts.pools[b"a"].idle
+    await until(lambda: gateway.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
+    gateway.apply_host_list(gateway.host_entry | {"health": "DRAINING"})
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    (number,) = rig.driver.calls
+    await until(lambda: gateway.driver.calls)
+    (number,) = gateway.driver.calls
 
     def go_on() -> None:
-        rig.told(rig.line)
-        rig.driver.feed(api.TimerFired(number + 1))
+        gateway.apply_host_list(gateway.host_entry)
+        gateway.driver.feed(api.TimerFired(number + 1))
 
     return go_on
 
 
-async def when_cooled_down(rig: Rig, plain: PlainClient) -> Callable[[], None]:
+async def when_cooled_down(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
     """A request waits for a connection; returns what dispatches it on one past its cooldown."""
-    pool = rig.hosts.pools[b"a"]
-    Gate(rig, pool.address[1])
+    pool = gateway.hosts.pools[b"a"]
+    Gate(gateway, pool.address[1])
     plain.send(request(1, b"bill"))
     await until(lambda: pool.waiting)
     pool.idle[0].idle_since -= CONNECTION_COOLDOWN
@@ -412,24 +414,24 @@
 async def test_nothing_is_sent_for_a_client_whose_close_is_not_yet_noticed(wait, leave):
     """The request is dispatched before the event loop reads the client's FIN from the socket."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.line = host.line()
-    plain, client = await connected(rig)
+    gateway = LoopbackGateway(host)
+    gateway.host_entry = host.list_entry()
+    plain, client = await connected(gateway)
     plain.send(request(0, b"bill"))
     assert await plain.read(8) == b"$2\r\nok\r\n"
-    go_on = await wait(rig, plain)
+    go_on = await wait(gateway, plain)
     leave(plain.sock)
     wait_readable(fileno(client))
     go_on()
-    assert not rig.driver.calls or all(call.finished for call in rig.driver.calls.values())
-    other, _ = await connected(rig)
+    assert not gateway.driver.calls or all(call.finished for call in gateway.driver.calls.values())
+    other, _ = await connected(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id0", b"id99"]
-    assert rig.driver.stats["client_gone"] == 1
-    gateway = rig.driver.gateway
-    await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [known.open_attempts for known in gateway.hosts.values()] == [0]
+    assert gateway.driver.stats["client_gone"] == 1
+    core = gateway.driver.gateway
+    await until(lambda: core.requests == core.attempts == {})
+    assert [known.open_attempts for known in core.hosts.values()] == [0]
 
 
 @pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
@@ -438,18 +440,18 @@
 async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
     """A segment is processed over several loop iterations, and the connection may be lost between two."""
     host = await FakeHost("a").listen()
-    rig, faults = Rig(host), []
-    rig.loop.set_exception_handler(lambda loop, context: faults.append(context))
-    plain, client = await connected(rig)
+    gateway, faults = LoopbackGateway(host), []
+    gateway.loop.set_exception_handler(lambda loop, context: faults.append(context))
+    plain, client = await connected(gateway)
     plain.send(PING * pings + b"".join(request(number, b"bill") for number in range(1, 9)))
     leave(plain.sock)
-    await until(lambda: client not in rig.clients.open)
-    other, _ = await connected(rig)
+    await until(lambda: client not in gateway.clients.open)
+    other, _ = await connected(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id99"]
-    assert rig.driver.stats["requests"] == 1
-    assert rig.driver.calls == {} == rig.driver.gateway.requests
+    assert gateway.driver.stats["requests"] == 1
+    assert gateway.driver.calls == {} == gateway.driver.gateway.requests
     assert faults == []
 
 
@@ -459,9 +461,9 @@
 @asyncio_test
 async def test_client_flooding_with_commands_does_not_starve_others():
     """A segment of thousands of commands was executed completely before other clients were read from."""
-    rig = Rig(await FakeHost("a").listen())
-    flood, flooding = await connected(rig)
-    calm, waiting = await connected(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    flood, flooding = await connected(gateway)
+    calm, waiting = await connected(gateway)
     order: list[Client] = []
     for client in (flooding, waiting):
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
@@ -480,33 +482,37 @@
         classes = [
             dict(cls, name=name, effect=effect, group="all")
             for cls, (name, effect) in zip(
-                SITE["classes"], zip(("put", "bill"), effects, strict=True), strict=False
+                RAW_SETTINGS["classes"], zip(("put", "bill"), effects, strict=True), strict=False
             )
         ]
         hosts = [await FakeHost(name).listen() for name in "ab"]
-        rig = Rig(
-            *hosts, classes=classes, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)]
+        gateway = LoopbackGateway(
+            *hosts,
+            classes=classes,
+            packages=[dict(RAW_SETTINGS["packages"][0], peakUnits=2.0, perSecond=0.001)],
         )
         for host in hosts:
             host.script = lambda command: b"reset"
-        caller = await rig.caller()
+        caller = await gateway.caller()
         for name, effect in zip(("put", "bill"), effects, strict=True):
             before = sum(len(host.commands) for host in hosts)
             words = (b"00000000000000%02x" % (7 + before), b"id", b"k=key," + TERMS % (name.encode(), 2000))
-            caller.ask(b"CALL.POST", *words, b"BODY")
-            await caller.replied(len(caller.replies) + 1)
+            caller.send_command(b"CALL.POST", *words, b"BODY")
+            await caller.wait_for_replies(len(caller.replies) + 1)
             sent = sum(len(host.commands) for host in hosts) - before
             assert (sent == 1) == (effect == "once"), effect
     # One customer's quota is spent and the other's is not, whatever their order in a segment.
     host = await FakeHost("a").listen()
-    rig = Rig(host, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)])
-    caller = await rig.caller()
+    gateway = LoopbackGateway(
+        host, packages=[dict(RAW_SETTINGS["packages"][0], peakUnits=2.0, perSecond=0.001)]
+    )
+    caller = await gateway.caller()
     spent, other = [
         hiredis.pack_command((b"CALL.GET", customer, b"id", TERMS % (b"read", 2000)))
         for customer in (b"0000000000000007", b"0000000000000008")
     ]
     caller.transport.write(spent * 3 + other + spent + other)
-    replies = [str(reply).split()[0] for reply in await caller.replied(6)]
+    replies = [str(reply).split()[0] for reply in await caller.wait_for_replies(6)]
     assert replies[0] == "b'ok'" and replies[3] == "b'ok'"
     assert replies[2] == replies[4] == "BUSY"
 
@@ -518,23 +524,23 @@
 async def test_a_thousand_stalled_connections_are_closed_in_time_while_others_are_served(tmp_path):
     """Some send part of a command or of a large body. Descriptors stay within the limit throughout."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        process = await service.start()
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        process = await gateway.start()
         loop = asyncio.get_running_loop()
-        where = service.configuration["listen"].split(":")
+        where = gateway.configuration["listen"].split(":")
         where = (where[0], int(where[1]))
         descriptors, replies, over = [], [], asyncio.Event()
         folder = f"/proc/{process.pid}/fd"
 
         async def ask() -> None:
             """Send requests as another client, whose connection may be evicted between two of them."""
-            other_client = await service.caller()
+            other_client = await gateway.caller()
             while not over.is_set():
                 descriptors.append(len(os.listdir(folder)))
                 if other_client.closed:
-                    other_client = await service.caller()
+                    other_client = await gateway.caller()
                 else:
-                    other_client.call(number=b"n%d" % len(descriptors))
+                    other_client.send_request(request_id=b"n%d" % len(descriptors))
                     await until(lambda client=other_client: client.replies or client.closed)
                     replies.extend(other_client.replies)
                     other_client.replies.clear()
@@ -556,7 +562,7 @@
         took = await asyncio.wait_for(asyncio.gather(*(rest(kinds[n % 4]) for n in range(1_000))), 50)
         over.set()
         await asking
-        assert len(took) == 1_000 and max(descriptors) <= service.configuration["limits"]["sockets"]
+        assert len(took) == 1_000 and max(descriptors) <= gateway.configuration["limits"]["sockets"]
         assert sum(span > 3.5 for span in took) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
         assert b"ok" in kinds and kinds <= {
@@ -571,18 +577,18 @@
     """SIGTERM twice, with SIGHUP in between: each connection is closed without a reset, although its client
     sends one more request on seeing the close, and only requests read before reach hosts."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        process = await service.start()
-        where = tuple(service.configuration["listen"].split(":"))
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        process = await gateway.start()
+        where = tuple(gateway.configuration["listen"].split(":"))
         where = (where[0], int(where[1]))
         loop = asyncio.get_running_loop()
-        rig = type("Loop", (), {"loop": loop})
-        resting = [PlainClient(rig, where) for _ in range(12)]
+        loop_holder = type("Loop", (), {"loop": loop})
+        resting = [PlainClient(loop_holder, where) for _ in range(12)]
         for number, plain in enumerate(resting):
             plain.send(request(number))
             assert await plain.read(8) == b"$2\r\nok\r\n"
         host.script = lambda command: None
-        busy = PlainClient(rig, where)
+        busy = PlainClient(loop_holder, where)
         busy.send(request(100, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 13)
         process.send_signal(signal.SIGTERM)
@@ -597,7 +603,7 @@
                 group.create_task(end(plain))
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        new = PlainClient(rig, where)
+        new = PlainClient(loop_holder, where)
         new.send(request(101, b"bill", wait=3000))
         await until(lambda: len(host.commands) == 14)
         for connection in host.connections:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 
 import pytest
 from birchdrum_command import GATEWAY_TOML, refused, run
-from conftest import SITE
+from conftest import RAW_SETTINGS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -28,7 +28,7 @@
     "peers": ["127.0.0.1:7304", "127.0.0.1:7305"],
     "peers_all": "127.0.0.1:7306",
     "known": {"seq": 41, "whole": True, "hosts": []},
-    "settings": SITE | {"goal": {"whole": 0.55}, "resolution": 2000, "kinds": ["std-4c"]},
+    "settings": RAW_SETTINGS | {"goal": {"whole": 0.55}, "resolution": 2000, "kinds": ["std-4c"]},
 }
 
 INVALID_FILES = [
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from conftest import FakeHost, Rig, asyncio_test, until
+from conftest import FakeHost, LoopbackGateway, asyncio_test, until
 
 from saffrongw import drain as drain_module
 from saffrongw import listening
@@ -15,10 +15,10 @@
 from saffrongw.drain import DRAIN_NOTICE_DELAY, DRAIN_REFUSE_DELAY
 
 
-async def listening_control(rig: Rig) -> Control:
-    """Control of the rig, listening; the rig serves clients, too."""
-    await rig.clients.listen()
-    control = Control(rig.driver, rig.clients)
+async def listening_control(gateway: LoopbackGateway) -> Control:
+    """Start the control listener and the client listener of a gateway."""
+    await gateway.clients.listen()
+    control = Control(gateway.driver, gateway.clients)
     await control.listen(("127.0.0.1", 0))
     return control
 
@@ -40,16 +40,16 @@
 @asyncio_test
 async def test_health_is_ready_once_hosts_are_listed_and_clients_are_served():
     host = await FakeHost("a").listen()
-    rig = Rig(lines=[{"host": "malformed"}])
-    control = Control(rig.driver, rig.clients)
+    gateway = LoopbackGateway(entries=[{"host": "malformed"}])
+    control = Control(gateway.driver, gateway.clients)
     await control.listen(("127.0.0.1", 0))
     assert (await call(control, b"HEALTH")).startswith("error no list of hosts")
-    rig.told(host.line())
+    gateway.apply_host_list(host.list_entry())
     assert (await call(control, b"HEALTH")).startswith("error not listening")
-    caller = await rig.caller()
+    caller = await gateway.caller()
     assert (await call(control, b"HEALTH", b"\r\n")).startswith("done")
-    caller.ask(b"PING")
-    assert await caller.replied() == [b"PONG"]
+    caller.send_command(b"PING")
+    assert await caller.wait_for_replies() == [b"PONG"]
 
 
 @pytest.mark.parametrize(
@@ -61,16 +61,16 @@
 )
 @asyncio_test
 async def test_an_invalid_call_gets_an_error_and_has_no_effect(line):
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
     assert (await call(control, line)).startswith("error ")
     assert (await call(control, b"HEALTH")).startswith("done")
 
 
 @asyncio_test
 async def test_a_line_without_newline_is_an_error():
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
     reader, writer = await connect(control)
     writer.write(b"LEAVE")
     writer.write_eof()
@@ -81,8 +81,8 @@
 
 @asyncio_test
 async def test_answered_callers_that_close_do_not_count_against_the_limit():
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
     for _ in range(3 * CONNECTIONS_MAX):
         assert (await call(control, b"HEALTH")).startswith("done")
         await until(lambda: not control.connections)
@@ -91,20 +91,20 @@
     writer.write_eof()
     assert await asyncio.wait_for(reader.read(), 5) == b"done ready\n"
     await until(lambda: not control.connections)
-    assert not rig.driver.stats["control_evicted"]
+    assert not gateway.driver.stats["control_evicted"]
 
 
 @asyncio_test
 async def test_a_new_caller_is_answered_despite_any_number_of_silent_ones():
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
     silent_callers = []
     for _ in range(3 * CONNECTIONS_MAX):
         silent_callers.append(await connect(control))
         silent_callers[-1][1].write(b"HEAL")
     assert (await call(control, b"HEALTH")).startswith("done")
     assert len(control.connections) <= CONNECTIONS_MAX
-    assert rig.driver.stats["control_evicted"] >= 2 * CONNECTIONS_MAX
+    assert gateway.driver.stats["control_evicted"] >= 2 * CONNECTIONS_MAX
     silent_callers[-1][1].write(b"TH\n")  # the newest silent callers were not evicted
     assert await asyncio.wait_for(silent_callers[-1][0].read(), 5) == b"done ready\n"
     for _, writer in silent_callers:
@@ -113,24 +113,24 @@
 
 @asyncio_test
 async def test_data_after_the_line_does_not_reset_the_answer():
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
     assert (await call(control, b"HEALTH\n" + b"x" * 300_000)).startswith("done")
 
 
 @asyncio_test
 async def test_the_gateway_serves_while_its_control_address_is_in_use_and_listens_there_later():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
-    control = Control(rig.driver, rig.clients)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
+    control = Control(gateway.driver, gateway.clients)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
         listen = functools.partial(control.listen, address)
         with pytest.raises(listening.StartupError, match="another process listens there"):
             await listening.listen_when_free("operators", address, listen, retry=False)
         retry_task = await listening.listen_when_free("operators", address, listen, retry=True)
-        caller.call()
-        assert await caller.replied() == [b"ok"]
+        caller.send_request()
+        assert await caller.wait_for_replies() == [b"ok"]
         assert control.server is None
     await retry_task
     assert (await call(control, b"HEALTH")).startswith("done")
@@ -139,57 +139,57 @@
 @asyncio_test
 async def test_a_drain_reports_not_ready_at_once_goes_on_serving_and_closes_idle_connections():
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    control = await listening_control(rig)
-    polling, idle, with_open_request = [await rig.caller() for _ in range(3)]
+    gateway = LoopbackGateway(host)
+    control = await listening_control(gateway)
+    polling, idle, with_open_request = [await gateway.caller() for _ in range(3)]
     for caller in (polling, idle):
-        caller.call()
-        await caller.replied()
+        caller.send_request()
+        await caller.wait_for_replies()
     host.script = lambda command: None
-    with_open_request.call(wait=10_000, number=b"held")
+    with_open_request.send_request(deadline_ms=10_000, request_id=b"held")
     await until(lambda: len(host.commands) == 3)
-    started = rig.loop.time()
+    started = gateway.loop.time()
     assert await call(control, b"LEAVE") == await call(control, b"LEAVE") == "done draining\n"
-    polling.ask(b"PING")
-    assert str((await polling.replied(2))[1]).startswith("ERR")
+    polling.send_command(b"PING")
+    assert str((await polling.wait_for_replies(2))[1]).startswith("ERR")
     assert (await call(control, b"HEALTH")).startswith("error draining")
-    late_caller = await rig.caller()  # accepted until the load balancer in front has seen the drain
+    late_caller = await gateway.caller()  # accepted until the load balancer in front has seen the drain
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
-    late_caller.call()
-    idle.call()
-    assert await late_caller.replied() == (await idle.replied(2))[1:] == [b"ok"]
+    late_caller.send_request()
+    idle.send_request()
+    assert await late_caller.wait_for_replies() == (await idle.wait_for_replies(2))[1:] == [b"ok"]
     assert not (idle.closed or late_caller.closed)
     while not (polling.closed and idle.closed and late_caller.closed):
         if not polling.closed:
-            polling.ask(b"PING")  # PING alone does not keep a connection open
+            polling.send_command(b"PING")  # PING alone does not keep a connection open
         await asyncio.sleep(0.05)
-    assert DRAIN_NOTICE_DELAY <= rig.loop.time() - started < 3
+    assert DRAIN_NOTICE_DELAY <= gateway.loop.time() - started < 3
     assert not with_open_request.closed
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
     for connection in host.connections[1:]:
         connection.transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert await with_open_request.replied() == [b"last"]
+    assert await with_open_request.wait_for_replies() == [b"last"]
     await until(lambda: with_open_request.closed)
     assert await call(control, b"JOIN") == await call(control, b"JOIN") == "done joined\n"
-    after_join = await rig.caller()
-    after_join.ask(b"PING")
-    assert await after_join.replied() == [b"PONG"]
-    after_join.call()
-    assert (await after_join.replied(2))[1] == b"ok"
+    after_join = await gateway.caller()
+    after_join.send_command(b"PING")
+    assert await after_join.wait_for_replies() == [b"PONG"]
+    after_join.send_request()
+    assert (await after_join.wait_for_replies(2))[1] == b"ok"
     await asyncio.sleep(DRAIN_REFUSE_DELAY + 0.3)
     assert not after_join.closed
 
 
 @asyncio_test
 async def test_a_cancelled_drain_closes_no_more_connections():
-    rig = Rig(await FakeHost("a").listen())
-    control = await listening_control(rig)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    control = await listening_control(gateway)
+    caller = await gateway.caller()
     await call(control, b"LEAVE")
     await call(control, b"JOIN")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
-    caller.call()
-    assert await caller.replied() == [b"ok"]
+    caller.send_request()
+    assert await caller.wait_for_replies() == [b"ok"]
     assert not caller.closed
 
 
@@ -197,16 +197,16 @@
 async def test_a_request_completed_late_in_a_drain_is_refused_and_its_connection_closed(monkeypatch):
     monkeypatch.setattr(drain_module, "DRAIN_REFUSE_DELAY", DRAIN_NOTICE_DELAY + 0.1)
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    control = await listening_control(rig)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(host)
+    control = await listening_control(gateway)
+    caller = await gateway.caller()
     caller.transport.write(b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$2\r\nid\r\n")
     await call(control, b"LEAVE")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
     assert not caller.closed
     terms = b"c=read,t=team,d=2000,units=1,spread=2,first=0"
     caller.transport.write(b"$%d\r\n%b\r\n" % (len(terms), terms))
-    assert str((await caller.replied())[0]) == "BUSY"  # safe to repeat: it was not executed
+    assert str((await caller.wait_for_replies())[0]) == "BUSY"  # safe to repeat: it was not executed
     await until(lambda: caller.closed)
     assert host.commands == []
 
@@ -215,17 +215,17 @@
 async def test_shutdown_during_a_drain_proceeds_as_usual_and_cannot_be_cancelled():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    control = await listening_control(rig)
-    caller = await rig.caller()
-    caller.call(wait=10_000)
+    gateway = LoopbackGateway(host)
+    control = await listening_control(gateway)
+    caller = await gateway.caller()
+    caller.send_request(deadline_ms=10_000)
     await until(lambda: host.commands)
     await call(control, b"LEAVE")
-    shutdown = asyncio.create_task(rig.clients.drain.shut_down(0.1))
+    shutdown = asyncio.create_task(gateway.clients.drain.shut_down(0.1))
     await asyncio.sleep(0.3)
     assert (await call(control, b"JOIN")).startswith("error ending")
     assert (await call(control, b"HEALTH")).startswith("error ending")
     assert not shutdown.done()
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert await caller.replied() == [b"last"]
+    assert await caller.wait_for_replies() == [b"last"]
     await shutdown
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from conftest import PLAIN, SECOND, T0, Bench, Fleet, entry, listed, of
+from conftest import PLAIN, SECOND, T0, Bench, Fleet, entry, listed, of_type
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -36,13 +36,15 @@
     total=0.0,
     customer=7,
     forward_count=0,
-    first=0,
-    size=3,
+    set_first=0,
+    set_size=3,
     plan=0,
     ceiling_tokens=0.0,
 ) -> Row:
     """The row of a customer in a message from a peer."""
-    return Row(customer, plan, first, size, forward_count, remaining, total, ceiling_tokens, tuple(counts))
+    return Row(
+        customer, plan, set_first, set_size, forward_count, remaining, total, ceiling_tokens, tuple(counts)
+    )
 
 
 def bench_with_account(**changes) -> Bench:
@@ -56,9 +58,9 @@
     """Send requests, each served immediately; returns how many were admitted without waiting."""
     sent = 0
     for i in range(start, start + number):
-        for send in of(bench.ask(i, **request), api.Send):
+        for send in of_type(bench.send_request(i, **request), api.Send):
             sent += 1
-            bench.outcome(i, send.server, api.Outcome.SERVED, took=1_000)
+            bench.end_attempt(i, send.server, api.Outcome.SERVED, took=1_000)
     return sent
 
 
@@ -139,9 +141,9 @@
 
 def test_the_limit_of_open_requests_includes_recent_approvals_of_peers():
     bench = bench_with_account()
-    assert len(of(bench.ask(1, plan=1), api.Send)) == 1
+    assert len(of_type(bench.send_request(1, plan=1), api.Send)) == 1
     deliver(bench, 1, customer_row([(1, NOW_TICKS, 1.0)], total=2.0))
-    assert of(bench.ask(2, plan=1), api.Refuse)
+    assert of_type(bench.send_request(2, plan=1), api.Refuse)
 
 
 # Which gateways are notified
@@ -149,7 +151,7 @@
 
 def test_each_approval_is_reported_to_one_owner_and_the_next_candidate_stands_in():
     bench = Bench(gateways=60)
-    first = [(p, m) for p, m in decoded_messages(bench.ask(1, size=50)) if m.to_owner]
+    first = [(p, m) for p, m in decoded_messages(bench.send_request(1, set_size=50)) if m.to_owner]
     assert len(first) == 1
     assert first[0][1].expects_answer
     repeated = [p for p, m in decoded_messages(bench.run(290_000)) if m.to_owner]
@@ -161,9 +163,9 @@
 
 def test_an_owner_that_answers_is_not_replaced():
     bench = Bench(gateways=60)
-    owner = next(p for p, m in decoded_messages(bench.ask(1, size=50)) if m.to_owner)
+    owner = next(p for p, m in decoded_messages(bench.send_request(1, set_size=50)) if m.to_owner)
     bench.now += 20_000
-    deliver(bench, owner, customer_row([], size=50))
+    deliver(bench, owner, customer_row([], set_size=50))
     assert not [p for p, m in decoded_messages(bench.run(270_000)) if m.to_owner]
 
 
@@ -176,7 +178,7 @@
     deliver(
         bench,
         1,
-        customer_row([(1, NOW_TICKS - 9, 9.0)], remaining=1.0, total=9.0, size=set_size),
+        customer_row([(1, NOW_TICKS - 9, 9.0)], remaining=1.0, total=9.0, set_size=set_size),
         to_owner=True,
     )
     pending = decoded_messages(bench.log)
@@ -228,7 +230,7 @@
 def test_a_paused_gateway_does_not_consider_its_peers_unresponsive():
     bench = Bench(gateways=60)
     for i in range(1, 20):
-        bench.ask(i, customer=i, size=50)
+        bench.send_request(i, customer=i, set_size=50)
     bench.now += 2 * SECOND  # no event in between, so that its own timers fire late
     # No other candidate is notified instead.
     assert not [m for _, m in decoded_messages(bench.run(1)) if m.to_owner]
@@ -237,17 +239,17 @@
 def test_a_customer_with_only_unresponsive_owners_gets_more_than_its_first_share():
     """In a network partition a new customer got one gateway's share and no more, as no owner answered."""
     bench = Bench(gateways=60)
-    count_admitted(bench, 3, size=50)
+    count_admitted(bench, 3, set_size=50)
     bench.run(3 * SECOND)
     for request in range(10, 13):
-        bench.ask(request, size=50)
-    assert len([a for a in of(bench.run(250_000), api.Send) if a.request >= 10]) > 1
+        bench.send_request(request, set_size=50)
+    assert len([a for a in of_type(bench.run(250_000), api.Send) if a.request >= 10]) > 1
 
 
 def test_messages_stay_within_the_size_limit_and_the_rate_limit():
     bench = bench_with_account()
     for i in range(1, 400):
-        bench.ask(i, customer=i % 90)
+        bench.send_request(i, customer=i % 90)
         bench.run(5_000)
     sizes = [len(a.body) for a in bench.log if isinstance(a, api.SendPeerMessage)]
     assert max(sizes) <= messages.MESSAGE_BYTES_MAX
@@ -258,8 +260,8 @@
 def test_messages_carry_only_customers_that_the_receiver_serves():
     bench = Bench(gateways=9)
     for i in range(1, 9):
-        bench.ask(i, customer=i, first=0, size=2)  # ranks 0 and 1
-        bench.ask(100 + i, customer=100 + i, first=0, size=9)
+        bench.send_request(i, customer=i, set_first=0, set_size=2)  # ranks 0 and 1
+        bench.send_request(100 + i, customer=100 + i, set_first=0, set_size=9)
     seen = [
         (p, row.customer) for p, m in decoded_messages([*bench.log, *bench.run(9 * SECOND)]) for row in m.rows
     ]
@@ -272,7 +274,7 @@
     count_admitted(bench, 1)
     bench.run(10 * SECOND)
     for i in range(50, 60):
-        bench.ask(i, customer=1_000 + i, size=1)
+        bench.send_request(i, customer=1_000 + i, set_size=1)
     assert 7 not in bench.gateway.accounts
     assert 7 not in bench.gateway.pending_gossip
     bench.run(SECOND)
@@ -282,7 +284,7 @@
     """Customers seen by one gateway only, or refused at their first request, were never evicted."""
     bench = Bench()
     for i in range(1, 301):
-        count_admitted(bench, 1, start=i, customer=1_000 + i, size=1)
+        count_admitted(bench, 1, start=i, customer=1_000 + i, set_size=1)
         bench.run(100_000)
     bench.gateway._latency_limit = lambda request: 0.0
     bench.gateway.next_trial_at = float("inf")
@@ -298,9 +300,9 @@
 @pytest.mark.parametrize(("gateways", "first", "size"), [(1, 0, 1), (60, 0, 1), (60, 55, 12), (60, 7, 60)])
 def test_gateway_sets_of_any_size_and_position_work(gateways, first, size):
     bench = Bench(gateways=gateways)
-    count_admitted(bench, 1, first=first, size=size)
+    count_admitted(bench, 1, set_first=first, set_size=size)
     bench.run(250_000)  # no owner answers: that of a large set is queried twice without success
-    assert len(of(bench.log, api.Send)) == 1
+    assert len(of_type(bench.log, api.Send)) == 1
     members = {(first + i) % gateways for i in range(size)}
     assert {p for p, _ in decoded_messages([*bench.log, *bench.run(2 * SECOND)])} <= members - {0}
 
@@ -323,11 +325,11 @@
     sys.setprofile(trace)
     try:
         for i in range(1, 30):
-            bench.ask(i, customer=i % 5, size=gateways)
+            bench.send_request(i, customer=i % 5, set_size=gateways)
             deliver(
                 bench,
                 1 + i % 3,
-                customer_row([(1, NOW_TICKS, i / 4)], total=i / 2, customer=i % 5, size=gateways),
+                customer_row([(1, NOW_TICKS, i / 4)], total=i / 2, customer=i % 5, set_size=gateways),
                 to_owner=True,
             )
             bench.run(50_000)
@@ -350,7 +352,7 @@
     before = len(fleet.answers)
     live_ranks = [rank for rank in range(size) if rank not in fleet.dead]
     for _ in range(number):
-        fleet.ask(fleet.random.choice(live_ranks), size=size)
+        fleet.send_request(fleet.random.choice(live_ranks), set_size=size)
         fleet.run(every)
     fleet.run(SECOND // 4)
     assert len(fleet.answers) - before == number
@@ -393,7 +395,7 @@
 def test_a_fleet_of_any_size_answers_each_request_once_with_few_servers_or_none(gateways, servers):
     fleet = Fleet(gateways, servers=servers)
     for number in range(24):
-        fleet.ask(number % gateways, customer=number % 5, size=gateways, left=SECOND // 2)
+        fleet.send_request(number % gateways, customer=number % 5, set_size=gateways, time_left=SECOND // 2)
         if number == 12:  # a server that is listed and removed at once
             for bench in fleet.benches:
                 bench.feed(listed(entry(77), kind=api.ListKind.CHANGES))
@@ -407,20 +409,20 @@
 
 def test_a_request_waits_for_the_owners_answer_only_once_and_briefly():
     bench = Bench(gateways=60)
-    assert not of(bench.ask(1, size=50), api.Send | api.Refuse)
-    assert not of(bench.run(190_000), api.Send | api.Refuse)
-    assert of(bench.run(15_000), api.Send)
+    assert not of_type(bench.send_request(1, set_size=50), api.Send | api.Refuse)
+    assert not of_type(bench.run(190_000), api.Send | api.Refuse)
+    assert of_type(bench.run(15_000), api.Send)
 
 
 @pytest.mark.parametrize("kind", range(5))
 def test_a_late_answer_of_the_owner_sends_no_second_attempt(kind):
     """The request had been sent after the timeout; a late answer then sent a second concurrent attempt."""
     bench = Bench(gateways=60)
-    (query,) = of(bench.ask(1, kind=kind, size=50), api.SendPeerMessage)
-    sends = of(bench.run(300_000), api.Send)
+    (query,) = of_type(bench.send_request(1, kind=kind, set_size=50), api.SendPeerMessage)
+    sends = of_type(bench.run(300_000), api.Send)
     assert len(sends) == 1
-    assert of(deliver(bench, query.peer, customer_row([], size=50)), api.Send) == []
-    assert of(bench.run(300_000), api.Send) == []
+    assert of_type(deliver(bench, query.peer, customer_row([], set_size=50)), api.Send) == []
+    assert of_type(bench.run(300_000), api.Send) == []
     assert bench.gateway.accounts[7].waiting_units == {}
 
 
@@ -431,47 +433,49 @@
     bench = Bench(gateways=60)
     waited = 0
     for request in range(1, 9):
-        actions = bench.ask(
-            request, customer=request, plan=plan, units=3.0, left=time_left_ms * 1_000, size=50
+        actions = bench.send_request(
+            request, customer=request, plan=plan, units=3.0, time_left=time_left_ms * 1_000, set_size=50
         )
-        waited += not of(actions, api.Send | api.Refuse)
+        waited += not of_type(actions, api.Send | api.Refuse)
         answers = actions + bench.run(time_left_ms * 1_000 - DEADLINE_MARGIN)
-        assert [a.request for a in of(answers, api.Send | api.Refuse)] == [request]
+        assert [a.request for a in of_type(answers, api.Send | api.Refuse)] == [request]
     assert waited
 
 
 def test_only_a_valid_answer_of_the_owner_releases_a_waiting_request():
     bench = Bench(gateways=60)
-    (query,) = of(bench.ask(1, size=50), api.SendPeerMessage)
+    (query,) = of_type(bench.send_request(1, set_size=50), api.SendPeerMessage)
     owner, other = query.peer, (query.peer + 1) % 50 or 1
     bench.now += 20_000
-    deliver(bench, other, customer_row([], size=50))  # gossip of another gateway
-    deliver(bench, owner, customer_row([], size=50), sent_ms=NOW_MS - 9_000)  # sent too long ago to be valid
-    deliver(bench, owner, customer_row([], size=50, customer=8))  # about another customer
+    deliver(bench, other, customer_row([], set_size=50))  # gossip of another gateway
+    deliver(
+        bench, owner, customer_row([], set_size=50), sent_ms=NOW_MS - 9_000
+    )  # sent too long ago to be valid
+    deliver(bench, owner, customer_row([], set_size=50, customer=8))  # about another customer
     bench.feed(api.PeerMessage(owner, b"\xff" * 90))
     bench.feed(api.PeerMessage(77, query.body))  # a rank outside of the fleet
-    assert not of(bench.log, api.Send | api.Refuse)
-    assert of(deliver(bench, owner, customer_row([], size=50)), api.Send)
-    assert not of(deliver(bench, owner, customer_row([], size=50)), api.Send)  # a duplicate
+    assert not of_type(bench.log, api.Send | api.Refuse)
+    assert of_type(deliver(bench, owner, customer_row([], set_size=50)), api.Send)
+    assert not of_type(deliver(bench, owner, customer_row([], set_size=50)), api.Send)  # a duplicate
 
 
 @pytest.mark.parametrize("kind", range(5))
 def test_the_timeout_of_an_answered_query_has_no_effect(kind):
     """It fires while the attempt is open; neither a second attempt nor a final answer may follow."""
     bench = Bench(gateways=60)
-    (query,) = of(bench.ask(1, kind=kind, size=50), api.SendPeerMessage)
+    (query,) = of_type(bench.send_request(1, kind=kind, set_size=50), api.SendPeerMessage)
     bench.now += 20_000
-    assert of(deliver(bench, query.peer, customer_row([], size=50)), api.Send)
+    assert of_type(deliver(bench, query.peer, customer_row([], set_size=50)), api.Send)
     bench.run(SECOND)
-    assert len(of(bench.log, api.Send)) == 1 and not of(bench.log, api.Refuse | api.Fail)
+    assert len(of_type(bench.log, api.Send)) == 1 and not of_type(bench.log, api.Refuse | api.Fail)
 
 
 def test_a_client_that_disconnects_while_its_request_waits_is_forgotten():
     bench = Bench(gateways=60)
-    bench.ask(1, size=50)
+    bench.send_request(1, set_size=50)
     bench.feed(api.ClientGone(1))
     assert not bench.gateway.accounts[7].waiting_units
-    assert not of(bench.run(SECOND), api.Send | api.Refuse)
+    assert not of_type(bench.run(SECOND), api.Send | api.Refuse)
 
 
 def test_a_count_received_late_is_taken_as_part_of_the_total():
@@ -499,7 +503,7 @@
     bench.feed(api.PeerMessage(1, valid_message))  # outdated: the count is already higher
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0), sent_ms=NOW_MS + 3_600_000)
     # A set larger than the fleet, a row to be forwarded beyond the set, and an unknown plan.
-    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, size=9))
+    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, set_size=9))
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, forward_count=3))
     deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 90.0)], total=90.0, plan=99))
     assert (dict(account.counts), account.total) == before
@@ -508,7 +512,7 @@
 
 def test_a_customer_of_a_set_without_this_gateway_is_ignored():
     bench = Bench()
-    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 4.0)], first=1, size=2))
+    deliver(bench, 1, customer_row([(1, NOW_TICKS - 9, 4.0)], set_first=1, set_size=2))
     assert bench.gateway.accounts == {}
 
 
@@ -562,11 +566,11 @@
 def test_a_changed_gateway_set_keeps_the_counts_until_the_account_is_evicted():
     """Pending gossip of a customer whose set changed referred to an account that was evicted (incident)."""
     bench = bench_with_account(gateways=4)
-    assert count_admitted(bench, 20, first=0, size=3) == 8
-    assert count_admitted(bench, 20, start=100, first=3, size=2) == 0
+    assert count_admitted(bench, 20, set_first=0, set_size=3) == 8
+    assert count_admitted(bench, 20, start=100, set_first=3, set_size=2) == 0
     bench.run(20 * SECOND)
     for i in range(200, 210):
-        bench.ask(i, customer=1_000 + i, size=1)
+        bench.send_request(i, customer=1_000 + i, set_size=1)
     assert 7 not in bench.gateway.accounts
     bench.run(SECOND)
 
@@ -574,12 +578,12 @@
 def test_a_waiting_request_survives_the_eviction_of_its_idle_account():
     """The account was evicted while the request waited for a server; spending then left orphaned gossip."""
     bench = bench_with_account(servers=0)
-    bench.ask(1, left=9 * SECOND)
+    bench.send_request(1, time_left=9 * SECOND)
     for i in range(50, 60):
-        bench.ask(i, customer=1_000 + i, size=1)
+        bench.send_request(i, customer=1_000 + i, set_size=1)
     assert 7 not in bench.gateway.accounts
     bench.feed(listed(entry(1)))
-    assert 1 in [send.request for send in of(bench.run(100_000), api.Send)]
+    assert 1 in [send.request for send in of_type(bench.run(100_000), api.Send)]
     assert bench.gateway.accounts[7].total == 1.0
 
 
@@ -587,20 +591,20 @@
     """A client that retried later would only spend quota on a late answer, so it is told no time."""
     bench = Bench(gateways=1)
     for request in range(1, 60):
-        bench.ask(request, size=1)
-        for send in of(bench.log[-1:], api.Send):
-            bench.outcome(request, send.server, api.Outcome.SERVED)
-    (refused, *_) = of(bench.log, api.Refuse)
+        bench.send_request(request, set_size=1)
+        for send in of_type(bench.log[-1:], api.Send):
+            bench.end_attempt(request, send.server, api.Outcome.SERVED)
+    (refused, *_) = of_type(bench.log, api.Refuse)
     assert refused.retry_after == 0  # the refill takes seconds
     for request in range(60, 200):
         bench.run(25_000)
-        (answer, *_) = bench.ask(request, size=1)
+        (answer, *_) = bench.send_request(request, set_size=1)
         if answer.retry_after:
             break
     retry_after = answer.retry_after
     assert 0 < retry_after <= 75_000  # 0.15 of the target latency
     bench.run(retry_after + 1)
-    assert of(bench.ask(200, size=1), api.Send)
+    assert of_type(bench.send_request(200, set_size=1), api.Send)
 
 
 def fleet_under_load(gateways: int, disrupt) -> tuple[float, float]:
@@ -616,7 +620,7 @@
         before = len(fleet.sent())
         for _ in range(seconds * 6 * 6):
             rank = rng.choice([rank for rank in range(gateways) if rank not in fleet.dead])
-            fleet.ask(rank, customer=rng.randrange(6), size=gateways)
+            fleet.send_request(rank, customer=rng.randrange(6), set_size=gateways)
             fleet.run(SECOND // 36)
         return (len(fleet.sent()) - before) / seconds / 6
 
@@ -645,12 +649,12 @@
 def test_a_gateway_that_receives_messages_again_is_no_longer_isolated():
     bench = Bench(gateways=12)
     for customer in range(6):
-        bench.ask(customer + 1, customer=customer, size=12)
+        bench.send_request(customer + 1, customer=customer, set_size=12)
     bench.run(SECOND)
     assert len(bench.gateway.unresponsive) >= 4
     account = bench.gateway._account(7, 0, 0, 12, trusted=True)
     bench.gateway._refill(account)
     assert account.isolated_share == pytest.approx(1 / 12)
-    deliver(bench, 5, customer_row([], customer=8, size=12))
+    deliver(bench, 5, customer_row([], customer=8, set_size=12))
     bench.gateway._refill(account)
     assert account.isolated_share == 0.0 and not bench.gateway.unresponsive
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 import sys
 from itertools import pairwise
 
-from conftest import SITE, FakeHost, Rig, asyncio_test, until
+from conftest import RAW_SETTINGS, FakeHost, LoopbackGateway, asyncio_test, until
 
 from orchidlane import messages
 from saffrongw import discovery
@@ -25,7 +25,7 @@
 def instance(name: str, **changes) -> dict:
     host = FakeHost(name)
     host.port = 7
-    return host.line(**changes)
+    return host.list_entry(**changes)
 
 
 class Agent(asyncio.Protocol):
@@ -134,7 +134,7 @@
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
     addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
     text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": addresses[0], "seed": "01"}
-    text |= {"limits": {"sockets": 128}, "settings": SITE}
+    text |= {"limits": {"sockets": 128}, "settings": RAW_SETTINGS}
     file = tmp_path / "config.json"
     file.write_text(json.dumps(text))
     process = await asyncio.create_subprocess_exec(
@@ -144,17 +144,17 @@
         env=os.environ | {"LB_CONFIG": str(file)},
         stderr=asyncio.subprocess.PIPE,
     )
-    await until(lambda: len(agents[0].requests) == 2, within=30)
+    await until(lambda: len(agents[0].requests) == 2, timeout=30)
     for invalid in (
         "{",
         json.dumps(text | {"settings": {}}),
-        json.dumps(text | {"settings": SITE | {"rules": 7}}),
+        json.dumps(text | {"settings": RAW_SETTINGS | {"rules": 7}}),
     ):
         file.write_text(invalid)
         process.send_signal(signal.SIGHUP)
         while b"event=config_unusable" not in await process.stderr.readline():
             assert process.returncode is None
-    rules = SITE | {"rules": SITE["rules"] | {"drainGrace": 7}}
+    rules = RAW_SETTINGS | {"rules": RAW_SETTINGS["rules"] | {"drainGrace": 7}}
     moved = text | {"discovery": addresses[1], "seed": "02", "settings": rules, "log": {"form": "json"}}
     file.write_text(json.dumps(moved))
     process.send_signal(signal.SIGHUP)
@@ -325,24 +325,24 @@
 
 @asyncio_test
 async def test_senders_are_identified_by_address_and_invalid_datagrams_dropped():
-    rig = Rig(await FakeHost("a").listen())
+    gateway = LoopbackGateway(await FakeHost("a").listen())
     peer, unknown = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     for sock in (peer, unknown):
         sock.bind(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
-        lambda: Peers(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0), local_addr=("127.0.0.1", 0)
+        lambda: Peers(gateway.driver, (("127.0.0.1", 1), peer.getsockname()), 0), local_addr=("127.0.0.1", 0)
     )
     own_address = transport.get_extra_info("sockname")
     row = messages.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
-    valid = messages.pack(rig.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
+    valid = messages.pack(gateway.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
     unknown.sendto(valid, own_address)
     peer.sendto(b"x" * 300, own_address)
     peer.sendto(b"\xff" * 40, own_address)
     peer.sendto(b"", own_address)
     peer.sendto(valid, own_address)
-    await until(lambda: 9 in rig.driver.gateway.accounts)
-    assert list(rig.driver.gateway.last_received) == [1]
+    await until(lambda: 9 in gateway.driver.gateway.accounts)
+    assert list(gateway.driver.gateway.last_received) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
     assert len(reply) <= messages.MESSAGE_BYTES_MAX
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -8,7 +8,7 @@
 
 import yaml
 from birchdrum_command import run
-from conftest import FakeHost, Service, asyncio_test, free_address
+from conftest import FakeHost, GatewayProcesses, asyncio_test, free_address
 from registry_processes import Registry
 from test_metrics import scrape
 
@@ -60,14 +60,17 @@
 @asyncio_test
 async def test_alert_rules_and_dashboard_use_only_existing_metrics_and_labels(tmp_path):
     metrics_address, existing = free_address(), set()
-    async with Registry(tmp_path) as registry, Service(tmp_path, await FakeHost("a").listen()) as service:
-        node = await registry.service().start("--new", "--metrics")
+    async with (
+        Registry(tmp_path) as registry,
+        GatewayProcesses(tmp_path, await FakeHost("a").listen()) as gateway,
+    ):
+        node = await registry.node().start("--new", "--metrics")
         assert (await node.put("s-1")).status == 200
-        service.configuration["metrics"] = metrics_address
-        await service.start()
-        client = await service.caller()
-        client.call()
-        assert await client.replied() == [b"ok"]
+        gateway.configuration["metrics"] = metrics_address
+        await gateway.start()
+        client = await gateway.caller()
+        client.send_request()
+        assert await client.wait_for_replies() == [b"ok"]
         for address in (metrics_address, node.operators):
             existing |= {name for name, _ in await scrape(address)}
     queries = monitoring_queries()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 
 import hiredis
 import pytest
-from conftest import SITE, Caller, FakeHost, Rig, asyncio_test, until
+from conftest import RAW_SETTINGS, Caller, FakeHost, LoopbackGateway, asyncio_test, until
 
 from orchidlane import interface as api
 from saffrongw import hosts as hosts_module
@@ -34,9 +34,9 @@
 @asyncio_test
 async def test_host_receives_the_command_with_only_the_timeout_changed():
     host = await FakeHost("a").listen()
-    caller = await Rig(host).caller()
-    caller.call("put", wait=1500, number=b"id9", extra_terms=",r=1")
-    assert await caller.replied() == [b"ok"]
+    caller = await LoopbackGateway(host).caller()
+    caller.send_request("put", deadline_ms=1500, request_id=b"id9", extra_terms=",r=1")
+    assert await caller.wait_for_replies() == [b"ok"]
     command, customer, number, terms, body = host.commands[0]
     assert (command, customer, number, body) == (b"CALL.POST", b"0000000000000007", b"id9", b"BODY")
     sent = dict(pair.split(b"=") for pair in terms.split(b","))
@@ -50,34 +50,34 @@
     slow = []
     host = await FakeHost("a").listen()
     host.script = lambda command: slow.append(command) if command[2] == b"first" else b"*1\r\n$1\r\n2\r\n"
-    caller = await Rig(host).caller()
-    caller.call(number=b"first")
-    caller.call(number=b"second")
-    caller.ask(b"PING")
+    caller = await LoopbackGateway(host).caller()
+    caller.send_request(request_id=b"first")
+    caller.send_request(request_id=b"second")
+    caller.send_command(b"PING")
     await until(lambda: len(host.commands) == 2)
     await asyncio.sleep(0.05)
     assert caller.replies == []
     host.connections[0].transport.write(b"*1\r\n$1\r\n1\r\n")
-    assert await caller.replied(3) == [b"1", b"2", b"PONG"]
+    assert await caller.wait_for_replies(3) == [b"1", b"2", b"PONG"]
 
 
 @asyncio_test
 async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused(monkeypatch):
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
     host.script = lambda command: None
-    caller.call(number=b"one")
-    caller.call(number=b"two")
+    caller.send_request(request_id=b"one")
+    caller.send_request(request_id=b"two")
     await until(lambda: len(host.commands) == 2)
     assert len(host.connections) == 2
     for connection in host.connections:
         connection.transport.write(b"*1\r\n$1\r\nx\r\n")
-    await caller.replied(2)
-    caller.call(number=b"three")
+    await caller.wait_for_replies(2)
+    caller.send_request(request_id=b"three")
     await until(lambda: len(host.commands) == 3)
-    assert len(host.connections) == rig.hosts.sockets == 2
+    assert len(host.connections) == gateway.hosts.sockets == 2
 
 
 @asyncio_test
@@ -85,9 +85,9 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"reset"
-    caller = await Rig(*hosts).caller()
-    caller.call("bill")
-    assert error((await caller.replied())[0]).startswith("ERR")
+    caller = await LoopbackGateway(*hosts).caller()
+    caller.send_request("bill")
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -96,10 +96,10 @@
     busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
-    caller = await Rig(busy, closed, good).caller()
+    caller = await LoopbackGateway(busy, closed, good).caller()
     for number in range(12):
-        caller.call("bill", number=b"%d" % number)
-    assert await caller.replied(12) == [b"ok"] * 12
+        caller.send_request("bill", request_id=b"%d" % number)
+    assert await caller.wait_for_replies(12) == [b"ok"] * 12
 
 
 @asyncio_test
@@ -108,9 +108,9 @@
     replies = [b"-ERR failed util=0.5\r\n", b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
         host.script = lambda command: replies.pop(0)
-    caller = await Rig(*hosts).caller()
-    caller.call()
-    assert await caller.replied() == [b"ok"]
+    caller = await LoopbackGateway(*hosts).caller()
+    caller.send_request()
+    assert await caller.wait_for_replies() == [b"ok"]
 
 
 @pytest.mark.parametrize(
@@ -130,23 +130,23 @@
     replies = [junk, b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
         host.script = lambda command: replies.pop(0)
-    rig = Rig(*hosts)
-    caller = await rig.caller()
-    caller.call()
-    assert await caller.replied() == [b"ok"]
-    await until(lambda: rig.hosts.sockets == 1)  # the other connection is closed
+    gateway = LoopbackGateway(*hosts)
+    caller = await gateway.caller()
+    caller.send_request()
+    assert await caller.wait_for_replies() == [b"ok"]
+    await until(lambda: gateway.hosts.sockets == 1)  # the other connection is closed
 
 
 @asyncio_test
 async def test_unanswered_request_fails_before_the_client_times_out():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call("bill", wait=200)
-    assert error((await caller.replied())[0]).startswith("ERR")
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request("bill", deadline_ms=200)
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: not host.connections)  # the attempt is cancelled
-    assert rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
+    assert gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
 
 
 @asyncio_test
@@ -156,12 +156,12 @@
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     host = FakeHost("a")
     host.port = listener.getsockname()[1]
-    rig = Rig(host)
+    gateway = LoopbackGateway(host)
     ended = []
-    feed = rig.driver.feed
-    rig.driver.feed = lambda event: (ended.append(event), feed(event))
-    caller = await rig.caller()
-    pool = rig.hosts.pools[b"a"]
+    feed = gateway.driver.feed
+    gateway.driver.feed = lambda event: (ended.append(event), feed(event))
+    caller = await gateway.caller()
+    pool = gateway.hosts.pools[b"a"]
     original = pool.connected
 
     def shrink_send_buffer(connection):
@@ -171,8 +171,8 @@
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
-    caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
-    assert error((await caller.replied())[0]).startswith("BUSY")
+    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
     outcomes = [event.outcome for event in ended if isinstance(event, api.AttemptEnded)]
     assert outcomes == [api.Outcome.NOT_CONNECTED]
     listener.close()
@@ -186,22 +186,22 @@
     listener.setblocking(False)
     host = FakeHost("a")
     host.port = listener.getsockname()[1]
-    rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
-    caller = await rig.caller()
-    up = rig.hosts.pools[b"a"].connected
+    gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
+    caller = await gateway.caller()
+    up = gateway.hosts.pools[b"a"].connected
 
     def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         up(connection)
 
-    rig.hosts.pools[b"a"].connected = shrink_send_buffer
+    gateway.hosts.pools[b"a"].connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
-    caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
-    accepted, _ = await rig.loop.sock_accept(listener)
-    await rig.loop.sock_sendall(accepted, b"-BUSY\r\n")
-    assert error((await caller.replied())[0]).startswith("BUSY")
-    assert rig.hosts.sockets == 0
+    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    accepted, _ = await gateway.loop.sock_accept(listener)
+    await gateway.loop.sock_sendall(accepted, b"-BUSY\r\n")
+    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert gateway.hosts.sockets == 0
     accepted.close()
     listener.close()
 
@@ -210,13 +210,13 @@
 async def test_client_close_cancels_its_attempt():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call()
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request()
     await until(lambda: host.commands)
     caller.transport.close()
     await until(lambda: not host.connections)
-    await until(lambda: rig.driver.calls == rig.driver.gateway.requests == {})
+    await until(lambda: gateway.driver.calls == gateway.driver.gateway.requests == {})
 
 
 @asyncio_test
@@ -224,15 +224,15 @@
     """With cancellation disabled, a silent host would otherwise hold the connection for ever."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host, permissions=SITE["permissions"] | {"cancel": False})
-    caller = await rig.caller()
-    caller.call(wait=3000)
+    gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"cancel": False})
+    caller = await gateway.caller()
+    caller.send_request(deadline_ms=3000)
     await until(lambda: host.commands)
     caller.transport.close()
-    await until(lambda: not rig.driver.calls)
+    await until(lambda: not gateway.driver.calls)
     assert host.connections
     await until(lambda: not host.connections)
-    assert rig.driver.gateway.attempts == {}
+    assert gateway.driver.gateway.attempts == {}
 
 
 @pytest.mark.parametrize(
@@ -278,10 +278,10 @@
 @asyncio_test
 async def test_malformed_commands_get_an_error_and_reach_no_host(command):
     host = await FakeHost("a").listen()
-    caller = await Rig(host).caller()
-    caller.ask(*command)
-    caller.ask(b"PING")  # the connection is kept
-    replies = await caller.replied(2)
+    caller = await LoopbackGateway(host).caller()
+    caller.send_command(*command)
+    caller.send_command(b"PING")  # the connection is kept
+    replies = await caller.wait_for_replies(2)
     assert error(replies[0]).startswith("ERR")
     assert replies[1] == b"PONG"
     assert host.commands == []
@@ -290,9 +290,9 @@
 @pytest.mark.parametrize("junk", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$400000\r\n" + b"x" * 399_999])
 @asyncio_test
 async def test_connection_is_closed_when_framing_is_lost(junk):
-    caller = await Rig(await FakeHost("a").listen()).caller()
+    caller = await LoopbackGateway(await FakeHost("a").listen()).caller()
     caller.transport.write(junk)
-    assert error((await caller.replied())[0]).startswith("ERR")
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: caller.closed)
 
 
@@ -300,12 +300,12 @@
 @asyncio_test
 async def test_oversized_declared_length_gets_an_error_and_a_close(head):
     """The parser would allocate all declared values, which the garbage collector scans for seconds."""
-    caller = await Rig(await FakeHost("a").listen()).caller()
-    caller.ask(b"PING")
+    caller = await LoopbackGateway(await FakeHost("a").listen()).caller()
+    caller.send_command(b"PING")
     caller.transport.write(hiredis.pack_command((b"PING",)) + head[:5])
-    await caller.replied(2)
+    await caller.wait_for_replies(2)
     caller.transport.write(head[5:])
-    replies = await caller.replied(3)
+    replies = await caller.wait_for_replies(3)
     assert replies[:2] == [b"PONG", b"PONG"]
     assert error(replies[2]).startswith("ERR")
     await until(lambda: caller.closed)
@@ -315,18 +315,18 @@
 async def test_draining_host_gets_no_new_requests_and_finishes_its_own():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     old.script = lambda command: None
-    rig = Rig(old)
-    caller = await rig.caller()
-    caller.call()
+    gateway = LoopbackGateway(old)
+    caller = await gateway.caller()
+    caller.send_request()
     await until(lambda: old.commands)
-    rig.told(old.line("DRAINING"), new.line())
+    gateway.apply_host_list(old.list_entry("DRAINING"), new.list_entry())
     for number in range(5):
-        caller.call(number=b"%d" % number)
+        caller.send_request(request_id=b"%d" % number)
     await until(lambda: len(new.commands) == 5)
     old.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert (await caller.replied(6))[0] == b"last"
+    assert (await caller.wait_for_replies(6))[0] == b"last"
     assert len(old.commands) == 1
-    rig.told(old.line("DELETED"))
+    gateway.apply_host_list(old.list_entry("DELETED"))
     await until(lambda: not old.connections)
 
 
@@ -335,9 +335,9 @@
 async def test_attempts_queued_for_a_draining_host_are_retried_elsewhere(health):
     """They were sent once the connection was established, however long after the host began to drain."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(old)
-    caller = await rig.caller()
-    gate, opening = asyncio.Event(), rig.loop.create_connection
+    gateway = LoopbackGateway(old)
+    caller = await gateway.caller()
+    gate, opening = asyncio.Event(), gateway.loop.create_connection
 
     class SlowLoop:
         async def create_connection(self, factory, host, port):
@@ -346,14 +346,14 @@
             return await opening(factory, host, port)
 
         def __getattr__(self, name):
-            return getattr(rig.loop, name)
+            return getattr(gateway.loop, name)
 
-    rig.hosts.loop = SlowLoop()
-    caller.call("bill")
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
-    rig.told(old.line(health), new.line())
+    gateway.hosts.loop = SlowLoop()
+    caller.send_request("bill")
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
+    gateway.apply_host_list(old.list_entry(health), new.list_entry())
     gate.set()
-    assert await caller.replied() == [b"ok"]
+    assert await caller.wait_for_replies() == [b"ok"]
     assert len(new.commands) == 1
     await until(lambda: len(old.connections) == (health == "DRAINING"))
     assert old.commands == []
@@ -362,22 +362,22 @@
 @asyncio_test
 async def test_idle_connections_are_closed_before_the_host_idle_timeout():
     host = await FakeHost("a").listen()
-    rig = Rig(host, permissions=SITE["permissions"] | {"idleClose": 200_000})
-    caller = await rig.caller()
-    caller.call()
-    await caller.replied()
-    await until(lambda: not host.connections and not rig.hosts.sockets)
+    gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"idleClose": 200_000})
+    caller = await gateway.caller()
+    caller.send_request()
+    await caller.wait_for_replies()
+    await until(lambda: not host.connections and not gateway.hosts.sockets)
 
 
 @asyncio_test
 async def test_host_connections_stay_within_the_limit():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host, sockets=4)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(host, sockets=4)
+    caller = await gateway.caller()
     for number in range(9):
-        caller.call("bill", wait=400, number=b"%d" % number)
-    replies = await caller.replied(9)
+        caller.send_request("bill", deadline_ms=400, request_id=b"%d" % number)
+    replies = await caller.wait_for_replies(9)
     assert len(host.commands) == 4
     assert sorted(error(reply).split()[0] for reply in replies) == ["BUSY"] * 5 + ["ERR"] * 4
 
@@ -386,26 +386,26 @@
 async def test_idle_client_is_evicted_and_only_the_surplus_connection_is_refused():
     """All requests of all clients were refused while there was one surplus connection (ticket9204)."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.clients.max_connections = 3
-    first, second, third = [await rig.caller() for _ in range(3)]
-    await until(lambda: len(rig.clients.open) == 3)
+    gateway = LoopbackGateway(host)
+    gateway.clients.max_connections = 3
+    first, second, third = [await gateway.caller() for _ in range(3)]
+    await until(lambda: len(gateway.clients.open) == 3)
     for caller in (second, third, first):  # the first is the most recently used
-        caller.call()
-        await caller.replied()
-    more = [await rig.caller() for _ in range(2)]  # both connect before an eviction is noticed
+        caller.send_request()
+        await caller.wait_for_replies()
+    more = [await gateway.caller() for _ in range(2)]  # both connect before an eviction is noticed
     await until(lambda: second.closed and third.closed)
     assert not first.closed
     host.script = lambda command: None
     for caller in (first, *more):
-        caller.call("bill")
+        caller.send_request("bill")
     await until(lambda: len(host.commands) == 6)
-    surplus = await rig.caller()
-    surplus.call()
-    assert error((await surplus.replied())[0]) == "BUSY 1000"
+    surplus = await gateway.caller()
+    surplus.send_request()
+    assert error((await surplus.wait_for_replies())[0]) == "BUSY 1000"
     await until(lambda: surplus.closed)
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
-    first.call(number=b"id2")
+    first.send_request(request_id=b"id2")
     await until(lambda: len(host.commands) == 7)
 
 
@@ -413,12 +413,12 @@
 async def test_silent_and_incomplete_clients_are_closed_and_proper_ones_kept():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    silent, partial, dripping, idle, waiting = [await rig.caller() for _ in range(5)]
-    begun = rig.loop.time()
+    gateway = LoopbackGateway(host)
+    silent, partial, dripping, idle, waiting = [await gateway.caller() for _ in range(5)]
+    begun = gateway.loop.time()
     ping = hiredis.pack_command((b"PING",))
     idle.transport.write(ping)
-    waiting.call("bill", wait=10_000)
+    waiting.send_request("bill", deadline_ms=10_000)
     partial.transport.write(ping + ping[:6])
     for byte in hiredis.pack_command((b"CALL.GET", b"0" * 100)):
         dripping.transport.write(bytes((byte,)))
@@ -426,7 +426,7 @@
         if dripping.transport.is_closing() or dripping.closed:
             break
     await until(lambda: silent.closed and partial.closed and dripping.closed)
-    assert rig.loop.time() - begun < 3.0 + 3.0  # the specified limit, and as much for a busy machine
+    assert gateway.loop.time() - begun < 3.0 + 3.0  # the specified limit, and as much for a busy machine
     assert silent.replies == []
     assert error(partial.replies[1]) == error(dripping.replies[0])
     await asyncio.sleep(3 * SWEEP_INTERVAL)
@@ -435,14 +435,14 @@
 
 @asyncio_test
 async def test_input_received_during_event_loop_lag_is_read_before_the_timeout():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
-    (client,) = rig.clients.open
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
+    (client,) = gateway.clients.open
     client.waiting_since -= 10 * COMMAND_TIMEOUT
-    caller.ask(b"PING")
-    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
-    assert await caller.replied() == [b"PONG"]
-    client.check_timeouts(rig.loop.time() - COMMAND_TIMEOUT)
+    caller.send_command(b"PING")
+    client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
+    assert await caller.wait_for_replies() == [b"PONG"]
+    client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
     assert client.stage is Stage.OPEN
 
 
@@ -451,21 +451,21 @@
     """Each unfinished command held a descriptor for two seconds, so that none were left for hosts."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    rig.clients.max_connections = 1
-    busy = await rig.caller()
-    busy.call("bill", wait=10_000)
+    gateway = LoopbackGateway(host)
+    gateway.clients.max_connections = 1
+    busy = await gateway.caller()
+    busy.send_request("bill", deadline_ms=10_000)
     await until(lambda: host.commands)
-    rig.clients._sweep = lambda: None  # disables the command timeout
+    gateway.clients._sweep = lambda: None  # disables the command timeout
     more = []
     for number in range(SURPLUS_CONNECTIONS_MAX + 5):
-        more.append(await rig.caller())
+        more.append(await gateway.caller())
         more[-1].transport.write(b"*1\r\n")
         await until(
-            lambda number=number: more[-1].closed or rig.clients.unfinished_bytes() == 4 * (number + 1)
+            lambda number=number: more[-1].closed or gateway.clients.unfinished_bytes() == 4 * (number + 1)
         )
     assert [caller.closed for caller in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
-    assert len(rig.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
+    assert len(gateway.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
     assert not busy.closed
 
 
@@ -475,85 +475,85 @@
     """Responses to commands behind one unanswered request accumulated without bound."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"first", wait=30_000)
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(request_id=b"first", deadline_ms=30_000)
     pings = 200_000
     caller.transport.write(hiredis.pack_command((b"PING",)) * pings)
-    await until(lambda: any(client.reading_paused for client in rig.clients.open))
-    (client,) = rig.clients.open
+    await until(lambda: any(client.reading_paused for client in gateway.clients.open))
+    (client,) = gateway.clients.open
     for _ in range(20):
         await asyncio.sleep(0.01)
         assert len(client.slots) <= PIPELINE_MAX
     host.connections[0].transport.write(b"*1\r\n$2\r\nok\r\n")
-    replies = await caller.replied(pings + 1)
+    replies = await caller.wait_for_replies(pings + 1)
     assert replies == [b"ok"] + [b"PONG"] * pings
 
 
 @asyncio_test
 async def test_client_that_never_reads_its_responses_is_closed():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
     caller.transport.pause_reading()
-    await until(lambda: rig.clients.open)
-    (client,) = rig.clients.open
+    await until(lambda: gateway.clients.open)
+    (client,) = gateway.clients.open
     while not client.stalled_since:
         caller.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
         await asyncio.sleep(0)
     client.stalled_since -= WRITE_STALL_TIMEOUT
-    await until(lambda: not rig.clients.open)
+    await until(lambda: not gateway.clients.open)
 
 
 @asyncio_test
 async def test_unfinished_commands_of_all_clients_are_bounded():
-    rig = Rig(await FakeHost("a").listen(), sockets=256)
-    rig.clients._sweep = lambda: None  # disables the command timeout
-    callers = [await rig.caller() for _ in range(80)]
+    gateway = LoopbackGateway(await FakeHost("a").listen(), sockets=256)
+    gateway.clients._sweep = lambda: None  # disables the command timeout
+    callers = [await gateway.caller() for _ in range(80)]
     for caller in callers:
         caller.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
     await until(lambda: sum(caller.closed for caller in callers) >= 80 - COMMAND_BYTES_MAX_ALL // 60_000)
-    assert rig.clients.unfinished_bytes() <= COMMAND_BYTES_MAX_ALL
+    assert gateway.clients.unfinished_bytes() <= COMMAND_BYTES_MAX_ALL
     assert not all(caller.closed for caller in callers)
 
 
 @asyncio_test
 async def test_client_within_a_command_is_not_evicted():
     """When a command is cut right after a header, the parser holds no unparsed data."""
-    rig = Rig(await FakeHost("a").listen())
-    rig.clients.max_connections = 1
-    caller = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    gateway.clients.max_connections = 1
+    caller = await gateway.caller()
     ping = hiredis.pack_command((b"PING",))
     caller.transport.write(ping + ping[:4])
-    await caller.replied()
-    other = await rig.caller()
-    other.call()
-    assert error((await other.replied())[0]) == "BUSY 1000"
+    await caller.wait_for_replies()
+    other = await gateway.caller()
+    other.send_request()
+    assert error((await other.wait_for_replies())[0]) == "BUSY 1000"
     caller.transport.write(ping[4:])
-    assert await caller.replied(2) == [b"PONG", b"PONG"]
+    assert await caller.wait_for_replies(2) == [b"PONG", b"PONG"]
 
 
 @asyncio_test
 async def test_exception_in_the_decision_module_fails_only_one_request():
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    caller = await rig.caller()
-    choose = rig.driver.gateway._choose_server
-    rig.driver.gateway._choose_server = lambda request: 1 // 0
-    caller.call("bill")
-    assert error((await caller.replied())[0]).startswith("ERR")
-    rig.driver.gateway._choose_server = choose
-    caller.call("bill")
-    assert (await caller.replied(2))[1] == b"ok"
-    assert rig.driver.calls == rig.driver.gateway.requests == {}
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    choose = gateway.driver.gateway._choose_server
+    gateway.driver.gateway._choose_server = lambda request: 1 // 0
+    caller.send_request("bill")
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    gateway.driver.gateway._choose_server = choose
+    caller.send_request("bill")
+    assert (await caller.wait_for_replies(2))[1] == b"ok"
+    assert gateway.driver.calls == gateway.driver.gateway.requests == {}
 
 
 @asyncio_test
 async def test_request_without_a_decision_fails_at_its_deadline():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
-    rig.driver.gateway._advance = lambda request: None
-    caller.call(wait=100)
-    assert error((await caller.replied())[0]).startswith("ERR")
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
+    gateway.driver.gateway._advance = lambda request: None
+    caller.send_request(deadline_ms=100)
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
 
 
 @asyncio_test
@@ -564,8 +564,8 @@
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     text = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "01"}
-    known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdef"]}
-    text |= {"limits": {"sockets": 128}, "known": known, "settings": SITE}
+    known = {"seq": 1, "whole": True, "hosts": [host.list_entry(host=name) for name in "abcdef"]}
+    text |= {"limits": {"sockets": 128}, "known": known, "settings": RAW_SETTINGS}
     file = tmp_path / "config.json"
     file.write_text(json.dumps(text))
     process = await asyncio.create_subprocess_exec(
@@ -583,54 +583,54 @@
 
     busy, idle, stuck = await connect(), await connect(), await connect()
     stuck.transport.write(b"*1\r\n$4\r\nPI")  # an unfinished command must not delay the exit
-    busy.call(wait=10_000, number=b"held")
+    busy.send_request(deadline_ms=10_000, request_id=b"held")
     await until(lambda: host.commands)
     process.send_signal(signal.SIGTERM)
     await until(lambda: idle.closed)
     late = await connect()
-    late.call(wait=10_000, number=b"late")
+    late.send_request(deadline_ms=10_000, request_id=b"late")
     await until(lambda: len(host.commands) == 2)
     for connection in host.connections:
         connection.transport.write(b"*1\r\n$2\r\nok\r\n")
-    assert await busy.replied() == await late.replied() == [b"ok"]
+    assert await busy.wait_for_replies() == await late.wait_for_replies() == [b"ok"]
     assert await asyncio.wait_for(process.wait(), 10) == 0
     assert busy.closed and late.closed
 
 
 @asyncio_test
 async def test_retry_after_is_rounded_up_to_whole_milliseconds():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
-        rig.driver.gateway._advance = lambda request, wait=wait: rig.driver.gateway.actions.append(
+        gateway.driver.gateway._advance = lambda request, wait=wait: gateway.driver.gateway.actions.append(
             api.Refuse(request.event.request, wait)
         )
-        caller.call()
+        caller.send_request()
         await until(lambda: caller.replies)
         assert error(caller.replies.pop()) == line
 
 
 @asyncio_test
 async def test_exception_in_the_decision_module_does_not_stop_gossip():
-    rig = Rig(await FakeHost("a").listen())
+    gateway = LoopbackGateway(await FakeHost("a").listen())
     ticks = []
 
     def tick():
-        ticks.append(rig.loop.time())
-        rig.driver.gateway.actions.append(api.SetTimer(1_000, 0))
+        ticks.append(gateway.loop.time())
+        gateway.driver.gateway.actions.append(api.SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._gossip = tick
+    gateway.driver.gateway._gossip = tick
     await until(lambda: len(ticks) >= 3)
 
 
 @asyncio_test
 async def test_client_that_does_not_read_gets_backpressure():
-    rig = Rig(await FakeHost("a").listen())
-    caller = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    caller = await gateway.caller()
     caller.transport.pause_reading()
-    await until(lambda: rig.clients.open)
-    (client,) = rig.clients.open
+    await until(lambda: gateway.clients.open)
+    (client,) = gateway.clients.open
     paused = []
     pause = client.pause_writing
     client.transport.set_write_buffer_limits(high=1024)
@@ -646,27 +646,29 @@
                 pings += 20_000
             await asyncio.sleep(0)
     caller.transport.resume_reading()
-    await caller.replied(pings)
+    await caller.wait_for_replies(pings)
 
 
 @asyncio_test
 async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
     """With event loop lag, requests of the clients idle longest may be unread when an eviction is due."""
-    rig = Rig(await FakeHost("a").listen())
-    asked = await rig.caller()
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    asked = await gateway.caller()
     address = asked.transport.get_extra_info("peername")
     with socket.create_connection(address) as first, socket.create_connection(address) as second:
-        await until(lambda: len(rig.clients.open) == 3)
-        spare = await rig.caller()
-        await until(lambda: len(rig.clients.open) == 4)
-        asked.call()  # so that the others have been idle longer
-        await asked.replied()
-        rig.clients.max_connections = 4
+        await until(lambda: len(gateway.clients.open) == 3)
+        spare = await gateway.caller()
+        await until(lambda: len(gateway.clients.open) == 4)
+        asked.send_request()  # so that the others have been idle longer
+        await asked.wait_for_replies()
+        gateway.clients.max_connections = 4
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
-        rig.clients.connection_opened(list(rig.clients.open)[-1])  # at once: nothing is read in between
+        gateway.clients.connection_opened(
+            list(gateway.clients.open)[-1]
+        )  # at once: nothing is read in between
         for idle in (first, second):
-            assert await asyncio.wait_for(rig.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
+            assert await asyncio.wait_for(gateway.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
         await until(lambda: spare.closed)
-        assert rig.driver.stats["client_evicted"] == 1
+        assert gateway.driver.stats["client_evicted"] == 1
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -13,7 +13,7 @@
 
 import hiredis
 import pytest
-from conftest import SITE, FakeHost, Rig, asyncio_test, until
+from conftest import RAW_SETTINGS, FakeHost, LoopbackGateway, asyncio_test, until
 from test_gateway import error
 
 from orchidlane import interface as api
@@ -76,65 +76,67 @@
     """A request and the host's leftover input both arrive before the loop polls again. The request was sent
     on that connection and lost, or answered with another request's response."""
     host = PlainHost("a")
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(kind, number=b"one")
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(kind, request_id=b"one")
     first = await host.accept()
     await receive_command(first)
-    await rig.loop.sock_sendall(first, ANSWER)
-    assert await caller.replied() == [b"fresh"]
-    (connection,) = rig.hosts.pools[b"a"].idle
-    await until(lambda: rig.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
-    client = next(iter(rig.clients.open))
-    caller.call(kind, number=b"two")  # passed to the kernel at once
+    await gateway.loop.sock_sendall(first, ANSWER)
+    assert await caller.wait_for_replies() == [b"fresh"]
+    (connection,) = gateway.hosts.pools[b"a"].idle
+    await until(lambda: gateway.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
+    client = next(iter(gateway.clients.open))
+    caller.send_request(kind, request_id=b"two")  # passed to the kernel at once
     wait_readable(client.transport.get_extra_info("socket").fileno())
     LEFTOVERS[left](first)
     wait_readable(connection.transport.get_extra_info("socket").fileno())
     second = await host.accept()
     assert (await receive_command(second))[2] == b"two"
-    await rig.loop.sock_sendall(second, ANSWER)
-    assert await caller.replied(2) == [b"fresh", b"fresh"]
-    assert rig.hosts.sockets == 1 and rig.driver.stats["host_stale"] == 1
+    await gateway.loop.sock_sendall(second, ANSWER)
+    assert await caller.wait_for_replies(2) == [b"fresh", b"fresh"]
+    assert gateway.hosts.sockets == 1 and gateway.driver.stats["host_stale"] == 1
 
 
 @asyncio_test
 async def test_late_duplicate_response_is_not_matched_to_the_next_request():
     """The next request followed at once on the same connection, and the duplicate response arrived there."""
     host = PlainHost("a")
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"one")
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(request_id=b"one")
     first = await host.accept()
     await receive_command(first)
-    await rig.loop.sock_sendall(first, ANSWER)
-    await caller.replied()
-    caller.call(number=b"two")
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
-    await rig.loop.sock_sendall(first, STALE)
-    await until(lambda: rig.driver.stats["host_unasked"])
+    await gateway.loop.sock_sendall(first, ANSWER)
+    await caller.wait_for_replies()
+    caller.send_request(request_id=b"two")
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
+    await gateway.loop.sock_sendall(first, STALE)
+    await until(lambda: gateway.driver.stats["host_unasked"])
     second = await host.accept()
     assert (await receive_command(second))[2] == b"two"
-    await rig.loop.sock_sendall(second, ANSWER)
-    assert await caller.replied(2) == [b"fresh", b"fresh"]
+    await gateway.loop.sock_sendall(second, ANSWER)
+    assert await caller.wait_for_replies(2) == [b"fresh", b"fresh"]
 
 
 @asyncio_test
 async def test_no_attempt_starts_after_the_final_answer():
     """One attempt waits for a connection while another attempt of the same request is served."""
     slow, quick = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(slow, quick, permissions=SITE["permissions"] | {"cancel": False, "connectTimeout": 5_000_000})
-    gate, caller = Gate(rig, slow.port), await rig.caller()
-    rig.driver.gateway._choose_server = lambda request: rig.driver.gateway.hosts[b"a"]
-    caller.call()
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
-    (number,) = rig.driver.calls
-    rig.driver._execute([api.Send(number, b"b", 0, 0)])
-    assert await caller.replied() == [b"ok"]
+    gateway = LoopbackGateway(
+        slow, quick, permissions=RAW_SETTINGS["permissions"] | {"cancel": False, "connectTimeout": 5_000_000}
+    )
+    gate, caller = Gate(gateway, slow.port), await gateway.caller()
+    gateway.driver.gateway._choose_server = lambda request: gateway.driver.gateway.hosts[b"a"]
+    caller.send_request()
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
+    (number,) = gateway.driver.calls
+    gateway.driver._execute([api.Send(number, b"b", 0, 0)])
+    assert await caller.wait_for_replies() == [b"ok"]
     gate.open()
-    await until(lambda: slow.connections and not rig.hosts.pools[b"a"].opening)
-    assert rig.driver.stats["attempt_not_connected"] == 1
-    caller.call(number=b"id2")  # anything sent earlier arrives before it
-    await caller.replied(2)
+    await until(lambda: slow.connections and not gateway.hosts.pools[b"a"].opening)
+    assert gateway.driver.stats["attempt_not_connected"] == 1
+    caller.send_request(request_id=b"id2")  # anything sent earlier arrives before it
+    await caller.wait_for_replies(2)
     assert [command[2] for command in slow.commands] == [b"id2"]
 
 
@@ -143,40 +145,40 @@
     """Opening a connection for each request within the cooldown cost hosts a handshake, and a fifth more
     connections."""
     host = PlainHost("a")
-    rig = Rig(host)
-    caller, pool = await rig.caller(), rig.hosts.pools[b"a"]
-    caller.call(number=b"one")
+    gateway = LoopbackGateway(host)
+    caller, pool = await gateway.caller(), gateway.hosts.pools[b"a"]
+    caller.send_request(request_id=b"one")
     first = await host.accept()
     await receive_command(first)
-    gate = Gate(rig, host.port)
+    gate = Gate(gateway, host.port)
     for number in (b"two", b"three"):
-        await rig.loop.sock_sendall(first, ANSWER)
+        await gateway.loop.sock_sendall(first, ANSWER)
         await until(lambda: pool.idle)
-        caller.call(number=number)
+        caller.send_request(request_id=number)
         assert (await receive_command(first))[2] == number
-    assert rig.hosts.sockets == 1 and pool.opening == 0
-    await rig.loop.sock_sendall(first, ANSWER)
+    assert gateway.hosts.sockets == 1 and pool.opening == 0
+    await gateway.loop.sock_sendall(first, ANSWER)
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
-        caller.call(number=number)
+        caller.send_request(request_id=number)
     await until(lambda: gate.under_way == 2)
     assert (await receive_command(first))[2] == b"four"
     gate.open()
     others = [await host.accept() for _ in range(2)]
     assert {(await receive_command(other))[2] for other in others} == {b"five", b"six"}
     for each in (first, *others):
-        await rig.loop.sock_sendall(each, ANSWER)
-    assert await caller.replied(6) == [b"fresh"] * 6
-    assert len(pool.idle) == rig.hosts.sockets == 3
+        await gateway.loop.sock_sendall(each, ANSWER)
+    assert await caller.wait_for_replies(6) == [b"fresh"] * 6
+    assert len(pool.idle) == gateway.hosts.sockets == 3
 
 
 class Gate:
     """Delays connecting to a port until it is opened."""
 
-    def __init__(self, rig: Rig, port: int) -> None:
-        self.loop, self.port, self.gate = rig.hosts.loop, port, asyncio.Event()
+    def __init__(self, gateway: LoopbackGateway, port: int) -> None:
+        self.loop, self.port, self.gate = gateway.hosts.loop, port, asyncio.Event()
         self.open, self.under_way = self.gate.set, 0
-        rig.hosts.loop = self
+        gateway.hosts.loop = self
 
     async def create_connection(self, factory, host, port):
         self.under_way += 1
@@ -197,9 +199,9 @@
     """When the loop was blocked across the connect timeout, the connection was closed without reporting it:
     its request was never answered, and it stayed in the connection count."""
     host = await FakeHost("a").listen()
-    rig = Rig(host, permissions=SITE["permissions"] | {"connectTimeout": 50_000})
-    caller = await rig.caller()
-    pool = rig.hosts.pools[b"a"]
+    gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"connectTimeout": 50_000})
+    caller = await gateway.caller()
+    pool = gateway.hosts.pools[b"a"]
     up = pool.connected
 
     def block_loop(connection):
@@ -207,25 +209,28 @@
         time.sleep(0.1)
 
     pool.connected = block_loop
-    caller.call(kind)
-    assert await caller.replied() == [b"ok"]
+    caller.send_request(kind)
+    assert await caller.wait_for_replies() == [b"ok"]
     await until(lambda: pool.idle)
-    caller.call(kind, number=b"id2")
-    assert await caller.replied(2) == [b"ok", b"ok"]
-    assert rig.hosts.sockets == len(host.connections)
+    caller.send_request(kind, request_id=b"id2")
+    assert await caller.wait_for_replies(2) == [b"ok", b"ok"]
+    assert gateway.hosts.sockets == len(host.connections)
 
 
 CONNECT_OUTCOMES = {
-    "refused": lambda rig, host, gate: (host.listener.close(), gate.open()),
-    "timed out": lambda rig, host, gate: None,
-    "gone while it opens": lambda rig, host, gate: rig.told(host.line("DELETED")),
-    "gone in the loop iteration in which it opens": lambda rig, host, gate: (
+    "refused": lambda gateway, host, gate: (host.listener.close(), gate.open()),
+    "timed out": lambda gateway, host, gate: None,
+    "gone while it opens": lambda gateway, host, gate: gateway.apply_host_list(host.list_entry("DELETED")),
+    "gone in the loop iteration in which it opens": lambda gateway, host, gate: (
         gate.open(),
-        rig.told(host.line("DELETED")),
+        gateway.apply_host_list(host.list_entry("DELETED")),
     ),
-    "moved while it opens": lambda rig, host, gate: (rig.told(host.line(dial="127.0.0.1:1")), gate.open()),
-    "taken out while it opens": lambda rig, host, gate: (rig.driver.ban(b"a", True), gate.open()),
-    "client gone": lambda rig, host, gate: (rig.test_caller.transport.abort(), gate.open()),
+    "moved while it opens": lambda gateway, host, gate: (
+        gateway.apply_host_list(host.list_entry(dial="127.0.0.1:1")),
+        gate.open(),
+    ),
+    "taken out while it opens": lambda gateway, host, gate: (gateway.driver.ban(b"a", True), gate.open()),
+    "client gone": lambda gateway, host, gate: (gateway.test_caller.transport.abort(), gate.open()),
 }
 
 
@@ -233,19 +238,25 @@
 @asyncio_test
 async def test_failed_connects_are_counted_once_and_send_nothing(end):
     host = PlainHost("a")
-    rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1, "connectTimeout": 200_000})
-    gate = Gate(rig, host.port)
-    caller = rig.test_caller = await rig.caller()
-    caller.call("bill")
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
-    assert rig.hosts.sockets == 1
-    CONNECT_OUTCOMES[end](rig, host, gate)
+    gateway = LoopbackGateway(
+        host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1, "connectTimeout": 200_000}
+    )
+    gate = Gate(gateway, host.port)
+    caller = gateway.test_caller = await gateway.caller()
+    caller.send_request("bill")
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
+    assert gateway.hosts.sockets == 1
+    CONNECT_OUTCOMES[end](gateway, host, gate)
     if end != "client gone":
-        assert error((await caller.replied())[0]).startswith("BUSY")
-    await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
+        assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    await until(
+        lambda: (
+            gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
+        )
+    )
     if end != "timed out":
         await until(lambda: gate.under_way == 0)
-    await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
+    await until(lambda: gateway.hosts.sockets == sum(len(pool.idle) for pool in gateway.hosts.pools.values()))
     try:
         sock, _ = host.listener.accept()
     except OSError:
@@ -261,9 +272,9 @@
     """A host cannot have served a request that it has not received; it is never executed."""
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
-    caller = await rig.caller()
-    pool = rig.hosts.pools[b"a"]
+    gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
+    caller = await gateway.caller()
+    pool = gateway.hosts.pools[b"a"]
     up = pool.connected
 
     def shrink_send_buffer(connection):
@@ -272,11 +283,11 @@
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
-    caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
-    await rig.loop.sock_sendall(sock, early)
-    assert error((await caller.replied())[0]).startswith("BUSY")
-    assert rig.hosts.sockets == 0
+    await gateway.loop.sock_sendall(sock, early)
+    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert gateway.hosts.sockets == 0
 
 
 @asyncio_test
@@ -284,9 +295,9 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"-BUSY\r\n*1\r\n$2\r\nok\r\n"
-    caller = await Rig(*hosts).caller()
-    caller.call("bill")
-    assert error((await caller.replied())[0]).startswith("ERR")
+    caller = await LoopbackGateway(*hosts).caller()
+    caller.send_request("bill")
+    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -297,61 +308,63 @@
     data = b"*3\r\n$5\r\nfresh\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
     for cut in range(len(data) + 1):
         host = PlainHost("a")
-        rig = Rig(host)
-        caller = await rig.caller()
-        caller.call("bill")
+        gateway = LoopbackGateway(host)
+        caller = await gateway.caller()
+        caller.send_request("bill")
         sock = await host.accept()
         await receive_command(sock)
-        await rig.loop.sock_sendall(sock, data[:cut])
+        await gateway.loop.sock_sendall(sock, data[:cut])
         sock.close() if end == "end" else reset(sock)
-        (reply,) = await caller.replied()
+        (reply,) = await caller.wait_for_replies()
         if cut == len(data) and end == "end":
             assert reply == b"fresh"
         elif cut < len(data):
             assert error(reply) == "ERR failed"
-        assert rig.driver.stats["host_stale"] == 0
+        assert gateway.driver.stats["host_stale"] == 0
         with pytest.raises(BlockingIOError):
             host.listener.accept()
-        await until(lambda rig=rig: rig.hosts.sockets == 0)
+        await until(lambda gateway=gateway: gateway.hosts.sockets == 0)
         caller.transport.close()
 
 
 @asyncio_test
 async def test_no_retry_is_sent_after_the_repeat_window():
     """It was decided on within the window, but sent later, when its connection was established."""
-    classes = [dict(cls, dedupWindow=300_000) for cls in SITE["classes"]]
+    classes = [dict(cls, dedupWindow=300_000) for cls in RAW_SETTINGS["classes"]]
     first, second = await FakeHost("a").listen(), await FakeHost("b").listen()
     first.script = lambda command: b"reset"
-    rig = Rig(first, classes=classes, permissions=SITE["permissions"] | {"connectTimeout": 2_000_000})
-    rig.told(second.line("DRAINING"))
-    gate = Gate(rig, second.port)
-    caller = await rig.caller()
-    ended, feed = [], rig.driver.feed
+    gateway = LoopbackGateway(
+        first, classes=classes, permissions=RAW_SETTINGS["permissions"] | {"connectTimeout": 2_000_000}
+    )
+    gateway.apply_host_list(second.list_entry("DRAINING"))
+    gate = Gate(gateway, second.port)
+    caller = await gateway.caller()
+    ended, feed = [], gateway.driver.feed
 
     def feed_and_update_list(event):
         if isinstance(event, api.AttemptEnded):
             ended.append(event)
             if len(ended) == 1:  # before the retry is decided on: only the other host is left
-                feed(api.ServerListed(api.ListKind.CHANGES, 3, entries(rig, first, second)))
+                feed(api.ServerListed(api.ListKind.CHANGES, 3, entries(gateway, first, second)))
         feed(event)
 
-    rig.driver.feed = feed_and_update_list
-    caller.call("put", wait=3000)
-    await until(lambda: rig.hosts.pools[b"b"].waiting)
-    sent = rig.loop.time()
-    await until(lambda: rig.loop.time() - sent > 0.35)
+    gateway.driver.feed = feed_and_update_list
+    caller.send_request("put", deadline_ms=3000)
+    await until(lambda: gateway.hosts.pools[b"b"].waiting)
+    sent = gateway.loop.time()
+    await until(lambda: gateway.loop.time() - sent > 0.35)
     gate.open()
-    assert error((await caller.replied())[0]) == "ERR failed"
+    assert error((await caller.wait_for_replies())[0]) == "ERR failed"
     await until(lambda: second.connections)
     assert (len(first.commands), len(second.commands)) == (1, 0)
     assert [event.outcome for event in ended][:2] == [api.Outcome.BROKEN, api.Outcome.NOT_CONNECTED]
 
 
-def entries(rig: Rig, gone: FakeHost, ready: FakeHost) -> tuple[api.ServerEntry, ...]:
+def entries(gateway: LoopbackGateway, gone: FakeHost, ready: FakeHost) -> tuple[api.ServerEntry, ...]:
     from saffrongw.config import parse_hosts
 
-    raw = {"seq": 3, "whole": False, "hosts": [gone.line("DRAINING"), ready.line()]}
-    return tuple(host.entry for host in parse_hosts(raw, rig.config.zones).hosts)
+    raw = {"seq": 3, "whole": False, "hosts": [gone.list_entry("DRAINING"), ready.list_entry()]}
+    return tuple(host.entry for host in parse_hosts(raw, gateway.config.zones).hosts)
 
 
 @asyncio_test
@@ -363,14 +376,14 @@
         host.script = lambda command, place=place: replies[(int(command[2]) + place) % len(replies)]
     closed = await FakeHost("e").listen()
     closed.server.close()
-    rig = Rig(*hosts, closed)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(*hosts, closed)
+    caller = await gateway.caller()
     for number in range(120):
-        caller.call(number=b"%d" % number, wait=1500)
-    assert len(await caller.replied(120)) == 120
-    await until(lambda: not rig.driver.calls)
-    await until(lambda: rig.hosts.sockets == sum(len(pool.idle) for pool in rig.hosts.pools.values()))
-    for pool in rig.hosts.pools.values():
+        caller.send_request(request_id=b"%d" % number, deadline_ms=1500)
+    assert len(await caller.wait_for_replies(120)) == 120
+    await until(lambda: not gateway.driver.calls)
+    await until(lambda: gateway.hosts.sockets == sum(len(pool.idle) for pool in gateway.hosts.pools.values()))
+    for pool in gateway.hosts.pools.values():
         assert all(connection.stage is Stage.IDLE for connection in pool.idle) and not pool.waiting
         pool.close_idle(float("inf"))
-    assert rig.hosts.sockets == 0
+    assert gateway.hosts.sockets == 0
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -9,7 +9,7 @@
 
 import hiredis
 import pytest
-from conftest import FakeHost, Rig, asyncio_test, until
+from conftest import FakeHost, LoopbackGateway, asyncio_test, until
 
 from saffrongw import client as client_module
 from saffrongw import hosts as hosts_module
@@ -76,26 +76,30 @@
 async def test_large_response_is_streamed_and_its_connection_reused(monkeypatch):
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    caller = await rig.caller()
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
     host.script = lambda command: answer(BIG) if command[2] == b"big" else answer(b"small")
     for round_number in range(3):
-        caller.call(number=b"big")
-        caller.call(number=b"other")
-        assert await caller.replied(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
-        await until(lambda: not rig.hosts.streams)
-    assert rig.driver.stats["streamed"] == 3 and rig.hosts.streams == {}
-    assert len(host.connections) == rig.hosts.sockets <= 2
-    await until(lambda: rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {})
+        caller.send_request(request_id=b"big")
+        caller.send_request(request_id=b"other")
+        assert await caller.wait_for_replies(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
+        await until(lambda: not gateway.hosts.streams)
+    assert gateway.driver.stats["streamed"] == 3 and gateway.hosts.streams == {}
+    assert len(host.connections) == gateway.hosts.sockets <= 2
+    await until(
+        lambda: (
+            gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
+        )
+    )
 
 
 @asyncio_test
 async def test_streaming_starts_at_once_whatever_the_segmentation():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    await rig.clients.listen()
-    reader, writer = await asyncio.open_connection(*rig.clients.server.sockets[0].getsockname())
+    gateway = LoopbackGateway(host)
+    await gateway.clients.listen()
+    reader, writer = await asyncio.open_connection(*gateway.clients.server.sockets[0].getsockname())
     terms = b"c=read,t=team,d=500,units=1,spread=2,first=0"
     writer.write(hiredis.pack_command((b"CALL.GET", b"0000000000000007", b"id", terms)))
     await until(lambda: host.commands)
@@ -111,23 +115,23 @@
     rest = BIG[200 - 14 :] + b"\r\n"
     assert await reader.readexactly(len(rest)) == rest
     writer.close()
-    await until(lambda: len(rig.hosts.pools[b"a"].idle) == 1)
+    await until(lambda: len(gateway.hosts.pools[b"a"].idle) == 1)
 
 
 @asyncio_test
 async def test_truncated_stream_closes_the_client_connection_without_retry():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call()
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request()
     await until(lambda: host.commands)
     host.connections[0].transport.write(answer(BIG)[:100_000])
-    await until(lambda: rig.hosts.streams)
+    await until(lambda: gateway.hosts.streams)
     host.connections[0].transport.abort()
     await until(lambda: caller.closed)
     assert caller.replies == [] and len(host.commands) == 1
-    assert rig.driver.stats["stream_broken"] == 1 and rig.hosts.sockets == 0
+    assert gateway.driver.stats["stream_broken"] == 1 and gateway.hosts.sockets == 0
 
 
 @pytest.mark.parametrize("rest", [b"$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n", b""])
@@ -141,14 +145,14 @@
     for cut in (0, 3, head, head + 1, head + 50_000, *range(tail - 1, len(data) + 1)):
         host = await FakeHost("a").listen()
         host.script = lambda command: None
-        rig = Rig(host)
-        caller = await rig.caller()
-        caller.call("bill")
+        gateway = LoopbackGateway(host)
+        caller = await gateway.caller()
+        caller.send_request("bill")
         await until(lambda host=host: host.commands)
         (connection,) = host.connections
         connection.transport.write(data[:cut])
         if cut > head:
-            await until(lambda rig=rig: rig.hosts.streams or not rig.driver.calls)
+            await until(lambda gateway=gateway: gateway.hosts.streams or not gateway.driver.calls)
         if end == "reset":
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -159,8 +163,8 @@
         elif caller.replies:
             assert str(caller.replies[0]) == "ERR failed" and len(caller.replies) == 1
         else:
-            assert caller.closed and rig.driver.stats["stream_broken"] == 1
-        await until(lambda rig=rig: rig.hosts.sockets == 0)
+            assert caller.closed and gateway.driver.stats["stream_broken"] == 1
+        await until(lambda gateway=gateway: gateway.hosts.sockets == 0)
         assert len(host.commands) == 1
         caller.transport.close()
 
@@ -173,15 +177,15 @@
     first = []
     malformed = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], suffix + b"\r\n" + b"x" * 70_000)
     host.script = lambda command: first.append(host.sender) if command[2] == b"one" else malformed
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"one")
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(request_id=b"one")
     await until(lambda: first)
-    caller.call("bill", number=b"two")
-    await until(lambda: rig.driver.stats["stream_broken"])
+    caller.send_request("bill", request_id=b"two")
+    await until(lambda: gateway.driver.stats["stream_broken"])
     first[0].transport.write(answer(b"ok"))
-    caller.ask(b"PING")
-    replies = await caller.replied(3)
+    caller.send_command(b"PING")
+    replies = await caller.wait_for_replies(3)
     assert replies[0] == b"ok" and str(replies[1]) == "ERR failed" and replies[2] == b"PONG"
     assert len(host.commands) == 2
 
@@ -190,12 +194,12 @@
 async def test_duplicate_large_response_is_forwarded_once():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG) * 2 if command[2] == b"one" else answer(b"other")
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"one")
-    assert await caller.replied() == [BIG]
-    caller.call(number=b"two")
-    assert await caller.replied(2) == [BIG, b"other"]
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request(request_id=b"one")
+    assert await caller.wait_for_replies() == [BIG]
+    caller.send_request(request_id=b"two")
+    assert await caller.wait_for_replies(2) == [BIG, b"other"]
 
 
 @asyncio_test
@@ -203,8 +207,8 @@
     monkeypatch.setattr(hosts_module, "STREAM_IDLE_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
-    caller = await Rig(host).caller()
-    caller.call()
+    caller = await LoopbackGateway(host).caller()
+    caller.send_request()
     await until(lambda: caller.closed)
     await until(lambda: not host.connections)
 
@@ -214,25 +218,27 @@
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
     host.script = lambda command: answer(value)
-    rig = Rig(host)
-    await rig.clients.listen()
+    gateway = LoopbackGateway(host)
+    await gateway.clients.listen()
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    sock.connect(rig.clients.server.sockets[0].getsockname())
+    sock.connect(gateway.clients.server.sockets[0].getsockname())
     sock.setblocking(False)
     terms = b"c=read,t=team,d=2000,units=1,spread=2,first=0"
-    await rig.loop.sock_sendall(sock, hiredis.pack_command((b"CALL.GET", b"0000000000000007", b"id", terms)))
-    await until(lambda: any(connection.paused for connection in rig.hosts.streams))
-    (client,) = rig.clients.open
+    await gateway.loop.sock_sendall(
+        sock, hiredis.pack_command((b"CALL.GET", b"0000000000000007", b"id", terms))
+    )
+    await until(lambda: any(connection.paused for connection in gateway.hosts.streams))
+    (client,) = gateway.clients.open
     assert client.transport.get_write_buffer_size() < 1_000_000
     got = b""
     while len(got) < 300_000:
-        got += await rig.loop.sock_recv(sock, 8192)
+        got += await gateway.loop.sock_recv(sock, 8192)
     assert got == (b"$%d\r\n" % len(value) + value)[: len(got)]
-    assert rig.hosts.streams
+    assert gateway.hosts.streams
     sock.close()
-    await until(lambda: not rig.hosts.streams and not rig.hosts.sockets)
-    assert not rig.driver.stats["stream_broken"]  # counts only streams that a host broke off
+    await until(lambda: not gateway.hosts.streams and not gateway.hosts.sockets)
+    assert not gateway.driver.stats["stream_broken"]  # counts only streams that a host broke off
 
 
 @asyncio_test
@@ -241,18 +247,18 @@
     host = await FakeHost("a").listen()
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
     host.script = lambda command: answer(value)
-    rig = Rig(host)
-    caller = await rig.caller()
-    (client,) = await asyncio.sleep(0.05) or rig.clients.open
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    (client,) = await asyncio.sleep(0.05) or gateway.clients.open
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.transport.set_write_buffer_limits(high=1_000, low=0)  # so that it rarely drains
-    caller.call(wait=2000)
+    caller.send_request(deadline_ms=2000)
     for _ in range(40):
         caller.transport.pause_reading()
         await asyncio.sleep(0.1)
         caller.transport.resume_reading()
         await asyncio.sleep(0.002)
-    assert await caller.replied() == [value]
+    assert await caller.wait_for_replies() == [value]
 
 
 @asyncio_test
@@ -261,77 +267,77 @@
     replies = [b"-BUSY\r\n", answer(b"done"), answer(b"small")]
     for host in hosts:
         host.script = lambda command: replies.pop(0)
-    rig = Rig(*hosts)
-    caller = await rig.caller()
-    free = rig.clients.upload_memory.free
+    gateway = LoopbackGateway(*hosts)
+    caller = await gateway.caller()
+    free = gateway.clients.upload_memory.free
     data = post(BIG)
     for at in range(0, len(data), 400_000):
         assert not hosts[0].commands + hosts[1].commands
         caller.transport.write(data[at : at + 400_000])
         await asyncio.sleep(0.05)
-    caller.call(number=b"next")
-    assert await caller.replied(2) == [b"done", b"small"]
+    caller.send_request(request_id=b"next")
+    assert await caller.wait_for_replies(2) == [b"done", b"small"]
     commands = [command for host in hosts for command in host.commands]
     assert [command[4] for command in commands if command[2] == b"id1"] == [BIG, BIG]
-    assert rig.clients.upload_memory.free == free
+    assert gateway.clients.upload_memory.free == free
 
 
 @asyncio_test
 async def test_uploads_wait_for_memory_and_are_all_served():
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.clients.upload_memory.free = 2 * len(BIG) + 1
+    gateway = LoopbackGateway(host)
+    gateway.clients.upload_memory.free = 2 * len(BIG) + 1
     host.script = lambda command: answer(command[2])
-    callers = [await rig.caller() for _ in range(6)]
+    callers = [await gateway.caller() for _ in range(6)]
     for number, caller in enumerate(callers):
         caller.transport.write(post(BIG, b"id%d" % number)[:-10])
-    await until(lambda: len(rig.clients.upload_memory.waiting) == 4)
-    assert rig.clients.upload_memory.free == 1
+    await until(lambda: len(gateway.clients.upload_memory.waiting) == 4)
+    assert gateway.clients.upload_memory.free == 1
     callers[5].transport.close()  # one that waits for memory disconnects, and one that holds some
     callers[0].transport.close()
     for number, caller in enumerate(callers[1:5], 1):
         caller.transport.write(post(BIG, b"id%d" % number)[-10:])
     for number, caller in enumerate(callers[1:5], 1):
-        assert await caller.replied() == [b"id%d" % number]
-    await until(lambda: rig.clients.upload_memory.free == 2 * len(BIG) + 1)
-    assert rig.clients.upload_memory.waiting == {} and len(host.commands) == 4
+        assert await caller.wait_for_replies() == [b"id%d" % number]
+    await until(lambda: gateway.clients.upload_memory.free == 2 * len(BIG) + 1)
+    assert gateway.clients.upload_memory.waiting == {} and len(host.commands) == 4
 
 
 @asyncio_test
 async def test_upload_without_memory_in_time_is_refused_as_retryable(monkeypatch):
     monkeypatch.setattr(uploads_module, "UPLOAD_MEMORY_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.clients.upload_memory.free = 10
-    caller = await rig.caller()
+    gateway = LoopbackGateway(host)
+    gateway.clients.upload_memory.free = 10
+    caller = await gateway.caller()
     caller.transport.write(post(BIG))
-    assert str((await caller.replied())[0]) == "BUSY"
+    assert str((await caller.wait_for_replies())[0]) == "BUSY"
     await until(lambda: caller.closed)
-    assert rig.clients.upload_memory.free == 10 and host.commands == []
+    assert gateway.clients.upload_memory.free == 10 and host.commands == []
 
 
 @asyncio_test
 async def test_stalled_and_slow_uploads_are_closed_in_time():
-    rig = Rig(await FakeHost("a").listen())
-    stops, dawdles = [await rig.caller() for _ in range(2)]
-    began, free = rig.loop.time(), rig.clients.upload_memory.free
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    stops, dawdles = [await gateway.caller() for _ in range(2)]
+    began, free = gateway.loop.time(), gateway.clients.upload_memory.free
     for caller in (stops, dawdles):
         caller.transport.write(post(BIG)[:1000])
     while not (stops.closed and dawdles.closed):
         dawdles.transport.write(b"x")
         await asyncio.sleep(0.05)
     assert str(stops.replies[0]).startswith("ERR") and str(dawdles.replies[0]).startswith("ERR")
-    assert rig.loop.time() - began < 4
-    await until(lambda: rig.clients.upload_memory.free == free)
+    assert gateway.loop.time() - began < 4
+    await until(lambda: gateway.clients.upload_memory.free == free)
 
 
 @pytest.mark.parametrize("more", [0, 1_000_000])
 @asyncio_test
 async def test_body_over_the_limit_gets_an_error(more):
     host = await FakeHost("a").listen()
-    caller = await Rig(host).caller()
+    caller = await LoopbackGateway(host).caller()
     caller.transport.write(post(b"x" * (LARGE_VALUE_BYTES_MAX + 1 + more)))
-    assert str((await caller.replied())[0]).startswith("ERR")
+    assert str((await caller.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: caller.closed)
     assert host.commands == []
 
@@ -339,26 +345,26 @@
 @asyncio_test
 async def test_malformed_request_with_a_large_body_is_discarded_and_the_connection_kept():
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    caller = await rig.caller()
-    free = rig.clients.upload_memory.free
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    free = gateway.clients.upload_memory.free
     caller.transport.write(post(BIG, terms=b"c=put") + hiredis.pack_command((b"PING",)))
-    replies = await caller.replied(2)
+    replies = await caller.wait_for_replies(2)
     assert str(replies[0]).startswith("ERR") and replies[1] == b"PONG"
-    assert rig.clients.upload_memory.free == free and host.commands == []
+    assert gateway.clients.upload_memory.free == free and host.commands == []
 
 
 @asyncio_test
 async def test_shutdown_waits_for_the_rest_of_a_streamed_response():
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call()
-    await until(lambda: rig.hosts.streams)
-    ending = asyncio.create_task(rig.clients.drain.shut_down(0.1))
+    gateway = LoopbackGateway(host)
+    caller = await gateway.caller()
+    caller.send_request()
+    await until(lambda: gateway.hosts.streams)
+    ending = asyncio.create_task(gateway.clients.drain.shut_down(0.1))
     await asyncio.sleep(1.5)
     assert not ending.done()
     host.connections[0].transport.write(answer(BIG)[100_000:])
-    assert await caller.replied() == [BIG]
+    assert await caller.wait_for_replies() == [BIG]
     await ending
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND, Bench, of
+from conftest import SECOND, Bench, of_type
 
 from orchidlane import interface as api
 
@@ -11,14 +11,14 @@
 
 
 def receivers(actions) -> set[int]:
-    return {action.peer for action in of(actions, api.SendPeerMessage)}
+    return {action.peer for action in of_type(actions, api.SendPeerMessage)}
 
 
 def served_request(bench: Bench, number: int, customer: int) -> list[api.Action]:
     """A request, which its host serves at once if it is admitted."""
-    actions = bench.ask(number, customer=customer, size=GATEWAYS)
-    for send in of(actions, api.Send):
-        actions = actions + bench.outcome(number, send.server, api.Outcome.SERVED)
+    actions = bench.send_request(number, customer=customer, set_size=GATEWAYS)
+    for send in of_type(actions, api.Send):
+        actions = actions + bench.end_attempt(number, send.server, api.Outcome.SERVED)
     return actions
 
 
@@ -38,7 +38,7 @@
     """Number of admitted requests of a customer that requests five times its quota."""
     count = 0
     for number in range(10 * seconds):
-        count += len(of(served_request(bench, first + number, 5), api.Send))
+        count += len(of_type(served_request(bench, first + number, 5), api.Send))
         bench.run(SECOND // 10)
     return count
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from conftest import SITE, FakeHost, Service, asyncio_test, free_address
+from conftest import RAW_SETTINGS, FakeHost, GatewayProcesses, asyncio_test, free_address
 from prometheus_client.parser import text_string_to_metric_families
 from registry_processes import Connection, Registry, call
 
@@ -30,21 +30,21 @@
     hosts = [await FakeHost("a").listen(), await FakeHost("b").listen()]
     hosts[1].script = lambda command: b"-ERR failed\r\n"
     address = free_address()
-    plan = SITE["packages"][0]
+    plan = RAW_SETTINGS["packages"][0]
     low_quota = [plan | {"perSecond": 0.1, "peakUnits": 4.0}]
-    async with Service(tmp_path, hosts[0], packages=low_quota) as service:
-        service.configuration["metrics"] = address
-        service.configuration["known"]["hosts"].append(hosts[1].line(site="nowhere"))
-        await service.start()
+    async with GatewayProcesses(tmp_path, hosts[0], packages=low_quota) as gateway:
+        gateway.configuration["metrics"] = address
+        gateway.configuration["known"]["hosts"].append(hosts[1].list_entry(site="nowhere"))
+        await gateway.start()
         before = await scrape(address)
-        caller = await service.caller()
+        caller = await gateway.caller()
         for number in range(40):  # several customers, each request with its own id
             terms = b"c=read,t=team,d=2000,units=1,spread=1,first=0"
             words = (b"CALL.GET", b"%016x" % (number % 5), b"id%d" % number, terms)
-            caller.ask(*words)
-            await caller.replied(number + 1)
-        caller.ask(b"CALL.GET", b"zzz", b"\xff", b"c=nothing")
-        await caller.replied(41)
+            caller.send_command(*words)
+            await caller.wait_for_replies(number + 1)
+        caller.send_command(b"CALL.GET", b"zzz", b"\xff", b"c=nothing")
+        await caller.wait_for_replies(41)
         after = await scrape(address)
         served = [r for r in caller.replies if r == b"ok"]
         refused = [r for r in caller.replies if str(r).startswith("BUSY")]
@@ -82,10 +82,10 @@
 @asyncio_test
 async def test_the_list_service_exports_metrics_only_if_enabled(tmp_path):
     async with Registry(tmp_path) as registry:
-        plain = await registry.service("plain").start("--new")
+        plain = await registry.node("plain").start("--new")
         refused = await call(plain.operators, "GET", "/metrics")
         assert refused.status == 404 and "--metrics" in refused["error"]
-        node = await registry.service("told").start("--new", "--metrics")
+        node = await registry.node("told").start("--new", "--metrics")
         assert (await node.put("s-1")).status == 200
         page = await scrape(node.operators)
         assert page["birchdrum_registry_hosts", (("state", "SERVING"),)] == 1
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -196,8 +196,8 @@
 @asyncio_test
 async def test_gateways_announce_at_the_primary_and_a_follower_redirects_to_it(tmp_path):
     async with Registry(tmp_path) as registry:
-        primary = await registry.service().start("--new")
-        follower = await registry.service("b", follow=primary.listen).start("--new")
+        primary = await registry.node().start("--new")
+        follower = await registry.node("b", follow=primary.listen).start("--new")
         cores = [
             places.AddressBook(rank, 4, "valley", 10 + rank, ("127.0.0.1", 7_000 + rank), [], rank)
             for rank in range(3)
--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -14,7 +14,7 @@
 
 
 async def started_node(registry: Registry, **options):
-    return await registry.service(**options).start("--new")
+    return await registry.node(**options).start("--new")
 
 
 @asyncio_test
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -128,7 +128,7 @@
 @asyncio_test
 async def test_each_change_reaches_200_reconnecting_watchers_once_and_in_order(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         changes = Changes(node, await hosts_on(node, HOSTS), seed=3)
         watchers = await watchers_on(node, disconnect_rate=0.1)
         connection = await Connection.open(node.listen)
@@ -152,7 +152,7 @@
 @asyncio_test
 async def test_response_is_built_once_and_sent_once_per_watcher(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         changes = Changes(node, await hosts_on(node, HOSTS), seed=4)
         watchers = await watchers_on(node)
         before, sent = await node.figures(), sum(watcher.bytes for watcher in watchers)
@@ -199,7 +199,7 @@
 @asyncio_test
 async def test_full_list_of_1000_hosts_is_served_after_sigkill(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         await hosts_on(node, 1_000)
         spans = []
         for _ in range(5):
@@ -217,7 +217,7 @@
 @asyncio_test
 async def test_log_stays_bounded_under_failing_requests(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         assert (
             len(await hosts_on(node, 300, lease_ms=10_000)) == 300
         )  # all are listed before the first lease expires
--- a/tests/test_registry_followers.py
+++ b/tests/test_registry_followers.py
@@ -7,7 +7,7 @@
 import json
 import sqlite3
 
-from conftest import FakeHost, Service, asyncio_test, free_address
+from conftest import FakeHost, GatewayProcesses, asyncio_test, free_address
 from registry_processes import (
     PATH,
     AgentNode,
@@ -88,9 +88,9 @@
 @asyncio_test
 async def test_follower_serves_same_list_and_redirects_writes_to_primary(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         put = await first.put("s-1")
-        copy = await registry.service("b", follow=first.listen).start("--new")
+        copy = await registry.node("b", follow=first.listen).start("--new")
         whole = await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         assert whole == await first.list()
         assert whole.headers["registry-life"] == (await first.list()).headers["registry-life"]
@@ -114,9 +114,9 @@
 @asyncio_test
 async def test_follower_with_full_disk_serves_last_list_until_it_can_write(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         await first.put("s-1")
-        copy = await registry.service("b", follow=first.listen).start("--new")
+        copy = await registry.node("b", follow=first.listen).start("--new")
         await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         blocker = sqlite3.connect(copy.store, isolation_level=None)
         blocker.execute("BEGIN IMMEDIATE")  # makes the store's writes fail, like a full disk
@@ -133,9 +133,9 @@
 @asyncio_test
 async def test_promoted_follower_takes_over_and_old_primary_is_ignored(tmp_path):
     async with Registry(tmp_path) as registry:
-        old = await registry.service().start("--new")
+        old = await registry.node().start("--new")
         put = await old.put("s-1")
-        copy = await registry.service("b", follow=old.listen).start("--new")
+        copy = await registry.node("b", follow=old.listen).start("--new")
         reader = await agent(registry, old.listen, copy.listen).start()
         await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
@@ -168,7 +168,7 @@
 @asyncio_test
 async def test_agent_without_services_serves_last_list_with_its_age(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         put = await first.put("s-1")
         reader = await agent(registry, first.listen, keep=tmp_path / "kept").start()
         whole = await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
@@ -196,7 +196,7 @@
 async def test_agent_ignores_damaged_list_file(tmp_path):
     async with Registry(tmp_path) as registry:
         kept = tmp_path / "kept"
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         await first.put("s-1")
         reader = await agent(registry, first.listen, keep=kept).start()
         await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
@@ -218,7 +218,7 @@
 @asyncio_test
 async def test_agent_moves_from_unresponsive_service_to_next_one(tmp_path):
     async with Registry(tmp_path) as registry, UnresponsiveService() as unresponsive:
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         await first.put("s-1")
         reader = await agent(registry, unresponsive.address, first.listen).start()
         await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
@@ -305,8 +305,8 @@
 @asyncio_test
 async def test_rolling_restart_loses_no_host_for_readers(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.service().start("--new")
-        copy = await registry.service("b", follow=first.listen).start("--new")
+        first = await registry.node().start("--new")
+        copy = await registry.node("b", follow=first.listen).start("--new")
         reader = await agent(registry, first.listen, copy.listen).start()
         for number in range(10):
             assert (await first.put(f"s-{number}")).status == 200
@@ -340,7 +340,7 @@
 async def test_gateways_keep_serving_while_primary_is_killed_and_see_later_drain(tmp_path):
     async with Registry(tmp_path) as registry:
         hosts = [await FakeHost(f"h-{number}").listen() for number in range(3)]
-        first = await registry.service().start("--new")
+        first = await registry.node().start("--new")
         versions = {}
         for each in hosts:
             put = await first.put(each.name, dial=f"127.0.0.1:{each.port}", born_ms=1)
@@ -351,22 +351,25 @@
         for folder in folders:
             folder.mkdir()
         # One gateway uses the service directly, the other an agent; neither has configured hosts.
-        services = [Service(folders[0], discovery=first.listen), Service(folders[1], discovery=reader.listen)]
-        async with services[0], services[1]:
+        gateways = [
+            GatewayProcesses(folders[0], discovery=first.listen),
+            GatewayProcesses(folders[1], discovery=reader.listen),
+        ]
+        async with gateways[0], gateways[1]:
             callers = []
-            for service in services:
-                await service.start()
-                callers.append(await service.caller())
+            for gateway in gateways:
+                await gateway.start()
+                callers.append(await gateway.caller())
             request_count = 0
 
             async def serve(rounds: int) -> None:
                 nonlocal request_count
                 for _ in range(rounds):
                     for caller in callers:
-                        caller.call(number=b"id%d" % request_count)
+                        caller.send_request(request_id=b"id%d" % request_count)
                     request_count += 1
                     for caller in callers:
-                        assert (await caller.replied(request_count))[-1] == b"ok"
+                        assert (await caller.wait_for_replies(request_count))[-1] == b"ok"
                     await asyncio.sleep(0.01)
 
             await serve(20)
--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -144,7 +144,7 @@
 @asyncio_test
 async def test_paused_or_restarted_service_removes_no_host(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         versions = [(await node.put(f"s-{number}", lease_ms=2000))["version"] for number in range(3)]
         node.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(3.5)
@@ -161,7 +161,7 @@
 @asyncio_test
 async def test_held_list_is_reported_until_operator_confirms(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         for number in range(8):
             assert (await node.put(f"s-{number}", lease_ms=3000)).status == 200
         kept = await node.put("kept")
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -73,7 +73,7 @@
 @asyncio_test
 async def test_sigkill_during_writes_loses_no_acknowledged_write_and_leaves_no_partial_one(tmp_path):
     async with Registry(tmp_path) as registry:
-        node, rng = registry.service(), random.Random(11)
+        node, rng = registry.node(), random.Random(11)
         last, kills = 0, 12
         for kill in range(kills):
             await node.start(*(["--new"] if not kill else []))
@@ -105,7 +105,7 @@
 @asyncio_test
 async def test_changes_from_before_restart_are_still_served_incrementally(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         seq = (await node.list())["seq"]
         first = await node.put("s-1")
         await node.post("s-1", "drain", first["version"])
@@ -119,7 +119,7 @@
 @asyncio_test
 async def test_versions_and_leases_survive_restart(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         put = await node.put("s-1", lease_ms=7000)
         gone = await node.put("s-2")
         gone = await node.remove("s-2", gone["version"])
@@ -188,13 +188,13 @@
 @asyncio_test
 async def test_missing_damaged_or_locked_store_is_refused_with_one_line(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = registry.service()
+        node = registry.node()
         assert "does not exist" in await registry.failed_start(*node.arguments())
         await node.start("--new")
         for number in range(60):
             await node.put(f"s-{number}")
-        assert "is in use" in await registry.failed_start(*registry.service().arguments())
-        assert "is there already" not in await registry.failed_start(*registry.service().arguments("--new"))
+        assert "is in use" in await registry.failed_start(*registry.node().arguments())
+        assert "is there already" not in await registry.failed_start(*registry.node().arguments("--new"))
         await node.stop()
         assert "is there already" in await registry.failed_start(*node.arguments("--new"))
         assert "is a primary's" in await registry.failed_start(*node.arguments("--follow", "127.0.0.1:1"))
@@ -208,7 +208,7 @@
 @asyncio_test
 async def test_sequence_numbers_continue_above_earlier_ones_after_store_loss(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         last = (await node.put("s-1"))["version"]
         life = (await node.list()).headers["registry-life"]
         await node.kill()
@@ -226,7 +226,7 @@
 @asyncio_test
 async def test_restored_backup_reuses_no_sequence_number(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         kept = await node.put("s-1")
         copy = tmp_path / "copy.db"
         process = await registry.run("backup", node.store, copy)
@@ -244,7 +244,7 @@
 @asyncio_test
 async def test_new_list_is_not_readable_before_hosts_could_register(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service(settle=1.5).start("--new")
+        node = await registry.node(settle=1.5).start("--new")
         assert (await node.list()).status == 503
         assert (await call(node.operators, "GET", "/health")).status == 503
         assert (await node.put("s-1")).status == 200
@@ -257,7 +257,7 @@
 @asyncio_test
 async def test_full_disk_refuses_writes_and_changes_nothing(tmp_path):
     async with Registry(tmp_path) as registry:
-        node = await registry.service().start("--new")
+        node = await registry.node().start("--new")
         put = await node.put("s-1")
         blocker = sqlite3.connect(node.store, isolation_level=None)
         blocker.execute("BEGIN IMMEDIATE")  # makes the store's writes fail, like a full disk
--- a/tests/test_request_completion.py
+++ b/tests/test_request_completion.py
@@ -15,7 +15,7 @@
 
 import hiredis
 import pytest
-from conftest import SITE, FakeHost
+from conftest import RAW_SETTINGS, FakeHost
 
 from saffrongw import config
 from saffrongw.calls import Attempt, Call
@@ -114,15 +114,15 @@
 
     def __init__(self, seed: int) -> None:
         self.loop, self.random, self.numbers = Loop(), random.Random(seed), itertools.count(1)
-        self.lines = []
+        self.host_entries = []
         for name in "abc":
             host = FakeHost(name)
             host.port = ord(name)
-            self.lines.append(host.line())
+            self.host_entries.append(host.list_entry())
         text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": f"{seed:x}"}
-        permissions = SITE["permissions"] | {"cancel": seed % 2 == 0, "secondCopies": seed % 3 == 0}
-        text |= {"limits": {"sockets": 24}, "settings": SITE | {"permissions": permissions}}
-        text |= {"known": {"seq": 1, "whole": True, "hosts": self.lines}}
+        permissions = RAW_SETTINGS["permissions"] | {"cancel": seed % 2 == 0, "secondCopies": seed % 3 == 0}
+        text |= {"limits": {"sockets": 24}, "settings": RAW_SETTINGS | {"permissions": permissions}}
+        text |= {"known": {"seq": 1, "whole": True, "hosts": self.host_entries}}
         parsed_config = config.parse(json.dumps(text))
         self.driver = Driver(parsed_config.settings, parsed_config.seed, self.loop)
         self.started = self.driver.gateway.allowance_refilled_at
@@ -232,7 +232,7 @@
 
     def host_list_changes(self) -> None:
         health = self.random.choice(("SERVING", "SERVING", "DRAINING", "DELETED"))
-        line = self.random.choice(self.lines) | {"health": health}
+        line = self.random.choice(self.host_entries) | {"health": health}
         raw = {"seq": next(self.numbers), "whole": False, "hosts": [line]}
         self.driver.apply_host_list(config.parse_hosts(raw, self.zones))
 
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -98,7 +98,7 @@
                     attempt.outcome is None
                 ):  # the transport reports a cancelled attempt before any other event
                     attempt.outcome = Outcome.CANCELLED
-                    self.bench.outcome(action.request, attempt.server, Outcome.CANCELLED, action.attempt)
+                    self.bench.end_attempt(action.request, attempt.server, Outcome.CANCELLED, action.attempt)
 
     def check_send(self, request: RequestRecord, action: api.Send) -> None:
         assert not request.is_finished, "sent after its final answer"
@@ -148,7 +148,7 @@
     attempt.outcome = rng.choice([outcome for outcome in Outcome if outcome is not Outcome.CANCELLED])
     served = attempt.outcome is Outcome.SERVED or checker.requests[request].is_finished
     checker.requests[request].is_finished |= served
-    checker.bench.outcome(request, attempt.server, attempt.outcome, attempt_number, answered=served)
+    checker.bench.end_attempt(request, attempt.server, attempt.outcome, attempt_number, answered=served)
 
 
 def list_random_server(checker: RetryChecker, rng: random.Random) -> None:
@@ -187,7 +187,7 @@
         for attempt_number, attempt in enumerate(record.attempts):
             if attempt.outcome is None:
                 attempt.outcome = Outcome.TIMED_OUT
-                checker.bench.outcome(
+                checker.bench.end_attempt(
                     number, attempt.server, Outcome.TIMED_OUT, attempt_number, answered=record.is_finished
                 )
 
@@ -203,7 +203,7 @@
         kind = rng.randrange(len(classes))
         checker.requests[number] = RequestRecord(classes[kind])
         bench.gateway.retry_budget = 5.0  # the retry budget must not limit what is tested
-        bench.ask(number, kind=kind, customer=rng.randrange(40))
+        bench.send_request(number, kind=kind, customer=rng.randrange(40))
         for _ in range(rng.randrange(5)):
             feed_random_event(checker, rng, last_request=number)
     bench.run(20 * SECOND)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from conftest import SECOND, T0, Bench, entry, listed, of
+from conftest import SECOND, T0, Bench, entry, listed, of_type
 
 from orchidlane import interface as api
 from orchidlane.interface import Outcome
@@ -10,11 +10,11 @@
 
 def ask_and_serve(bench: Bench, request: int, took) -> api.Send | None:
     """Send a request and serve it with a response time chosen by server; returns the send, if any."""
-    sends = of(bench.ask(request, customer=request, left=2 * SECOND), api.Send)
+    sends = of_type(bench.send_request(request, customer=request, time_left=2 * SECOND), api.Send)
     if not sends:
         return None
     bench.run(10_000)
-    bench.outcome(request, sends[0].server, Outcome.SERVED, took=took(sends[0].server))
+    bench.end_attempt(request, sends[0].server, Outcome.SERVED, took=took(sends[0].server))
     return sends[0]
 
 
@@ -34,11 +34,11 @@
         ask_and_serve(bench, request, lambda _: 3 * SECOND)
     trials = []
     for request in range(200, 300):
-        trials += [send.request for send in of(bench.ask(request, customer=request), api.Send)]
+        trials += [send.request for send in of_type(bench.send_request(request, customer=request), api.Send)]
         bench.run(10_000)
     assert 1 <= len(trials) <= 3  # one per server: none is idle, as no response arrives
     for request in trials:
-        bench.outcome(request, bench.gateway.attempts[request, 0][0].host.entry.server, Outcome.SERVED)
+        bench.end_attempt(request, bench.gateway.attempts[request, 0][0].host.entry.server, Outcome.SERVED)
     assert sum(ask_and_serve(bench, r, lambda _: 20_000) is not None for r in range(300, 400)) > 20
 
 
@@ -76,16 +76,17 @@
     unreachable_server = entry(0).server
     failed_connects = 0
     for request in range(1, 101):
-        send = of(bench.ask(request, customer=request), api.Send)[0]
+        send = of_type(bench.send_request(request, customer=request), api.Send)[0]
         attempt = 0
         while send.server == unreachable_server:
             failed_connects += 1
-            send = of(
-                bench.outcome(request, unreachable_server, Outcome.NOT_CONNECTED, attempt=attempt), api.Send
+            send = of_type(
+                bench.end_attempt(request, unreachable_server, Outcome.NOT_CONNECTED, attempt=attempt),
+                api.Send,
             )[0]
             attempt += 1
         bench.run(5_000)
-        bench.outcome(request, send.server, Outcome.SERVED, attempt=attempt, took=30_000)
+        bench.end_attempt(request, send.server, Outcome.SERVED, attempt=attempt, took=30_000)
     assert failed_connects <= 5
 
 
@@ -96,12 +97,14 @@
     unreachable = {entry(i).server for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
     for request in range(1, 101):
-        sent, attempt = of(bench.ask(request, customer=request), api.Send), 0
+        sent, attempt = of_type(bench.send_request(request, customer=request), api.Send), 0
         while sent:
             is_unreachable = sent[0].server in unreachable
             failed_connects += is_unreachable
             outcome = Outcome.NOT_CONNECTED if is_unreachable else Outcome.SERVED
-            sent = of(bench.outcome(request, sent[0].server, outcome, attempt=attempt, took=30_000), api.Send)
+            sent = of_type(
+                bench.end_attempt(request, sent[0].server, outcome, attempt=attempt, took=30_000), api.Send
+            )
             attempt += 1
         bench.run(20_000)
     assert failed_connects < 20
@@ -110,14 +113,14 @@
 def test_no_server_stays_excluded_after_all_servers_failed():
     bench = Bench(servers=3)
     for request in range(1, 30):
-        sent, attempt = of(bench.ask(request, customer=request), api.Send), 0
+        sent, attempt = of_type(bench.send_request(request, customer=request), api.Send), 0
         while sent:
-            sent = of(
-                bench.outcome(request, sent[0].server, Outcome.NOT_CONNECTED, attempt=attempt), api.Send
+            sent = of_type(
+                bench.end_attempt(request, sent[0].server, Outcome.NOT_CONNECTED, attempt=attempt), api.Send
             )
             attempt += 1
     bench.run(10 * SECOND)
-    sends = [s for r in range(50, 62) for s in of(bench.ask(r, customer=r), api.Send)]
+    sends = [s for r in range(50, 62) for s in of_type(bench.send_request(r, customer=r), api.Send)]
     assert len({s.server for s in sends}) == 3
 
 
@@ -125,11 +128,13 @@
     bench = Bench(servers=4)
     sends = 0
     for request in range(1, 201):
-        sent = of(bench.ask(request, customer=request), api.Send)
+        sent = of_type(bench.send_request(request, customer=request), api.Send)
         attempt = 0
         while sent:
             sends += 1
-            sent = of(bench.outcome(request, sent[0].server, Outcome.ERROR, attempt=attempt), api.Send)
+            sent = of_type(
+                bench.end_attempt(request, sent[0].server, Outcome.ERROR, attempt=attempt), api.Send
+            )
             attempt += 1
         bench.run(50_000)
     assert sends < 200 * 1.15
@@ -139,7 +144,7 @@
     bench = Bench(servers=2)
     for request in range(1, 41):
         ask_and_serve(bench, request, lambda _: 60_000)
-    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), api.Send)]
+    sends = [s for r in range(100, 200) for s in of_type(bench.send_request(r, customer=r), api.Send)]
     assert 0 < len(sends) < 50
     # No request waited before it was refused.
     assert not [a for a in bench.run(SECOND // 10) if isinstance(a, api.Refuse)]
@@ -149,14 +154,16 @@
     """Response times measured under load were assumed for idle servers, which got nothing (ticket9601)."""
     bench = Bench(servers=1)
     bench.gateway._latency_limit = lambda request: float("inf")
-    open_requests = [(r, of(bench.ask(r, customer=r), api.Send)[0].server) for r in range(1, 41)]
+    open_requests = [
+        (r, of_type(bench.send_request(r, customer=r), api.Send)[0].server) for r in range(1, 41)
+    ]
     del bench.gateway._latency_limit
     bench.run(SECOND)
     for request, server in open_requests:
-        bench.outcome(request, server, Outcome.SERVED, took=SECOND)
+        bench.end_attempt(request, server, Outcome.SERVED, took=SECOND)
     bench.feed(listed(entry(9)))
     bench.run(3 * SECOND)
-    assert [s.server for s in of(bench.ask(50, customer=50), api.Send)] == [entry(9).server]
+    assert [s.server for s in of_type(bench.send_request(50, customer=50), api.Send)] == [entry(9).server]
 
 
 def test_requests_of_a_slow_class_are_not_shed_without_load():
@@ -178,9 +185,11 @@
 def test_a_stalled_server_is_avoided():
     bench = Bench(servers=0)
     bench.feed(listed(entry(1), entry(2)))
-    stalled = of(bench.ask(1, kind=2), api.Send)[0].server
+    stalled = of_type(bench.send_request(1, kind=2), api.Send)[0].server
     bench.run(300_000)
-    others = [s.server for r in range(2, 6) for s in of(bench.ask(r, customer=r, kind=2), api.Send)]
+    others = [
+        s.server for r in range(2, 6) for s in of_type(bench.send_request(r, customer=r, kind=2), api.Send)
+    ]
     assert others
     assert stalled not in others
 
@@ -192,7 +201,7 @@
         kind = api.ListKind.WHOLE if number % 2 else api.ListKind.CHANGES
         bench.feed(listed(entry(number, launched=bench.now), kind=kind))
         bench.run(SECOND)
-        bench.ask(number + 1, customer=number)
+        bench.send_request(number + 1, customer=number)
         bench.feed(listed(entry(number, phase=api.Phase.GONE), kind=api.ListKind.CHANGES))
     assert bench.gateway.hosts == {}
     assert len(bench.gateway.warming) <= 11  # those listed within the slow start period
@@ -202,7 +211,7 @@
     """A random sample of a mostly cold fleet left requests waiting beside a free warm server (incident)."""
     bench = Bench(servers=0)
     bench.feed(listed(entry(0), *(entry(i, launched=bench.now) for i in range(1, 200))))
-    assert [s.server for s in of(bench.ask(1), api.Send)] == [entry(0).server]
+    assert [s.server for s in of_type(bench.send_request(1), api.Send)] == [entry(0).server]
 
 
 def test_a_server_that_has_just_started_is_not_assumed_to_be_overloaded_like_the_others():
@@ -214,10 +223,10 @@
         bench.now += 50_000
         if i == 100:  # the other servers stay overloaded
             bench.feed(listed(*new_servers.values(), kind=api.ListKind.CHANGES))
-        for send in of(bench.ask(i, customer=i, size=1), api.Send):
+        for send in of_type(bench.send_request(i, customer=i, set_size=1), api.Send):
             served += send.server in new_servers
             took = 100_000 if send.server in new_servers else 1_500_000
-            bench.outcome(i, send.server, Outcome.SERVED, took=took)
+            bench.end_attempt(i, send.server, Outcome.SERVED, took=took)
     assert served > 40
 
 
@@ -229,12 +238,12 @@
     used_servers: set[bytes] = set()
     for i in range(1, 101):
         bench.now += 200_000
-        for send in of(bench.ask(i, customer=i, size=1, first=rank), api.Send):
+        for send in of_type(bench.send_request(i, customer=i, set_size=1, set_first=rank), api.Send):
             handshakes += bench.now - last_sent.get(send.server, 0) >= 5 * SECOND
             last_sent[send.server] = bench.now
             if i > 50:
                 used_servers.add(send.server)
-            bench.outcome(i, send.server, Outcome.SERVED, took=50_000)
+            bench.end_attempt(i, send.server, Outcome.SERVED, took=50_000)
     return handshakes, used_servers
 
 
@@ -254,13 +263,13 @@
 
 def test_a_server_whose_connections_broke_is_no_longer_preferred():
     bench = Bench(servers=2)
-    (send,) = of(bench.ask(1, size=1), api.Send)
-    bench.outcome(1, send.server, Outcome.SERVED, took=50_000)
+    (send,) = of_type(bench.send_request(1, set_size=1), api.Send)
+    bench.end_attempt(1, send.server, Outcome.SERVED, took=50_000)
     host = bench.gateway.hosts[send.server]
     assert host.open_connections == 1
-    (send,) = of(bench.ask(2, size=1), api.Send)
+    (send,) = of_type(bench.send_request(2, set_size=1), api.Send)
     assert bench.gateway.hosts[send.server] is host
-    bench.outcome(2, send.server, Outcome.BROKEN, answered=True)
+    bench.end_attempt(2, send.server, Outcome.BROKEN, answered=True)
     assert host.open_connections == 0
 
 
@@ -268,13 +277,13 @@
     """When half the servers failed, 40 gateways admitted requests for 3 s more, until responses showed it."""
     bench = Bench(servers=60)
     for i in range(1, 41):  # normal load: responses arrive, few requests are open
-        for send in of(bench.ask(i, customer=i, size=1), api.Send):
-            bench.outcome(i, send.server, Outcome.SERVED, took=100_000)
+        for send in of_type(bench.send_request(i, customer=i, set_size=1), api.Send):
+            bench.end_attempt(i, send.server, Outcome.SERVED, took=100_000)
         bench.now += 20_000
     for i in range(100, 160):  # responses stop, but none is late yet
         bench.now += 2_000
-        bench.ask(i, customer=i, size=1)
-    refused = [a.request for a in of(bench.log, api.Refuse)]
+        bench.send_request(i, customer=i, set_size=1)
+    refused = [a.request for a in of_type(bench.log, api.Refuse)]
     assert refused
     assert min(refused) > 103  # slightly more open requests than usual are no overload
     assert len(bench.gateway.attempts) < 60
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import FakeHost, Service, asyncio_test, until
+from conftest import FakeHost, GatewayProcesses, asyncio_test, until
 from registry_processes import Connection, Registry
 from test_discovery import Agent
 
@@ -30,32 +30,32 @@
     """
 
     def full_list(version: int) -> dict:
-        entries = [hosts[i % len(hosts)].line(host=f"s-{version % 2}-{i:06d}") for i in range(size)]
+        entries = [hosts[i % len(hosts)].list_entry(host=f"s-{version % 2}-{i:06d}") for i in range(size)]
         return {"seq": version, "whole": True, "hosts": entries}
 
     loop, lists = asyncio.get_running_loop(), [full_list(version) for version in range(2, 10)]
     agent = Agent(lists[:])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     discovery = "{}:{}".format(*server.sockets[0].getsockname())
-    async with Service(folder, discovery=discovery, balancers=size) as service:
+    async with GatewayProcesses(folder, discovery=discovery, balancers=size) as gateway:
         peers = [f"127.0.1.{1 + i % 200}:{20_000 + i // 200}" for i in range(size - 1)]
-        service.configuration |= {
-            "peers": [service.configuration["peer_listen"], *peers],
+        gateway.configuration |= {
+            "peers": [gateway.configuration["peer_listen"], *peers],
             "known": full_list(1),
         }
-        process = await service.start()
-        client, longest, number = await service.caller(), 0.0, 0
+        process = await gateway.start()
+        client, longest, number = await gateway.caller(), 0.0, 0
         while len(agent.requests) <= len(lists) or number < 40:
             started, number = loop.time(), number + 1
-            client.ask(b"PING")
-            await client.replied(2 * number - 1)
+            client.send_command(b"PING")
+            await client.wait_for_replies(2 * number - 1)
             longest = max(longest, loop.time() - started)
-            client.call(number=b"%d" % number)
-            await client.replied(2 * number)
+            client.send_request(request_id=b"%d" % number)
+            await client.wait_for_replies(2 * number)
         assert client.replies.count(b"ok") > number // 2
         memory = resident_kb(process.pid)
         for i in range(size):  # fails for an id that was not on the list
-            assert (await service.say(b"OFFLINE s-1-%06d" % i)).startswith("done")
+            assert (await gateway.send_control_call(b"OFFLINE s-1-%06d" % i)).startswith("done")
         return memory, longest
 
 
@@ -77,7 +77,7 @@
 async def test_a_gateway_learns_the_addresses_of_a_thousand_others_from_the_list_service(tmp_path):
     """Guards against a response that has only the latest gateways if there are more than sixteen."""
     async with Registry(tmp_path) as registry:
-        primary = await registry.service().start("--new")
+        primary = await registry.node().start("--new")
         connection = await Connection.open(primary.listen)
         for rank in range(1, LARGE + 1):
             announcement = {"rank": rank, "life": 5, "dial": f"127.0.1.1:{2_000 + rank}", "lease_ms": 60_000}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -75,7 +75,9 @@
         rank = self.random.choices(range(len(self.benches)), self.weights)[0]
         number = next(self.sequence)
         self.benches[rank].now = self.now
-        self.process_actions(rank, self.benches[rank].ask(number, customer=number, size=1, first=rank))
+        self.process_actions(
+            rank, self.benches[rank].send_request(number, customer=number, set_size=1, set_first=rank)
+        )
         rate = OLD_SERVERS * CAPACITY * (BURST_FACTOR if self.now >= STARTED_AT - SECOND else 1.0)
         self.schedule(self.now + int(self.random.expovariate(rate) * SECOND), self.generate_request)
 
@@ -85,7 +87,8 @@
     def end_attempt(self, rank: int, request: int, server: api.Server, attempt: int) -> None:
         outcome = api.Outcome.BROKEN if self.random.random() < FAILURE_RATE else api.Outcome.SERVED
         self.process_actions(
-            rank, self.benches[rank].outcome(request, server, outcome, attempt=attempt, took=RESPONSE_TIME)
+            rank,
+            self.benches[rank].end_attempt(request, server, outcome, attempt=attempt, took=RESPONSE_TIME),
         )
 
     def announce_servers(self, rank: int) -> None:
