--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,18 @@
 
 import hiredis
 import pytest
-from conftest import SECOND, SITE, Bench, FakeHost, Service, asyncio_test, entry, listed, of, until
+from conftest import (
+    RAW_SETTINGS,
+    SECOND,
+    Bench,
+    FakeHost,
+    GatewayProcesses,
+    asyncio_test,
+    entry,
+    listed,
+    of_type,
+    until,
+)
 from test_discovery import Agent
 
 from orchidlane import handover
@@ -20,18 +31,18 @@
 
 OK = b"*1\r\n$2\r\nok\r\n"
 # A quota that is hardly refilled during a test.
-SLOW_REFILL = {"packages": [SITE["packages"][0] | {"perSecond": 0.001, "peakUnits": 40.0}]}
+SLOW_REFILL = {"packages": [RAW_SETTINGS["packages"][0] | {"perSecond": 0.001, "peakUnits": 40.0}]}
 
 
-def handover_socket_path(service: Service):
-    return service.folder / "saffrongw-{}-{}.sock".format(*service.configuration["listen"].split(":"))
+def handover_socket_path(gateway: GatewayProcesses):
+    return gateway.folder / "saffrongw-{}-{}.sock".format(*gateway.configuration["listen"].split(":"))
 
 
-async def send_request(service: Service, number: bytes = b"id1"):
+async def send_request(gateway: GatewayProcesses, number: bytes = b"id1"):
     """Send one request on a new connection; returns the reply."""
-    caller = await service.caller()
-    caller.call(number=number)
-    reply = (await caller.replied())[0]
+    caller = await gateway.caller()
+    caller.send_request(request_id=number)
+    reply = (await caller.wait_for_replies())[0]
     caller.transport.close()
     return reply
 
@@ -39,18 +50,20 @@
 @asyncio_test
 async def test_the_successor_takes_over_under_load_and_no_request_is_refused_or_reset(tmp_path):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
         replies, stop_load = [], asyncio.Event()
 
         async def load(number: int) -> None:
             while not stop_load.is_set():
-                replies.append(await send_request(service, b"load%d" % number))
+                replies.append(await send_request(gateway, b"load%d" % number))
 
         tasks = [asyncio.create_task(load(number)) for number in range(4)]
-        before = service.control
-        await service.start()
-        assert (await service.say(b"HEALTH", before)).startswith(("error handed over", "nobody"))
+        before = gateway.control
+        await gateway.start()
+        assert (await gateway.send_control_call(b"HEALTH", before)).startswith(
+            ("error handed over", "nobody")
+        )
         assert await asyncio.wait_for(old.wait(), 10) == 0  # the predecessor ends without a signal
         replies_before = len(replies)
         await until(lambda: len(replies) > replies_before + 20)
@@ -66,24 +79,24 @@
 @asyncio_test
 async def test_spent_quota_stays_spent_across_two_upgrades(tmp_path):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host, **SLOW_REFILL) as service:
+    async with GatewayProcesses(tmp_path, host, **SLOW_REFILL) as gateway:
         # One of two gateways, without the other: until it receives from that one, it may spend half of the
         # burst, 20 units.
-        await service.start()
+        await gateway.start()
         served = 0
         for start_number in range(3):
             if start_number:
-                await service.start()
+                await gateway.start()
             for number in range(8):
-                served += await send_request(service, b"%d-%d" % (start_number, number)) == b"ok"
+                served += await send_request(gateway, b"%d-%d" % (start_number, number)) == b"ok"
         for number in range(40):
-            served += await send_request(service, b"rest%d" % number) == b"ok"
+            served += await send_request(gateway, b"rest%d" % number) == b"ok"
     fresh = Bench(servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
     alone = 0
     for number in range(64):
-        alone += len(sent := of(fresh.ask(number + 1, size=2), api.Send))
+        alone += len(sent := of_type(fresh.send_request(number + 1, set_size=2), api.Send))
         if sent:
-            fresh.outcome(number + 1, sent[0].server, api.Outcome.SERVED)
+            fresh.end_attempt(number + 1, sent[0].server, api.Outcome.SERVED)
         fresh.run(10_000)
     assert served <= alone < 3 * 8 + 40
 
@@ -93,10 +106,10 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: None
-    async with Service(tmp_path, *hosts) as service:
-        old = await service.start(long_command_timeout=True)
-        holding, partial, idle = [await service.caller() for _ in range(3)]
-        holding.call("put", wait=10_000, number=b"held")
+    async with GatewayProcesses(tmp_path, *hosts) as gateway:
+        old = await gateway.start(long_command_timeout=True)
+        holding, partial, idle = [await gateway.caller() for _ in range(3)]
+        holding.send_request("put", deadline_ms=10_000, request_id=b"held")
         await until(lambda: any(host.commands for host in hosts))
         command_parts = (
             b"CALL.GET",
@@ -107,7 +120,7 @@
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
         await asyncio.sleep(0.1)
-        await service.start()
+        await gateway.start()
         await until(lambda: idle.closed)
         assert not holding.closed
         partial.transport.write(encoded[40:])
@@ -116,7 +129,7 @@
         )
         for connection in hosts[0].connections + hosts[1].connections:
             connection.transport.write(OK)
-        assert await holding.replied() == await partial.replied() == [b"ok"]
+        assert await holding.wait_for_replies() == await partial.wait_for_replies() == [b"ok"]
         assert await asyncio.wait_for(old.wait(), 10) == 0
         assert holding.closed and partial.closed
 
@@ -124,34 +137,34 @@
 @asyncio_test
 async def test_a_hung_predecessor_is_not_waited_for(tmp_path):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
         old.send_signal(signal.SIGSTOP)
         async with asyncio.timeout(8):
-            await service.start()
+            await gateway.start()
 
 
 @asyncio_test
 async def test_a_handover_socket_of_a_dead_process_is_replaced(tmp_path):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
         old.kill()
         await old.wait()
-        assert handover_socket_path(service).exists()
-        middle = await service.start()
-        assert await send_request(service) == b"ok"
-        await service.start()
+        assert handover_socket_path(gateway).exists()
+        middle = await gateway.start()
+        assert await send_request(gateway) == b"ok"
+        await gateway.start()
         assert await asyncio.wait_for(middle.wait(), 10) == 0
-        assert await send_request(service) == b"ok"
+        assert await send_request(gateway) == b"ok"
 
 
-def connect_as_successor(service: Service, version=1) -> socket.socket:
+def connect_as_successor(gateway: GatewayProcesses, version=1) -> socket.socket:
     """Connect to the predecessor and send a successor's first message."""
     sock = socket.socket(socket.AF_UNIX)
     sock.settimeout(5)
-    sock.connect(str(handover_socket_path(service)))
-    host, port = service.configuration["listen"].split(":")
+    sock.connect(str(handover_socket_path(gateway)))
+    host, port = gateway.configuration["listen"].split(":")
     sock.sendall(json.dumps({"version": version, "listen": [host, int(port)]}).encode() + b"\n")
     return sock
 
@@ -169,27 +182,27 @@
 @asyncio_test
 async def test_the_predecessor_goes_on_serving_if_the_successor_does_not_confirm(tmp_path, final_data):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
-        client = await service.caller()
-        sock = await asyncio.to_thread(connect_as_successor, service)
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
+        client = await gateway.caller()
+        sock = await asyncio.to_thread(connect_as_successor, gateway)
         first_byte, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         assert first_byte == b"\0" and len(descriptors) == 2
         sock.sendall(b'{"take": true}\n')
         assert b'{"end": true}' in await asyncio.to_thread(receive_until, sock, b'{"end": true}')
-        client.call()  # decisions are suspended
+        client.send_request()  # decisions are suspended
         await asyncio.sleep(0.05)
         assert client.replies == []
         if final_data is not None:  # None: the successor hangs
             sock.sendall(final_data)
             sock.close()
-        assert await client.replied() == [b"ok"]
-        assert (await service.say(b"HEALTH")).startswith("done")
+        assert await client.wait_for_replies() == [b"ok"]
+        assert (await gateway.send_control_call(b"HEALTH")).startswith("done")
         assert old.returncode is None
         for number in descriptors:
             socket.close(number)
         sock.close()
-        await service.start()  # a later successor can still take over
+        await gateway.start()  # a later successor can still take over
         assert await asyncio.wait_for(old.wait(), 10) == 0
 
 
@@ -197,9 +210,9 @@
 async def test_a_confirmation_received_just_before_the_timeout_counts(tmp_path):
     """It was written before the predecessor stopped receiving: only the successor goes on serving."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
-        sock = await asyncio.to_thread(connect_as_successor, service)
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
+        sock = await asyncio.to_thread(connect_as_successor, gateway)
         _, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         sock.sendall(b'{"take": true}\n')
         await asyncio.to_thread(receive_until, sock, b'{"end": true}')
@@ -218,21 +231,21 @@
 async def test_sigterm_during_the_handover_loses_no_request(tmp_path, confirmation):
     """Whether the successor takes over or not, open requests are answered before the process ends."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        old = await service.start()
-        client = await service.caller()
-        sock = await asyncio.to_thread(connect_as_successor, service)
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        old = await gateway.start()
+        client = await gateway.caller()
+        sock = await asyncio.to_thread(connect_as_successor, gateway)
         _, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         sock.sendall(b'{"take": true}\n')
         await asyncio.to_thread(receive_until, sock, b'{"end": true}')
-        client.call(wait=9000)
+        client.send_request(deadline_ms=9000)
         old.send_signal(signal.SIGTERM)
         if confirmation:
             sock.sendall(confirmation)
             relayed = await asyncio.to_thread(receive_until, sock, b'"arrived"')
             number = json.loads(next(line for line in relayed.splitlines() if b"arrived" in line))["arrived"]
             sock.sendall(json.dumps({"answer": number, "reply": "$2\r\nok\r\n"}).encode() + b"\n")
-        assert await client.replied() == [b"ok"]
+        assert await client.wait_for_replies() == [b"ok"]
         await until(lambda: client.closed)
         assert await asyncio.wait_for(old.wait(), 10) == 0
         for number in descriptors:
@@ -244,12 +257,12 @@
 async def test_sigterm_before_a_process_is_ready_ends_it(tmp_path):
     """The process waits for a predecessor that accepts its connection and never answers."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
+    async with GatewayProcesses(tmp_path, host) as gateway:
         with socket.socket(socket.AF_UNIX) as predecessor:
-            predecessor.bind(str(handover_socket_path(service)))
+            predecessor.bind(str(handover_socket_path(gateway)))
             predecessor.listen()
             predecessor.settimeout(20)
-            process = await service.start(ready=False)
+            process = await gateway.start(ready=False)
             called, _ = await asyncio.to_thread(predecessor.accept)
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 10) == 0
@@ -260,19 +273,19 @@
 async def test_no_attempt_is_sent_for_a_client_that_left_while_the_successor_held_its_request(tmp_path):
     """The predecessor reads the request, the successor holds it as no host is available; then one is."""
     hosts = [await FakeHost(name).listen() for name in "ab"]
-    serving = {"seq": 5, "whole": True, "hosts": [host.line() for host in hosts]}
-    draining = {"seq": 6, "whole": True, "hosts": [host.line("DRAINING") for host in hosts]}
+    serving = {"seq": 5, "whole": True, "hosts": [host.list_entry() for host in hosts]}
+    draining = {"seq": 6, "whole": True, "hosts": [host.list_entry("DRAINING") for host in hosts]}
     loop = asyncio.get_running_loop()
     agents = [Agent([serving]), Agent([draining])]
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
     where = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-    async with Service(tmp_path, *hosts, discovery=where[0]) as service:
-        await service.start(long_command_timeout=True)
-        predecessor_control = service.control
-        holding, partial = await service.caller(), await service.caller()
+    async with GatewayProcesses(tmp_path, *hosts, discovery=where[0]) as gateway:
+        await gateway.start(long_command_timeout=True)
+        predecessor_control = gateway.control
+        holding, partial = await gateway.caller(), await gateway.caller()
         for host in hosts:
             host.script = lambda command: None if command[2] == b"held" else OK
-        holding.call("put", wait=20_000, number=b"held")  # keeps the predecessor running
+        holding.send_request("put", deadline_ms=20_000, request_id=b"held")  # keeps the predecessor running
         await until(lambda: hosts[0].commands or hosts[1].commands)
         command_parts = (
             b"CALL.GET",
@@ -282,23 +295,23 @@
         )
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
-        service.configuration["discovery"] = where[1]
-        await service.start(ready=False)
-        await until(lambda: len(agents[1].requests) >= 2, within=20)
-        while not (await service.say(b"HEALTH")).startswith("done"):
+        gateway.configuration["discovery"] = where[1]
+        await gateway.start(ready=False)
+        await until(lambda: len(agents[1].requests) >= 2, timeout=20)
+        while not (await gateway.send_control_call(b"HEALTH")).startswith("done"):
             await asyncio.sleep(0.02)
         partial.transport.write(encoded[40:])
-        for control in (predecessor_control, service.control):  # answered only after all earlier events
-            await service.say(b"HEALTH", control)
+        for control in (predecessor_control, gateway.control):  # answered only after all earlier events
+            await gateway.send_control_call(b"HEALTH", control)
         partial.transport.close()
-        for control in (predecessor_control, service.control):
-            await service.say(b"HEALTH", control)
+        for control in (predecessor_control, gateway.control):
+            await gateway.send_control_call(b"HEALTH", control)
         agents[1].transport.write(answered(serving | {"seq": 7}))
         deadline = (
             loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6
         )  # SERVER_RETRY_INTERVAL: interval at which held requests are retried
         while loop.time() < deadline:
-            assert await send_request(service, b"other") == b"ok"
+            assert await send_request(gateway, b"other") == b"ok"
         assert {command[2] for host in hosts for command in host.commands} == {b"held", b"other"}
 
 
@@ -312,10 +325,10 @@
     """Guards against relaying it to the dead process, so that it failed only at its deadline."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    async with Service(tmp_path, host) as service:
-        await service.start(long_command_timeout=True)
-        holding, partial = await service.caller(), await service.caller()
-        holding.call("put", wait=9_000, number=b"held")  # keeps the predecessor running
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        await gateway.start(long_command_timeout=True)
+        holding, partial = await gateway.caller(), await gateway.caller()
+        holding.send_request("put", deadline_ms=9_000, request_id=b"held")  # keeps the predecessor running
         await until(lambda: host.commands)
         command_parts = (
             b"CALL.GET",
@@ -325,28 +338,28 @@
         )
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
-        predecessor_control = service.control
-        new = await service.start()
+        predecessor_control = gateway.control
+        new = await gateway.start()
         new.kill()
         await new.wait()
         # Once it answers, the predecessor has noticed that the successor ended.
-        await service.say(b"HEALTH", predecessor_control)
+        await gateway.send_control_call(b"HEALTH", predecessor_control)
         partial.transport.write(encoded[40:])
-        assert str((await partial.replied())[0]) == "BUSY"
+        assert str((await partial.wait_for_replies())[0]) == "BUSY"
         host.connections[0].transport.write(OK)
-        assert await holding.replied() == [b"ok"]
+        assert await holding.wait_for_replies() == [b"ok"]
 
 
 @asyncio_test
 async def test_a_successor_of_another_version_is_rejected_without_a_handover(tmp_path):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        await service.start()
-        sock = await asyncio.to_thread(connect_as_successor, service, 2)
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        await gateway.start()
+        sock = await asyncio.to_thread(connect_as_successor, gateway, 2)
         first_byte, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         assert (first_byte, descriptors) == (b"", [])
         sock.close()
-        assert await send_request(service) == b"ok"
+        assert await send_request(gateway) == b"ok"
 
 
 @pytest.mark.parametrize(
@@ -355,10 +368,10 @@
 @asyncio_test
 async def test_the_successor_starts_without_the_state_if_that_is_malformed(tmp_path, state):
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
+    async with GatewayProcesses(tmp_path, host) as gateway:
         listener = socket.create_server(("127.0.0.1", 0))
         with socket.socket(socket.AF_UNIX) as listener_socket:
-            listener_socket.bind(str(handover_socket_path(service)))
+            listener_socket.bind(str(handover_socket_path(gateway)))
             listener_socket.listen()
             listener_socket.settimeout(20)
 
@@ -372,10 +385,10 @@
 
             thread = asyncio.create_task(asyncio.to_thread(predecessor))
             async with asyncio.timeout(10):
-                await service.start()
+                await gateway.start()
             await thread
         listener.close()
-        assert await send_request(service) == b"ok"
+        assert await send_request(gateway) == b"ok"
 
 
 # -- the state, without sockets ---------------------------------------------------------------------------
@@ -396,10 +409,10 @@
 def test_counts_limits_ceilings_and_host_statistics_are_restored():
     bench = Bench()
     for number in range(1, 30):
-        sent = of(bench.ask(number, customer=number % 5, plan=number % 3), api.Send)
+        sent = of_type(bench.send_request(number, customer=number % 5, plan=number % 3), api.Send)
         bench.run(30_000)
         if sent and number % 4:
-            bench.outcome(number, sent[0].server, api.Outcome.SERVED, took=40_000 * number)
+            bench.end_attempt(number, sent[0].server, api.Outcome.SERVED, took=40_000 * number)
     gateway = restored_copy(bench)
     assert len(gateway.accounts) == 5
     for customer, account in bench.gateway.accounts.items():
@@ -416,8 +429,8 @@
 
 def test_the_predecessors_open_attempts_count_and_end_like_any_other():
     bench = Bench()
-    bench.ask(1, plan=1)
-    bench.ask(2, plan=1)
+    bench.send_request(1, plan=1)
+    bench.send_request(2, plan=1)
     gateway = restored_copy(bench)
     for event in (events := handover.open_attempt_events(bench.gateway)):
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
@@ -427,13 +440,13 @@
         gateway.accounts[7].open_attempts == 2 == sum(host.open_attempts for host in gateway.hosts.values())
     )
     refused = gateway.handle(bench.now, api.RequestArrived(9, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
-    assert of(refused, api.Refuse)  # its plan allows two open attempts
+    assert of_type(refused, api.Refuse)  # its plan allows two open attempts
     gateway.handle(
         bench.now, api.AttemptEnded(-1, 0, events[0].server, api.Outcome.SERVED, 9, True, 0, 0.0, ())
     )
     assert gateway.accounts[7].open_attempts == 1
     sent_again = gateway.handle(bench.now, api.RequestArrived(10, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
-    assert of(sent_again, api.Send)
+    assert of_type(sent_again, api.Send)
 
 
 def test_a_cold_server_stays_cold():
@@ -459,6 +472,6 @@
 )
 def test_a_malformed_state_is_rejected_as_a_whole(change):
     bench = Bench()
-    bench.ask(1)
+    bench.send_request(1)
     with pytest.raises(ValueError, match="usable"):
         restored_copy(bench, change)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -21,7 +21,7 @@
 def whole_list(version: int) -> bytes:
     host = FakeHost("a")
     host.port = 7
-    return json.dumps({"seq": version, "whole": True, "hosts": [host.line()]}).encode()
+    return json.dumps({"seq": version, "whole": True, "hosts": [host.list_entry()]}).encode()
 
 
 def answer(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
