--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -27,9 +27,9 @@
 TERMS = b"c=%b,t=team,d=%d,units=1,spread=2,first=0"
 
 
-def request(number: int = 1, kind: bytes = b"read", wait: int = 2000) -> bytes:
-    words = (b"0000000000000007", b"id%d" % number, TERMS % (kind, wait))
-    if kind == b"read":
+def request(number: int = 1, class_name: bytes = b"read", deadline_ms: int = 2000) -> bytes:
+    words = (b"0000000000000007", b"id%d" % number, TERMS % (class_name, deadline_ms))
+    if class_name == b"read":
         return hiredis.pack_command((b"CALL.GET", *words))
     return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
 
@@ -54,7 +54,7 @@
             data += piece
         return data
 
-    async def rest(self) -> bytes:
+    async def read_until_close(self) -> bytes:
         """Read until the peer closes; a reset raises."""
         data = b""
         while piece := await asyncio.wait_for(self.loop.sock_recv(self.sock, 65536), 10):
@@ -62,7 +62,7 @@
         return data
 
 
-async def connected(gateway: LoopbackGateway, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
+async def connect(gateway: LoopbackGateway, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
     """A client's socket, and the gateway's object for it."""
     if gateway.clients.server is None:
         await gateway.clients.listen()
@@ -98,7 +98,7 @@
 
 async def by_eviction(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     gateway.clients.max_connections = len(gateway.clients.open)
-    await connected(gateway)
+    await connect(gateway)
     return b""
 
 
@@ -141,12 +141,12 @@
     """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    plain, client = await connected(gateway)
+    plain, client = await connect(gateway)
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
     send_at_half_close(client, plain, CROSSING_INPUT[crossing])
     last = await end(gateway, plain, client)
-    assert await plain.rest() == last
+    assert await plain.read_until_close() == last
     assert (
         client.stage is Stage.HALF_CLOSED
         and client in gateway.clients.half_closed
@@ -167,11 +167,11 @@
     """The connection was closed after the first response, and later commands were still sent to hosts."""
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    plain, client = await connected(gateway)
+    plain, client = await connect(gateway)
     gateway.clients.drain.closing_idle = True
     client.waiting_since = 0.0
     plain.send(PING + request(1) + PING)
-    assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
+    assert await plain.read_until_close() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
     assert len(host.commands) == 1
 
 
@@ -179,10 +179,10 @@
 async def test_half_closed_connections_are_bounded_and_aborted_after_the_linger_timeout(monkeypatch):
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    held = [await connected(gateway) for _ in range(4)]
+    held = [await connect(gateway) for _ in range(4)]
     gateway.clients.max_connections = 4
     for _ in range(3 * SURPLUS_CONNECTIONS_MAX):
-        held.append(await connected(gateway))
+        held.append(await connect(gateway))
         assert (
             len(gateway.clients.open) + len(gateway.clients.half_closed)
             <= gateway.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
@@ -197,15 +197,15 @@
     """They were reset together with the listener."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
     await gateway.clients.listen()
-    where = gateway.clients.server.sockets[0].getsockname()
-    late = [PlainClient(gateway, where) for _ in range(5)]
+    address = gateway.clients.server.sockets[0].getsockname()
+    late = [PlainClient(gateway, address) for _ in range(5)]
     for plain in late:
         plain.send(request())
     gateway.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
-        PlainClient(gateway, where)
+        PlainClient(gateway, address)
     assert not gateway.clients.accepting
 
 
@@ -217,7 +217,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     gateway = LoopbackGateway(host)
-    plain, client = await connected(gateway, receive_buffer=4096)
+    plain, client = await connect(gateway, receive_buffer=4096)
     sock = client.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     count = 5
@@ -226,7 +226,7 @@
     drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
     await until(lambda: client.stage is Stage.HALF_CLOSED)
     assert client.transport.get_write_buffer_size() and not drain.done()
-    assert await plain.rest() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
+    assert await plain.read_until_close() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
     plain.sock.close()
     await asyncio.wait_for(drain, 10)
     assert gateway.clients.is_finished
@@ -237,26 +237,30 @@
     """A connection that always had a request in flight was never closed, but served until SIGKILL."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.2)
     host = await FakeHost("a").listen()
-    out = []
-    host.script = lambda command: out.append(host.sender)
+    waiting = []
+    host.script = lambda command: waiting.append(host.sender)
     gateway = LoopbackGateway(host)
     caller = await gateway.caller()
     caller.send_request(request_id=b"0")
     await until(lambda: len(host.commands) == 1)
     drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
-    asked, stats = 1, gateway.driver.stats
+    request_count, stats = 1, gateway.driver.stats
     while True:  # the next request arrives before the last is answered
-        caller.send_request(request_id=b"%d" % asked)
-        asked += 1
-        await until(lambda asked=asked: len(host.commands) == asked or stats["refused_leaving"])
+        caller.send_request(request_id=b"%d" % request_count)
+        request_count += 1
+        await until(
+            lambda request_count=request_count: (
+                len(host.commands) == request_count or stats["refused_leaving"]
+            )
+        )
         if stats["refused_leaving"]:
             break
-        out.pop(0).transport.write(b"*1\r\n$2\r\nok\r\n")
-        await until(lambda asked=asked: len(caller.replies) >= asked - 1)
-    (last,) = out
+        waiting.pop(0).transport.write(b"*1\r\n$2\r\nok\r\n")
+        await until(lambda request_count=request_count: len(caller.replies) >= request_count - 1)
+    (last,) = waiting
     last.transport.write(b"*1\r\n$2\r\nok\r\n")
     await asyncio.wait_for(drain, 10)
-    assert caller.closed and caller.replies[:-1] == [b"ok"] * (asked - 1)
+    assert caller.closed and caller.replies[:-1] == [b"ok"] * (request_count - 1)
     assert str(caller.replies[-1]) == "BUSY"
 
 
@@ -267,7 +271,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
     gateway = LoopbackGateway(host)
-    plain, client = await connected(gateway, receive_buffer=4096)
+    plain, client = await connect(gateway, receive_buffer=4096)
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
     await until(lambda: len(host.commands) == 4 and not gateway.driver.calls)
@@ -364,16 +368,16 @@
     host = await FakeHost("a").listen()
     permissions = RAW_SETTINGS["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
     gateway = LoopbackGateway(host, permissions=permissions, sockets=256)
-    plain, _ = await connected(gateway, receive_buffer=4096)
-    opens = await wait(gateway, host, plain)
-    asked = gateway.loop.time()
+    plain, _ = await connect(gateway, receive_buffer=4096)
+    gate = await wait(gateway, host, plain)
+    left_at = gateway.loop.time()
     leave(plain.sock)
     await until(lambda: not gateway.driver.calls, timeout=20)
-    assert gateway.loop.time() - asked < 1.5  # well before the deadline of 2 s
+    assert gateway.loop.time() - left_at < 1.5  # well before the deadline of 2 s
     stats = gateway.driver.stats
     assert stats["client_gone_waiting"] > 0 and stats["client_gone_sent_late"] == 0
-    opens.open()
-    other, _ = await connected(gateway)
+    gate.open()
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))  # anything sent earlier arrives before it
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
@@ -391,11 +395,11 @@
     await until(lambda: gateway.driver.calls)
     (number,) = gateway.driver.calls
 
-    def go_on() -> None:
+    def resume() -> None:
         gateway.apply_host_list(gateway.host_entry)
         gateway.driver.feed(api.TimerFired(number + 1))
 
-    return go_on
+    return resume
 
 
 async def when_cooled_down(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
@@ -416,15 +420,15 @@
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
     gateway.host_entry = host.list_entry()
-    plain, client = await connected(gateway)
+    plain, client = await connect(gateway)
     plain.send(request(0, b"bill"))
     assert await plain.read(8) == b"$2\r\nok\r\n"
-    go_on = await wait(gateway, plain)
+    resume = await wait(gateway, plain)
     leave(plain.sock)
     wait_readable(fileno(client))
-    go_on()
+    resume()
     assert not gateway.driver.calls or all(call.finished for call in gateway.driver.calls.values())
-    other, _ = await connected(gateway)
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id0", b"id99"]
@@ -440,19 +444,19 @@
 async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
     """A segment is processed over several loop iterations, and the connection may be lost between two."""
     host = await FakeHost("a").listen()
-    gateway, faults = LoopbackGateway(host), []
-    gateway.loop.set_exception_handler(lambda loop, context: faults.append(context))
-    plain, client = await connected(gateway)
+    gateway, errors = LoopbackGateway(host), []
+    gateway.loop.set_exception_handler(lambda loop, context: errors.append(context))
+    plain, client = await connect(gateway)
     plain.send(PING * pings + b"".join(request(number, b"bill") for number in range(1, 9)))
     leave(plain.sock)
     await until(lambda: client not in gateway.clients.open)
-    other, _ = await connected(gateway)
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id99"]
     assert gateway.driver.stats["requests"] == 1
     assert gateway.driver.calls == {} == gateway.driver.gateway.requests
-    assert faults == []
+    assert errors == []
 
 
 # -- fairness and isolation between clients
@@ -462,17 +466,17 @@
 async def test_client_flooding_with_commands_does_not_starve_others():
     """A segment of thousands of commands was executed completely before other clients were read from."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    flood, flooding = await connected(gateway)
-    calm, waiting = await connected(gateway)
+    flooding_plain, flooding = await connect(gateway)
+    calm_plain, calm = await connect(gateway)
     order: list[Client] = []
-    for client in (flooding, waiting):
+    for client in (flooding, calm):
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
-    flood.send(PING * 4_000)
-    calm.send(PING)
-    wait_readable(fileno(waiting))  # both are readable before the loop polls
-    assert await calm.read(7) == b"+PONG\r\n"
-    assert order.index(waiting) <= 200  # of 4,000
-    assert await flood.read(7 * 4_000) == b"+PONG\r\n" * 4_000
+    flooding_plain.send(PING * 4_000)
+    calm_plain.send(PING)
+    wait_readable(fileno(calm))  # both are readable before the loop polls
+    assert await calm_plain.read(7) == b"+PONG\r\n"
+    assert order.index(calm) <= 200  # of 4,000
+    assert await flooding_plain.read(7 * 4_000) == b"+PONG\r\n" * 4_000
 
 
 @asyncio_test
@@ -527,15 +531,15 @@
     async with GatewayProcesses(tmp_path, host) as gateway:
         process = await gateway.start()
         loop = asyncio.get_running_loop()
-        where = gateway.configuration["listen"].split(":")
-        where = (where[0], int(where[1]))
-        descriptors, replies, over = [], [], asyncio.Event()
+        address = gateway.configuration["listen"].split(":")
+        address = (address[0], int(address[1]))
+        descriptors, replies, stop = [], [], asyncio.Event()
         folder = f"/proc/{process.pid}/fd"
 
-        async def ask() -> None:
+        async def send_requests() -> None:
             """Send requests as another client, whose connection may be evicted between two of them."""
             other_client = await gateway.caller()
-            while not over.is_set():
+            while not stop.is_set():
                 descriptors.append(len(os.listdir(folder)))
                 if other_client.closed:
                     other_client = await gateway.caller()
@@ -545,25 +549,25 @@
                     replies.extend(other_client.replies)
                     other_client.replies.clear()
 
-        async def rest(words: bytes) -> float:
+        async def stall(data: bytes) -> float:
             """Connect and stall; returns the seconds until the gateway closes the connection."""
             with socket.socket() as sock:
                 sock.setblocking(False)
-                await loop.sock_connect(sock, where)
-                began = loop.time()
+                await loop.sock_connect(sock, address)
+                started = loop.time()
                 with contextlib.suppress(ConnectionResetError, BrokenPipeError):
-                    await loop.sock_sendall(sock, words)
+                    await loop.sock_sendall(sock, data)
                     while await loop.sock_recv(sock, 65536):
                         pass  # an error line
-                return loop.time() - began
+                return loop.time() - started
 
-        asking = asyncio.create_task(ask())
+        requests_task = asyncio.create_task(send_requests())
         kinds = (b"", b"*1\r\n$4\r\nPI", post(b"x" * 300_000)[:90_000], b"junk\r\n")
-        took = await asyncio.wait_for(asyncio.gather(*(rest(kinds[n % 4]) for n in range(1_000))), 50)
-        over.set()
-        await asking
-        assert len(took) == 1_000 and max(descriptors) <= gateway.configuration["limits"]["sockets"]
-        assert sum(span > 3.5 for span in took) == 0
+        durations = await asyncio.wait_for(asyncio.gather(*(stall(kinds[n % 4]) for n in range(1_000))), 50)
+        stop.set()
+        await requests_task
+        assert len(durations) == 1_000 and max(descriptors) <= gateway.configuration["limits"]["sockets"]
+        assert sum(duration > 3.5 for duration in durations) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
         assert b"ok" in kinds and kinds <= {
             b"ok",
@@ -579,36 +583,36 @@
     host = await FakeHost("a").listen()
     async with GatewayProcesses(tmp_path, host) as gateway:
         process = await gateway.start()
-        where = tuple(gateway.configuration["listen"].split(":"))
-        where = (where[0], int(where[1]))
+        address = tuple(gateway.configuration["listen"].split(":"))
+        address = (address[0], int(address[1]))
         loop = asyncio.get_running_loop()
         loop_holder = type("Loop", (), {"loop": loop})
-        resting = [PlainClient(loop_holder, where) for _ in range(12)]
-        for number, plain in enumerate(resting):
+        idle_clients = [PlainClient(loop_holder, address) for _ in range(12)]
+        for number, plain in enumerate(idle_clients):
             plain.send(request(number))
             assert await plain.read(8) == b"$2\r\nok\r\n"
         host.script = lambda command: None
-        busy = PlainClient(loop_holder, where)
-        busy.send(request(100, b"bill", wait=3000))
+        busy = PlainClient(loop_holder, address)
+        busy.send(request(100, b"bill", deadline_ms=3000))
         await until(lambda: len(host.commands) == 13)
         process.send_signal(signal.SIGTERM)
 
         async def end(plain: PlainClient) -> None:
-            assert await plain.rest() == b""
+            assert await plain.read_until_close() == b""
             with contextlib.suppress(BrokenPipeError, ConnectionResetError):
                 plain.send(request(200, b"bill"))  # after the close, so it never reaches a host
 
         async with asyncio.TaskGroup() as group:
-            for plain in resting:
+            for plain in idle_clients:
                 group.create_task(end(plain))
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        new = PlainClient(loop_holder, where)
-        new.send(request(101, b"bill", wait=3000))
+        new = PlainClient(loop_holder, address)
+        new.send(request(101, b"bill", deadline_ms=3000))
         await until(lambda: len(host.commands) == 14)
         for connection in host.connections:
             connection.transport.write(b"*1\r\n$2\r\nok\r\n")
-        assert await busy.rest() == await new.rest() == b"$2\r\nok\r\n"
+        assert await busy.read_until_close() == await new.read_until_close() == b"$2\r\nok\r\n"
         busy.sock.close()
         new.sock.close()
         assert await asyncio.wait_for(process.wait(), 10) == 0
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,13 +22,13 @@
 ZONES = ("hall-a", "hall-b")
 
 
-def instance(name: str, **changes) -> dict:
+def host_entry(name: str, **changes) -> dict:
     host = FakeHost(name)
     host.port = 7
     return host.list_entry(**changes)
 
 
-class Agent(asyncio.Protocol):
+class FakeAgent(asyncio.Protocol):
     """A discovery agent: records the requests and sends the next of ``responses`` (None: no response)."""
 
     def __init__(self, responses: list) -> None:
@@ -50,8 +50,8 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-async def watched(responses: list, **changes) -> tuple[Agent, list]:
-    loop, received, agent = asyncio.get_running_loop(), [], Agent(responses)
+async def start_watch(responses: list, **changes) -> tuple[FakeAgent, list]:
+    loop, received, agent = asyncio.get_running_loop(), [], FakeAgent(responses)
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, received.append, **changes).start()
     return agent, received
@@ -59,13 +59,13 @@
 
 @asyncio_test
 async def test_the_watch_requests_changes_since_the_received_version_on_one_connection():
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
-    change = {"seq": 6, "whole": False, "hosts": [instance("a", health="DRAINING")]}
-    agent, received = await watched([whole, change])
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
+    change = {"seq": 6, "whole": False, "hosts": [host_entry("a", health="DRAINING")]}
+    agent, received = await start_watch([whole, change])
     await until(lambda: len(agent.requests) == 3)
     assert agent.requests[0] == "/registry/instances"
     assert [request.split("?")[1].split("&")[0] for request in agent.requests[1:]] == ["index=5", "index=6"]
-    assert [(listed.version, listed.whole) for listed in received] == [(5, True), (6, False)]
+    assert [(host_list.version, host_list.whole) for host_list in received] == [(5, True), (6, False)]
     assert agent.connections == 1
 
 
@@ -79,7 +79,10 @@
         send_request(exchange, target, host)
 
     monkeypatch.setattr(Exchange, "send_request", record_request)
-    loop, agent = asyncio.get_running_loop(), Agent([{"seq": 5, "whole": True, "hosts": [instance("a")]}])
+    loop, agent = (
+        asyncio.get_running_loop(),
+        FakeAgent([{"seq": 5, "whole": True, "hosts": [host_entry("a")]}]),
+    )
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, lambda _: order.append("applied")).start()
     await until(lambda: len(order) == 3)
@@ -88,8 +91,8 @@
 
 @asyncio_test
 async def test_timeouts_and_malformed_responses_lead_to_a_request_of_the_whole_list():
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
-    agent, received = await watched([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
+    agent, received = await start_watch([None, b"junk", b"[]", {"seq": 5}, whole], response_timeout=0.1)
     await until(lambda: received)
     assert agent.requests[:5] == ["/registry/instances"] * 5
 
@@ -97,12 +100,12 @@
 @asyncio_test
 async def test_a_watch_moves_to_a_new_address_in_any_state():
     loop = asyncio.get_running_loop()
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
 
-    async def serving(agent: Agent) -> tuple[str, int]:
+    async def serving(agent: FakeAgent) -> tuple[str, int]:
         return (await loop.create_server(lambda: agent, "127.0.0.1", 0)).sockets[0].getsockname()[:2]
 
-    old = Agent([whole])
+    old = FakeAgent([whole])
     with socket.create_server(("127.0.0.1", 0)) as closed:
         closed_address = closed.getsockname()
     states = {
@@ -114,7 +117,7 @@
         "connecting": (closed_address, lambda watch: True),
     }
     for address, state in states.values():
-        new, received = Agent([whole]), []
+        new, received = FakeAgent([whole]), []
         watch = Watch(loop, address, ZONES, received.append)
         watch.start()
         await until(lambda watch=watch, state=state: state(watch))
@@ -130,13 +133,13 @@
 @asyncio_test
 async def test_sighup_moves_the_watch_and_an_invalid_configuration_changes_nothing(tmp_path):
     loop = asyncio.get_running_loop()
-    agents = [Agent([{"seq": 5, "whole": True, "hosts": []}]) for _ in range(2)]
+    agents = [FakeAgent([{"seq": 5, "whole": True, "hosts": []}]) for _ in range(2)]
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
     addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-    text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": addresses[0], "seed": "01"}
-    text |= {"limits": {"sockets": 128}, "settings": RAW_SETTINGS}
+    configuration = {"name": "n0", "listen": "127.0.0.1:0", "discovery": addresses[0], "seed": "01"}
+    configuration |= {"limits": {"sockets": 128}, "settings": RAW_SETTINGS}
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(text))
+    file.write_text(json.dumps(configuration))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -147,15 +150,20 @@
     await until(lambda: len(agents[0].requests) == 2, timeout=30)
     for invalid in (
         "{",
-        json.dumps(text | {"settings": {}}),
-        json.dumps(text | {"settings": RAW_SETTINGS | {"rules": 7}}),
+        json.dumps(configuration | {"settings": {}}),
+        json.dumps(configuration | {"settings": RAW_SETTINGS | {"rules": 7}}),
     ):
         file.write_text(invalid)
         process.send_signal(signal.SIGHUP)
         while b"event=config_unusable" not in await process.stderr.readline():
             assert process.returncode is None
     rules = RAW_SETTINGS | {"rules": RAW_SETTINGS["rules"] | {"drainGrace": 7}}
-    moved = text | {"discovery": addresses[1], "seed": "02", "settings": rules, "log": {"form": "json"}}
+    moved = configuration | {
+        "discovery": addresses[1],
+        "seed": "02",
+        "settings": rules,
+        "log": {"form": "json"},
+    }
     file.write_text(json.dumps(moved))
     process.send_signal(signal.SIGHUP)
     while b"config_read" not in (log_line := await process.stderr.readline()):
@@ -170,10 +178,10 @@
 @asyncio_test
 async def test_a_request_that_an_agent_never_answers_is_repeated_on_a_new_connection():
     """The agent did not answer the long poll, so that a release went unnoticed for 22 s (r9442fa)."""
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
-    agent, received = await watched([whole, None, whole | {"seq": 9}])
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
+    agent, received = await start_watch([whole, None, whole | {"seq": 9}])
     await until(lambda: len(received) == 2)
-    assert [listed.version for listed in received] == [5, 9]
+    assert [host_list.version for host_list in received] == [5, 9]
     assert agent.connections == 2
 
 
@@ -183,9 +191,9 @@
 ):
     monkeypatch.setattr(discovery, "REFUSED_INTERVAL_MIN", 0.1)
     monkeypatch.setattr(discovery, "CALL_INTERVAL_MAX", 0.8)
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
     empty = {"seq": 5, "whole": False, "hosts": []}
-    agent, received = await watched([503] * 5 + [whole] + [empty] * 9)
+    agent, received = await start_watch([503] * 5 + [whole] + [empty] * 9)
     await until(lambda: len(agent.requests) >= 14)
     gaps = [after - before for before, after in pairwise(agent.request_times)]
     # The clock of the loop has a resolution of one millisecond.
@@ -199,11 +207,11 @@
 @asyncio_test
 async def test_changes_rather_than_whole_lists_are_requested_after_a_refusal_or_a_lost_connection():
     """Requests for whole lists after each refusal kept discovery overloaded permanently."""
-    whole = {"seq": 5, "whole": True, "hosts": [instance("a")]}
-    change = {"seq": 6, "whole": False, "hosts": [instance("a", health="DRAINING")]}
-    agent, received = await watched([whole, change, None])
+    whole = {"seq": 5, "whole": True, "hosts": [host_entry("a")]}
+    change = {"seq": 6, "whole": False, "hosts": [host_entry("a", health="DRAINING")]}
+    agent, received = await start_watch([whole, change, None])
     await until(lambda: len(agent.requests) == 3)
-    agent.responses = [503, {"seq": 7, "whole": False, "hosts": [instance("a")]}]
+    agent.responses = [503, {"seq": 7, "whole": False, "hosts": [host_entry("a")]}]
     agent.transport.abort()
     await until(lambda: len(received) == 3)
     assert [request.partition("?")[2].split("&")[0] for request in agent.requests[3:5]] == [
@@ -215,7 +223,9 @@
 
 @asyncio_test
 async def test_a_watch_that_starts_with_a_version_requests_the_changes_since_it():
-    agent, received = await watched([503, {"seq": 7, "whole": False, "hosts": [instance("a")]}], version=3)
+    agent, received = await start_watch(
+        [503, {"seq": 7, "whole": False, "hosts": [host_entry("a")]}], version=3
+    )
     await until(lambda: received)
     assert [request.split("&")[0] for request in agent.requests[:2]] == ["/registry/instances?index=3"] * 2
 
@@ -223,8 +233,8 @@
 @asyncio_test
 async def test_a_lower_version_leads_to_a_request_of_the_whole_list():
     """Discovery restarted: it may take hours until it reaches a version above ours."""
-    whole = {"seq": 2, "whole": True, "hosts": [instance("b")]}
-    agent, received = await watched([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
+    whole = {"seq": 2, "whole": True, "hosts": [host_entry("b")]}
+    agent, received = await start_watch([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
     await until(lambda: received)
     assert agent.requests[1] == "/registry/instances"
     assert received[0].whole
@@ -235,7 +245,7 @@
     attempt. The time is limited to the interval of running gateways: changes that a starting gateway requests
     later than that count as delivered to it.
     """
-    moments: dict[int, list[float]] = {}
+    start_times: dict[int, list[float]] = {}
     for gateways in (1, 3, 20, 40, 230):
         spread = first_call_spread(gateways, on_request=True)
         for seed in range(gateways):
@@ -250,15 +260,18 @@
                 version=0,
                 spread=spread,
             ).start_after_delay()
-            moments.setdefault(gateways, []).extend(delays)
-    assert moments[1] == [0.0]
-    assert max(moments[3]) < 0.5
+            start_times.setdefault(gateways, []).extend(delays)
+    assert start_times[1] == [0.0]
+    assert max(start_times[3]) < 0.5
     for gateways in (20, 40, 230):
-        assert max(moments[gateways]) <= discovery.CALL_INTERVAL_MAX
+        assert max(start_times[gateways]) <= discovery.CALL_INTERVAL_MAX
         even_rate = max(
             1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX
         )  # in a second
-        largest = max(sum(at <= m < at + 1 for m in moments[gateways]) for at in moments[gateways])
+        largest = max(
+            sum(start <= time < start + 1 for time in start_times[gateways])
+            for start in start_times[gateways]
+        )
         assert largest <= 2 * even_rate
     assert first_call_spread(60, on_request=False) == 0.0
 
@@ -293,14 +306,14 @@
 
 @asyncio_test
 async def test_a_response_with_connection_close_is_processed():
-    body = json.dumps({"seq": 5, "whole": True, "hosts": [instance("a")]}).encode()
+    body = json.dumps({"seq": 5, "whole": True, "hosts": [host_entry("a")]}).encode()
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(body)
-    loop, received, agent = asyncio.get_running_loop(), [], Agent([])
+    loop, received, agent = asyncio.get_running_loop(), [], FakeAgent([])
     agent.data_received = lambda data: agent.transport.write(head + body)
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, received.append).start()
     await until(lambda: len(received) >= 2)
-    assert {listed.version for listed in received} == {5}
+    assert {host_list.version for host_list in received} == {5}
     assert agent.connections >= 2
 
 
@@ -309,16 +322,16 @@
         7,
         None,
         {},
-        instance("x", health="ASLEEP"),
-        instance("x", block="b"),
-        instance("x", dial="nowhere"),
-        instance("x", born_ms=float("inf")),
+        host_entry("x", health="ASLEEP"),
+        host_entry("x", block="b"),
+        host_entry("x", dial="nowhere"),
+        host_entry("x", born_ms=float("inf")),
     ]
-    listed = parse_hosts(
-        {"seq": 1, "whole": True, "hosts": [*malformed, instance("a", site="hall-b", born_ms=12)]}, ZONES
+    host_list = parse_hosts(
+        {"seq": 1, "whole": True, "hosts": [*malformed, host_entry("a", site="hall-b", born_ms=12)]}, ZONES
     )
-    assert listed.malformed == len(malformed)
-    (host,) = listed.hosts
+    assert host_list.malformed == len(malformed)
+    (host,) = host_list.hosts
     assert (host.entry.server, host.entry.zone, host.entry.launched) == (b"a", 1, 12_000)
     assert host.address == ("127.0.0.1", 7)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
 from saffrongw.clients import SWEEP_INTERVAL
 
 
-def error(reply) -> str:
+def error_text(reply) -> str:
     assert isinstance(reply, hiredis.ReplyError)
     return str(reply)
 
@@ -87,7 +87,7 @@
         host.script = lambda command: b"reset"
     caller = await LoopbackGateway(*hosts).caller()
     caller.send_request("bill")
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -144,7 +144,7 @@
     gateway = LoopbackGateway(host)
     caller = await gateway.caller()
     caller.send_request("bill", deadline_ms=200)
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: not host.connections)  # the attempt is cancelled
     assert gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
 
@@ -162,17 +162,17 @@
     gateway.driver.feed = lambda event: (ended.append(event), feed(event))
     caller = await gateway.caller()
     pool = gateway.hosts.pools[b"a"]
-    original = pool.connected
+    connected = pool.connected
 
     def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        original(connection)
+        connected(connection)
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
-    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
     outcomes = [event.outcome for event in ended if isinstance(event, api.AttemptEnded)]
     assert outcomes == [api.Outcome.NOT_CONNECTED]
     listener.close()
@@ -188,19 +188,19 @@
     host.port = listener.getsockname()[1]
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
     caller = await gateway.caller()
-    up = gateway.hosts.pools[b"a"].connected
+    connected = gateway.hosts.pools[b"a"].connected
 
     def shrink_send_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        up(connection)
+        connected(connection)
 
     gateway.hosts.pools[b"a"].connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await gateway.loop.sock_accept(listener)
     await gateway.loop.sock_sendall(accepted, b"-BUSY\r\n")
-    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
     assert gateway.hosts.sockets == 0
     accepted.close()
     listener.close()
@@ -282,7 +282,7 @@
     caller.send_command(*command)
     caller.send_command(b"PING")  # the connection is kept
     replies = await caller.wait_for_replies(2)
-    assert error(replies[0]).startswith("ERR")
+    assert error_text(replies[0]).startswith("ERR")
     assert replies[1] == b"PONG"
     assert host.commands == []
 
@@ -292,7 +292,7 @@
 async def test_connection_is_closed_when_framing_is_lost(junk):
     caller = await LoopbackGateway(await FakeHost("a").listen()).caller()
     caller.transport.write(junk)
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: caller.closed)
 
 
@@ -307,7 +307,7 @@
     caller.transport.write(head[5:])
     replies = await caller.wait_for_replies(3)
     assert replies[:2] == [b"PONG", b"PONG"]
-    assert error(replies[2]).startswith("ERR")
+    assert error_text(replies[2]).startswith("ERR")
     await until(lambda: caller.closed)
 
 
@@ -337,22 +337,22 @@
     old, new = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(old)
     caller = await gateway.caller()
-    gate, opening = asyncio.Event(), gateway.loop.create_connection
+    connect_gate, connect = asyncio.Event(), gateway.loop.create_connection
 
-    class SlowLoop:
+    class SlowConnectLoop:
         async def create_connection(self, factory, host, port):
             if port == old.port:
-                await gate.wait()
-            return await opening(factory, host, port)
+                await connect_gate.wait()
+            return await connect(factory, host, port)
 
         def __getattr__(self, name):
             return getattr(gateway.loop, name)
 
-    gateway.hosts.loop = SlowLoop()
+    gateway.hosts.loop = SlowConnectLoop()
     caller.send_request("bill")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     gateway.apply_host_list(old.list_entry(health), new.list_entry())
-    gate.set()
+    connect_gate.set()
     assert await caller.wait_for_replies() == [b"ok"]
     assert len(new.commands) == 1
     await until(lambda: len(old.connections) == (health == "DRAINING"))
@@ -379,7 +379,7 @@
         caller.send_request("bill", deadline_ms=400, request_id=b"%d" % number)
     replies = await caller.wait_for_replies(9)
     assert len(host.commands) == 4
-    assert sorted(error(reply).split()[0] for reply in replies) == ["BUSY"] * 5 + ["ERR"] * 4
+    assert sorted(error_text(reply).split()[0] for reply in replies) == ["BUSY"] * 5 + ["ERR"] * 4
 
 
 @asyncio_test
@@ -402,7 +402,7 @@
     await until(lambda: len(host.commands) == 6)
     surplus = await gateway.caller()
     surplus.send_request()
-    assert error((await surplus.wait_for_replies())[0]) == "BUSY 1000"
+    assert error_text((await surplus.wait_for_replies())[0]) == "BUSY 1000"
     await until(lambda: surplus.closed)
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
     first.send_request(request_id=b"id2")
@@ -415,7 +415,7 @@
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
     silent, partial, dripping, idle, waiting = [await gateway.caller() for _ in range(5)]
-    begun = gateway.loop.time()
+    started = gateway.loop.time()
     ping = hiredis.pack_command((b"PING",))
     idle.transport.write(ping)
     waiting.send_request("bill", deadline_ms=10_000)
@@ -426,9 +426,9 @@
         if dripping.transport.is_closing() or dripping.closed:
             break
     await until(lambda: silent.closed and partial.closed and dripping.closed)
-    assert gateway.loop.time() - begun < 3.0 + 3.0  # the specified limit, and as much for a busy machine
+    assert gateway.loop.time() - started < 3.0 + 3.0  # the specified limit, and as much for a busy machine
     assert silent.replies == []
-    assert error(partial.replies[1]) == error(dripping.replies[0])
+    assert error_text(partial.replies[1]) == error_text(dripping.replies[0])
     await asyncio.sleep(3 * SWEEP_INTERVAL)
     assert not idle.closed and not waiting.closed
 
@@ -527,7 +527,7 @@
     await caller.wait_for_replies()
     other = await gateway.caller()
     other.send_request()
-    assert error((await other.wait_for_replies())[0]) == "BUSY 1000"
+    assert error_text((await other.wait_for_replies())[0]) == "BUSY 1000"
     caller.transport.write(ping[4:])
     assert await caller.wait_for_replies(2) == [b"PONG", b"PONG"]
 
@@ -540,7 +540,7 @@
     choose = gateway.driver.gateway._choose_server
     gateway.driver.gateway._choose_server = lambda request: 1 // 0
     caller.send_request("bill")
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
     gateway.driver.gateway._choose_server = choose
     caller.send_request("bill")
     assert (await caller.wait_for_replies(2))[1] == b"ok"
@@ -553,7 +553,7 @@
     caller = await gateway.caller()
     gateway.driver.gateway._advance = lambda request: None
     caller.send_request(deadline_ms=100)
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
 
 
 @asyncio_test
@@ -563,11 +563,11 @@
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
-    text = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "01"}
+    configuration = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "01"}
     known = {"seq": 1, "whole": True, "hosts": [host.list_entry(host=name) for name in "abcdef"]}
-    text |= {"limits": {"sockets": 128}, "known": known, "settings": RAW_SETTINGS}
+    configuration |= {"limits": {"sockets": 128}, "known": known, "settings": RAW_SETTINGS}
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(text))
+    file.write_text(json.dumps(configuration))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "saffrongw", env=os.environ | {"LB_CONFIG": str(file)}
     )
@@ -607,7 +607,7 @@
         )
         caller.send_request()
         await until(lambda: caller.replies)
-        assert error(caller.replies.pop()) == line
+        assert error_text(caller.replies.pop()) == line
 
 
 @asyncio_test
@@ -653,14 +653,14 @@
 async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
     """With event loop lag, requests of the clients idle longest may be unread when an eviction is due."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    asked = await gateway.caller()
-    address = asked.transport.get_extra_info("peername")
+    active = await gateway.caller()
+    address = active.transport.get_extra_info("peername")
     with socket.create_connection(address) as first, socket.create_connection(address) as second:
         await until(lambda: len(gateway.clients.open) == 3)
         spare = await gateway.caller()
         await until(lambda: len(gateway.clients.open) == 4)
-        asked.send_request()  # so that the others have been idle longer
-        await asked.wait_for_replies()
+        active.send_request()  # so that the others have been idle longer
+        await active.wait_for_replies()
         gateway.clients.max_connections = 4
         for idle in (first, second):
             idle.setblocking(False)
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -14,7 +14,7 @@
 import hiredis
 import pytest
 from conftest import RAW_SETTINGS, FakeHost, LoopbackGateway, asyncio_test, until
-from test_gateway import error
+from test_gateway import error_text
 
 from orchidlane import interface as api
 from saffrongw.hosts import CONNECTION_COOLDOWN, Stage
@@ -25,9 +25,9 @@
 
 def wait_readable(fd: int) -> None:
     """Wait until the kernel has received data or a close, without running the event loop."""
-    look = select.poll()
-    look.register(fd, select.POLLIN | select.POLLRDHUP)
-    assert look.poll(5_000)
+    poll = select.poll()
+    poll.register(fd, select.POLLIN | select.POLLRDHUP)
+    assert poll.poll(5_000)
 
 
 def reset(sock: socket.socket) -> None:
@@ -161,7 +161,7 @@
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
         caller.send_request(request_id=number)
-    await until(lambda: gate.under_way == 2)
+    await until(lambda: gate.connecting == 2)
     assert (await receive_command(first))[2] == b"four"
     gate.open()
     others = [await host.accept() for _ in range(2)]
@@ -177,17 +177,17 @@
 
     def __init__(self, gateway: LoopbackGateway, port: int) -> None:
         self.loop, self.port, self.gate = gateway.hosts.loop, port, asyncio.Event()
-        self.open, self.under_way = self.gate.set, 0
+        self.open, self.connecting = self.gate.set, 0
         gateway.hosts.loop = self
 
     async def create_connection(self, factory, host, port):
-        self.under_way += 1
+        self.connecting += 1
         try:
             if port == self.port:
                 await self.gate.wait()
             return await self.loop.create_connection(factory, host, port)
         finally:
-            self.under_way -= 1
+            self.connecting -= 1
 
     def __getattr__(self, name):
         return getattr(self.loop, name)
@@ -202,10 +202,10 @@
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"connectTimeout": 50_000})
     caller = await gateway.caller()
     pool = gateway.hosts.pools[b"a"]
-    up = pool.connected
+    connected = pool.connected
 
     def block_loop(connection):
-        up(connection)
+        connected(connection)
         time.sleep(0.1)
 
     pool.connected = block_loop
@@ -248,14 +248,14 @@
     assert gateway.hosts.sockets == 1
     CONNECT_OUTCOMES[end](gateway, host, gate)
     if end != "client gone":
-        assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+        assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
     await until(
         lambda: (
             gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
         )
     )
     if end != "timed out":
-        await until(lambda: gate.under_way == 0)
+        await until(lambda: gate.connecting == 0)
     await until(lambda: gateway.hosts.sockets == sum(len(pool.idle) for pool in gateway.hosts.pools.values()))
     try:
         sock, _ = host.listener.accept()
@@ -275,18 +275,18 @@
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
     caller = await gateway.caller()
     pool = gateway.hosts.pools[b"a"]
-    up = pool.connected
+    connected = pool.connected
 
     def shrink_send_buffer(connection):
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        up(connection)
+        connected(connection)
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
     await gateway.loop.sock_sendall(sock, early)
-    assert error((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
     assert gateway.hosts.sockets == 0
 
 
@@ -297,7 +297,7 @@
         host.script = lambda command: b"-BUSY\r\n*1\r\n$2\r\nok\r\n"
     caller = await LoopbackGateway(*hosts).caller()
     caller.send_request("bill")
-    assert error((await caller.wait_for_replies())[0]).startswith("ERR")
+    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -319,7 +319,7 @@
         if cut == len(data) and end == "end":
             assert reply == b"fresh"
         elif cut < len(data):
-            assert error(reply) == "ERR failed"
+            assert error_text(reply) == "ERR failed"
         assert gateway.driver.stats["host_stale"] == 0
         with pytest.raises(BlockingIOError):
             host.listener.accept()
@@ -345,7 +345,7 @@
         if isinstance(event, api.AttemptEnded):
             ended.append(event)
             if len(ended) == 1:  # before the retry is decided on: only the other host is left
-                feed(api.ServerListed(api.ListKind.CHANGES, 3, entries(gateway, first, second)))
+                feed(api.ServerListed(api.ListKind.CHANGES, 3, list_update_entries(gateway, first, second)))
         feed(event)
 
     gateway.driver.feed = feed_and_update_list
@@ -354,13 +354,15 @@
     sent = gateway.loop.time()
     await until(lambda: gateway.loop.time() - sent > 0.35)
     gate.open()
-    assert error((await caller.wait_for_replies())[0]) == "ERR failed"
+    assert error_text((await caller.wait_for_replies())[0]) == "ERR failed"
     await until(lambda: second.connections)
     assert (len(first.commands), len(second.commands)) == (1, 0)
     assert [event.outcome for event in ended][:2] == [api.Outcome.BROKEN, api.Outcome.NOT_CONNECTED]
 
 
-def entries(gateway: LoopbackGateway, gone: FakeHost, ready: FakeHost) -> tuple[api.ServerEntry, ...]:
+def list_update_entries(
+    gateway: LoopbackGateway, gone: FakeHost, ready: FakeHost
+) -> tuple[api.ServerEntry, ...]:
     from saffrongw.config import parse_hosts
 
     raw = {"seq": 3, "whole": False, "hosts": [gone.list_entry("DRAINING"), ready.list_entry()]}
@@ -372,8 +374,8 @@
     """Hosts refuse, reset, close and answer under many requests; afterwards only idle connections count."""
     hosts = [await FakeHost(name).listen() for name in "abcd"]
     replies = [b"reset", b"-BUSY\r\n", b"-ERR failed\r\n", ANSWER, ANSWER + STALE, b"$5\r\nodd"]
-    for place, host in enumerate(hosts):
-        host.script = lambda command, place=place: replies[(int(command[2]) + place) % len(replies)]
+    for index, host in enumerate(hosts):
+        host.script = lambda command, index=index: replies[(int(command[2]) + index) % len(replies)]
     closed = await FakeHost("e").listen()
     closed.server.close()
     gateway = LoopbackGateway(*hosts, closed)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -24,8 +24,8 @@
     return b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, rest)
 
 
-def post(body: bytes, number: bytes = b"id1", terms: bytes = TERMS) -> bytes:
-    return hiredis.pack_command((b"CALL.POST", b"0000000000000007", number, terms, body))
+def post(body: bytes, request_id: bytes = b"id1", terms: bytes = TERMS) -> bytes:
+    return hiredis.pack_command((b"CALL.POST", b"0000000000000007", request_id, terms, body))
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -319,15 +319,15 @@
 @asyncio_test
 async def test_stalled_and_slow_uploads_are_closed_in_time():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    stops, dawdles = [await gateway.caller() for _ in range(2)]
-    began, free = gateway.loop.time(), gateway.clients.upload_memory.free
-    for caller in (stops, dawdles):
+    stalled, slow = [await gateway.caller() for _ in range(2)]
+    started, free = gateway.loop.time(), gateway.clients.upload_memory.free
+    for caller in (stalled, slow):
         caller.transport.write(post(BIG)[:1000])
-    while not (stops.closed and dawdles.closed):
-        dawdles.transport.write(b"x")
+    while not (stalled.closed and slow.closed):
+        slow.transport.write(b"x")
         await asyncio.sleep(0.05)
-    assert str(stops.replies[0]).startswith("ERR") and str(dawdles.replies[0]).startswith("ERR")
-    assert gateway.loop.time() - began < 4
+    assert str(stalled.replies[0]).startswith("ERR") and str(slow.replies[0]).startswith("ERR")
+    assert gateway.loop.time() - started < 4
     await until(lambda: gateway.clients.upload_memory.free == free)
 
 
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -14,7 +14,7 @@
     return {action.peer for action in of_type(actions, api.SendPeerMessage)}
 
 
-def served_request(bench: Bench, number: int, customer: int) -> list[api.Action]:
+def send_and_serve(bench: Bench, number: int, customer: int) -> list[api.Action]:
     """A request, which its host serves at once if it is admitted."""
     actions = bench.send_request(number, customer=customer, set_size=GATEWAYS)
     for send in of_type(actions, api.Send):
@@ -28,17 +28,17 @@
     bench.feed(api.MembersChanged(absent, False))
     notified: set[int] = set()
     for number in range(120):
-        notified |= receivers(served_request(bench, number + 1, number % 20))
+        notified |= receivers(send_and_serve(bench, number + 1, number % 20))
         notified |= receivers(bench.run(SECOND // 4))
     assert notified & absent == set()
     assert notified == set(range(1, GATEWAYS)) - absent
 
 
-def admitted(bench: Bench, first: int, seconds: int) -> int:
+def count_admitted(bench: Bench, first: int, seconds: int) -> int:
     """Number of admitted requests of a customer that requests five times its quota."""
     count = 0
     for number in range(10 * seconds):
-        count += len(of_type(served_request(bench, first + number, 5), api.Send))
+        count += len(of_type(send_and_serve(bench, first + number, 5), api.Send))
         bench.run(SECOND // 10)
     return count
 
@@ -48,16 +48,16 @@
     admissions = {}
     for cut_off in (False, True):
         bench = Bench(gateways=GATEWAYS)
-        admitted(bench, 1, 10)
+        count_admitted(bench, 1, 10)
         account = bench.gateway.accounts[5]
         account.total, account.limit = account.total * 10, account.limit + account.total * 9
         bench.feed(api.MembersChanged(frozenset(), cut_off))
-        admissions[cut_off] = admitted(bench, 1_000, 60)
+        admissions[cut_off] = count_admitted(bench, 1_000, 60)
     assert admissions[False] > 100  # two per second
     assert admissions[True] < 0.4 * admissions[False]
     bench.feed(api.MembersChanged(frozenset(), False))
-    admitted(bench, 5_000, 10)
-    assert admitted(bench, 6_000, 30) > 50
+    count_admitted(bench, 5_000, 10)
+    assert count_admitted(bench, 6_000, 30) > 50
 
 
 def test_without_membership_no_gateway_counts_as_absent():
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -23,66 +23,66 @@
 
 def joined_fleet(seed: int, factory=places.AddressBook, size: int = 12, loss: float = 0.0) -> Network:
     """A fleet in which each gateway joins by one that started earlier, without a list of all."""
-    land = Network(size, seed, factory, loss)
+    network = Network(size, seed, factory, loss)
     for rank in range(size):
-        land.start(rank, 7_000 + rank, [7_000 + rank // 2] if rank else [])
-        land.run(0.3)
-    land.run_until(land.converged, 60)
-    return land
+        network.start(rank, 7_000 + rank, [7_000 + rank // 2] if rank else [])
+        network.run(0.3)
+    network.run_until(network.converged, 60)
+    return network
 
 
 def check_join(factory, seed: int) -> None:
     """A gateway joins by any other, though an address of ``join`` is dead and the first gateways are gone."""
-    land = joined_fleet(seed, factory, loss=0.05)
+    network = joined_fleet(seed, factory, loss=0.05)
     for rank in (0, 1):
-        land.nodes["10.0.0.1", 7_000 + rank].dead = True
-    for seat in land.nodes.values():
-        seat.peer_addresses = {rank: at for rank, at in seat.peer_addresses.items() if rank > 1}
-    land.start(1, 7_101, [7_000, 7_007])
-    land.run_until(land.converged, 30)
+        network.nodes["10.0.0.1", 7_000 + rank].dead = True
+    for node in network.nodes.values():
+        node.peer_addresses = {rank: at for rank, at in node.peer_addresses.items() if rank > 1}
+    network.start(1, 7_101, [7_000, 7_007])
+    network.run_until(network.converged, 30)
 
 
 def check_separate_groups(factory, seed: int) -> None:
     """Two groups that started separately find each other by their ``join`` addresses."""
-    land = Network(8, seed, factory)
+    network = Network(8, seed, factory)
     for rank in range(8):
-        land.start(rank, 7_000 + rank, [7_000 + (rank & 4), 7_000])
-    land.run_until(land.converged, 60)
+        network.start(rank, 7_000 + rank, [7_000 + (rank & 4), 7_000])
+    network.run_until(network.converged, 60)
 
 
 def check_new_address(factory, seed: int) -> None:
     """A rank that starts at a new address is found there; its earlier process, still running, yields."""
-    land = joined_fleet(seed, factory)
-    predecessor = land.nodes["10.0.0.1", 7_003]
-    successor = land.start(3, 7_103, [7_005])
-    others = [seat for at, seat in land.nodes.items() if seat.core.rank != 3]
-    land.run_until(lambda: all(seat.peer_addresses[3] == ("10.0.0.1", 7_103) for seat in others), 40)
-    land.run_until(lambda: predecessor.replaced_by == successor.core.life, 60)
+    network = joined_fleet(seed, factory)
+    predecessor = network.nodes["10.0.0.1", 7_003]
+    successor = network.start(3, 7_103, [7_005])
+    others = [node for at, node in network.nodes.items() if node.core.rank != 3]
+    network.run_until(lambda: all(node.peer_addresses[3] == ("10.0.0.1", 7_103) for node in others), 40)
+    network.run_until(lambda: predecessor.replaced_by == successor.core.life, 60)
     assert not successor.replaced_by
 
 
 def check_replay(factory, seed: int) -> None:
     """Datagrams replayed from another address change no binding and cause a bounded number of messages."""
-    land = joined_fleet(seed, factory)
-    bindings = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items()}
-    before, seen = land.greetings_sent.total(), list(land.transmitted)
+    network = joined_fleet(seed, factory)
+    bindings = {at: dict(node.peer_addresses) for at, node in network.nodes.items()}
+    before, seen = network.greetings_sent.total(), list(network.transmitted)
     for source, to, body in seen:
-        land.send(("10.9.9.9", source[1]), to, body)
-    land.run(2)
-    assert {at: seat.peer_addresses for at, seat in land.nodes.items()} == bindings
-    assert land.greetings_sent.total() - before <= 4 * len(seen)
+        network.send(("10.9.9.9", source[1]), to, body)
+    network.run(2)
+    assert {at: node.peer_addresses for at, node in network.nodes.items()} == bindings
+    assert network.greetings_sent.total() - before <= 4 * len(seen)
 
 
 def check_false_reports(factory, seed: int) -> None:
     """A member that reports wrong addresses with greater lives, with a valid tag, changes no binding."""
-    land = joined_fleet(seed, factory)
-    bindings = {at: dict(seat.peer_addresses) for at, seat in land.nodes.items() if seat.core.rank != 2}
-    faulty = land.nodes["10.0.0.1", 7_002].core
+    network = joined_fleet(seed, factory)
+    bindings = {at: dict(node.peer_addresses) for at, node in network.nodes.items() if node.core.rank != 2}
+    faulty = network.nodes["10.0.0.1", 7_002].core
     for rank in faulty.peers:
         faulty.peers[rank] = places.PeerAddress(faulty.life + 10**9, ("10.0.0.1", 9_000 + rank))
     faulty.peers_digest = 1  # a differing digest makes the others request its table
-    land.run(30)
-    assert {at: seat.peer_addresses for at, seat in land.nodes.items() if seat.core.rank != 2} == bindings
+    network.run(30)
+    assert {at: node.peer_addresses for at, node in network.nodes.items() if node.core.rank != 2} == bindings
 
 
 CHECKS = (check_join, check_separate_groups, check_new_address, check_replay, check_false_reports)
@@ -105,18 +105,18 @@
 
 
 def test_a_new_gateway_learns_a_hundred_addresses_soon_with_a_bounded_number_of_messages():
-    land = Network(100, 1)
+    network = Network(100, 1)
     for rank in range(99):
-        land.start(rank, 7_000 + rank, [7_000] if rank else [])
-    land.run_until(land.converged, 120)
-    land.run(20)
-    before = dict(land.greetings_sent)
-    new = land.start(99, 7_099, [7_050])
-    duration = land.run_until(land.converged, 30)
+        network.start(rank, 7_000 + rank, [7_000] if rank else [])
+    network.run_until(network.converged, 120)
+    network.run(20)
+    before = dict(network.greetings_sent)
+    new = network.start(99, 7_099, [7_050])
+    duration = network.run_until(network.converged, 30)
     assert duration < 8
-    assert land.greetings_sent["10.0.0.1", 7_099] < 3 * 100
+    assert network.greetings_sent["10.0.0.1", 7_099] < 3 * 100
     for at, sent in before.items():  # each of them may contact its ``join`` address
-        assert land.greetings_sent[at] - sent < (200 if at[1] == 7_000 else 60)
+        assert network.greetings_sent[at] - sent < (200 if at[1] == 7_000 else 60)
     assert not new.core.has_candidates
 
 
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -45,9 +45,9 @@
         if self.done:  # the connection was still being set up when the watcher ended
             transport.abort()
             return
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.transport.write(f"GET {PATH}?index={self.index}&wait=30000 HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
@@ -69,7 +69,7 @@
         if b"close" in head or self.random.random() < self.disconnect_rate:
             self.transport.abort()
         else:
-            self.ask()
+            self.send_request()
 
     def connection_lost(self, error) -> None:
         if not self.done:
@@ -80,7 +80,7 @@
         self.transport.abort()
 
 
-async def hosts_on(node: Node, count: int, **changes) -> dict[str, int]:
+async def register_hosts(node: Node, count: int, **changes) -> dict[str, int]:
     """Register hosts over several connections and return their versions."""
     connections = [await Connection.open(node.listen) for _ in range(10)]
     versions = {}
@@ -95,7 +95,7 @@
     return versions
 
 
-async def watchers_on(node: Node, disconnect_rate=0.0) -> list[Watcher]:
+async def start_watchers(node: Node, disconnect_rate=0.0) -> list[Watcher]:
     """Start all watchers and wait until each has a pending watch."""
     seq = (await node.list())["seq"]
     watchers = [Watcher(node, seq, number, disconnect_rate) for number in range(WATCHERS)]
@@ -105,7 +105,7 @@
     return watchers
 
 
-class Changes:
+class RandomChanges:
     """Makes random changes to the hosts of one service and records the acknowledged ones."""
 
     def __init__(self, node: Node, versions: dict[str, int], seed: int) -> None:
@@ -129,8 +129,8 @@
 async def test_each_change_reaches_200_reconnecting_watchers_once_and_in_order(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.node().start("--new")
-        changes = Changes(node, await hosts_on(node, HOSTS), seed=3)
-        watchers = await watchers_on(node, disconnect_rate=0.1)
+        changes = RandomChanges(node, await register_hosts(node, HOSTS), seed=3)
+        watchers = await start_watchers(node, disconnect_rate=0.1)
         connection = await Connection.open(node.listen)
         for _ in range(60):
             await changes.write_random(connection)
@@ -153,8 +153,8 @@
 async def test_response_is_built_once_and_sent_once_per_watcher(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.node().start("--new")
-        changes = Changes(node, await hosts_on(node, HOSTS), seed=4)
-        watchers = await watchers_on(node)
+        changes = RandomChanges(node, await register_hosts(node, HOSTS), seed=4)
+        watchers = await start_watchers(node)
         before, sent = await node.figures(), sum(watcher.bytes for watcher in watchers)
         connection, delays = await Connection.open(node.listen), []
         for count in range(1, 41):
@@ -175,7 +175,9 @@
         connections = [await Connection.open(node.listen) for _ in range(16)]
 
         async def write(number: int, connection: Connection) -> None:
-            own = Changes(node, {k: v for k, v in changes.versions.items() if int(k[2:]) % 16 == number}, 5)
+            own = RandomChanges(
+                node, {k: v for k, v in changes.versions.items() if int(k[2:]) % 16 == number}, 5
+            )
             own.states = {name: changes.states[name] for name in own.versions}
             for _ in range(count // 16):
                 await own.write_random(connection)
@@ -200,7 +202,7 @@
 async def test_full_list_of_1000_hosts_is_served_after_sigkill(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.node().start("--new")
-        await hosts_on(node, 1_000)
+        await register_hosts(node, 1_000)
         spans = []
         for _ in range(5):
             await node.kill()
@@ -219,7 +221,7 @@
     async with Registry(tmp_path) as registry:
         node = await registry.node().start("--new")
         assert (
-            len(await hosts_on(node, 300, lease_ms=10_000)) == 300
+            len(await register_hosts(node, 300, lease_ms=10_000)) == 300
         )  # all are listed before the first lease expires
         while (await call(node.operators, "GET", "/hold"))["held"] < 300:
             await asyncio.sleep(0.05)
--- a/tests/test_registry_followers.py
+++ b/tests/test_registry_followers.py
@@ -81,53 +81,53 @@
     return {key: raw[key] for key in ("host", "dial", "site", "class", "block", "health", "share", "born_ms")}
 
 
-def agent(registry: Registry, *services: str, name="agent", **options) -> Node:
+def agent_node(registry: Registry, *services: str, name="agent", **options) -> Node:
     return AgentNode(registry, name, follow=",".join(services), **options)
 
 
 @asyncio_test
 async def test_follower_serves_same_list_and_redirects_writes_to_primary(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.node().start("--new")
-        put = await first.put("s-1")
-        copy = await registry.node("b", follow=first.listen).start("--new")
-        whole = await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
-        assert whole == await first.list()
-        assert whole.headers["registry-life"] == (await first.list()).headers["registry-life"]
-        watch = await Connection.open(copy.listen)
+        primary = await registry.node().start("--new")
+        put = await primary.put("s-1")
+        follower = await registry.node("b", follow=primary.listen).start("--new")
+        whole = await follower.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        assert whole == await primary.list()
+        assert whole.headers["registry-life"] == (await primary.list()).headers["registry-life"]
+        watch = await Connection.open(follower.listen)
         watch.send("GET", f"{PATH}?index={whole['seq']}&wait=60000")
-        drained = await first.post("s-1", "drain", put["version"])
+        drained = await primary.post("s-1", "drain", put["version"])
         change = await watch.read_response()
         assert change["seq"] == drained["version"] and change["hosts"][0]["health"] == "DRAINING"
         calls = [("PUT", "s-2", registration()), ("DELETE", "s-1?version=1", None)]
         calls += [("POST", "s-1/renew", {"version": 1}), ("POST", "s-1/drain", {"version": 1})]
         for method, target, body in calls:
-            answer = await call(copy.listen, method, f"{PATH}/{target}", body)
-            assert answer.status == 421 and answer["primary"] == first.listen
-        await first.kill()
-        await copy.kill()
-        await copy.start()  # from its own store, while the primary is down
-        alone = await copy.list()
+            answer = await call(follower.listen, method, f"{PATH}/{target}", body)
+            assert answer.status == 421 and answer["primary"] == primary.listen
+        await primary.kill()
+        await follower.kill()
+        await follower.start()  # from its own store, while the primary is down
+        alone = await follower.list()
         assert alone["hosts"] == change["hosts"] and alone["seq"] == change["seq"]
 
 
 @asyncio_test
 async def test_follower_with_full_disk_serves_last_list_until_it_can_write(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.node().start("--new")
-        await first.put("s-1")
-        copy = await registry.node("b", follow=first.listen).start("--new")
-        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
-        blocker = sqlite3.connect(copy.store, isolation_level=None)
+        primary = await registry.node().start("--new")
+        await primary.put("s-1")
+        follower = await registry.node("b", follow=primary.listen).start("--new")
+        await follower.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        blocker = sqlite3.connect(follower.store, isolation_level=None)
         blocker.execute("BEGIN IMMEDIATE")  # makes the store's writes fail, like a full disk
-        await first.put("s-2")
+        await primary.put("s-2")
         async with asyncio.timeout(15):
-            while (await call(copy.operators, "GET", "/health")).status == 200:
+            while (await call(follower.operators, "GET", "/health")).status == 200:
                 await asyncio.sleep(0.05)
-        assert host_names(await copy.list()) == {"s-1"}
+        assert host_names(await follower.list()) == {"s-1"}
         blocker.execute("ROLLBACK")
-        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"}, 30)
-        assert (await call(copy.operators, "GET", "/health")).status == 200
+        await follower.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"}, 30)
+        assert (await call(follower.operators, "GET", "/health")).status == 200
 
 
 @asyncio_test
@@ -135,31 +135,31 @@
     async with Registry(tmp_path) as registry:
         old = await registry.node().start("--new")
         put = await old.put("s-1")
-        copy = await registry.node("b", follow=old.listen).start("--new")
-        reader = await agent(registry, old.listen, copy.listen).start()
-        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
-        await copy.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        follower = await registry.node("b", follow=old.listen).start("--new")
+        agent = await agent_node(registry, old.listen, follower.listen).start()
+        await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        await follower.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         await old.kill()
-        await copy.stop()
-        del copy.options["follow"]
-        line = await registry.failed_start(*copy.arguments())
+        await follower.stop()
+        del follower.options["follow"]
+        line = await registry.failed_start(*follower.arguments())
         assert "--promote" in line
-        await copy.start("--promote")
-        late = await copy.post("s-1", "renew", put["version"])
+        await follower.start("--promote")
+        late = await follower.post("s-1", "renew", put["version"])
         assert late.status == 409 and late["entry"]["born_ms"] == put["born_ms"]
-        assert (await copy.post("s-1", "renew", late["version"])).status == 200
-        assert (await copy.put("s-2")).status == 200
-        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"})
+        assert (await follower.post("s-1", "renew", late["version"])).status == 200
+        assert (await follower.put("s-2")).status == 200
+        await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"})
         await old.start()  # with its list from before the promotion
         assert (await old.put("s-9")).status == 200
         assert host_names(await old.list()) == {"s-1", "s-9"}
-        await copy.kill()  # only the old primary can be reached
-        while (await reader.figures())["counts"].get("older", 0) == 0:
+        await follower.kill()  # only the old primary can be reached
+        while (await agent.figures())["counts"].get("older", 0) == 0:
             await asyncio.sleep(0.05)
-        assert host_names(await reader.list()) == {"s-1", "s-2"}
+        assert host_names(await agent.list()) == {"s-1", "s-2"}
         await old.stop()
-        await copy.start()
-        old.options["follow"] = copy.listen
+        await follower.start()
+        old.options["follow"] = follower.listen
         assert "--demote" in await registry.failed_start(*old.arguments())
         await old.start("--demote")
         await old.wait_for_list(lambda answer: host_names(answer) == {"s-1", "s-2"})
@@ -168,24 +168,24 @@
 @asyncio_test
 async def test_agent_without_services_serves_last_list_with_its_age(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.node().start("--new")
-        put = await first.put("s-1")
-        reader = await agent(registry, first.listen, keep=tmp_path / "kept").start()
-        whole = await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
-        await first.kill()
-        while (await reader.figures())["age_s"] < 1.2:
+        primary = await registry.node().start("--new")
+        put = await primary.put("s-1")
+        agent = await agent_node(registry, primary.listen, keep=tmp_path / "kept").start()
+        whole = await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        await primary.kill()
+        while (await agent.figures())["age_s"] < 1.2:
             await asyncio.sleep(0.1)
-        answer = await reader.list()
+        answer = await agent.list()
         assert answer == whole and int(answer.headers["age"]) >= 1
-        waited = await reader.list(f"?index={whole['seq']}&wait=100")
+        waited = await agent.list(f"?index={whole['seq']}&wait=100")
         assert waited["hosts"] == [] and waited["seq"] == whole["seq"]
-        await reader.kill()
-        await reader.start()  # from its list file
-        answer = await reader.list()
+        await agent.kill()
+        await agent.start()  # from its list file
+        answer = await agent.list()
         assert answer == whole and int(answer.headers["age"]) >= 1
-        await first.start()
-        await first.post("s-1", "drain", put["version"])
-        changed = await reader.wait_for_list(lambda answer: answer["hosts"][0]["health"] == "DRAINING")
+        await primary.start()
+        await primary.post("s-1", "drain", put["version"])
+        changed = await agent.wait_for_list(lambda answer: answer["hosts"][0]["health"] == "DRAINING")
         assert "age" not in changed.headers or int(changed.headers["age"]) <= 5
         async with asyncio.timeout(5):
             while b"DRAINING" not in (tmp_path / "kept").read_bytes():
@@ -196,32 +196,32 @@
 async def test_agent_ignores_damaged_list_file(tmp_path):
     async with Registry(tmp_path) as registry:
         kept = tmp_path / "kept"
-        first = await registry.node().start("--new")
-        await first.put("s-1")
-        reader = await agent(registry, first.listen, keep=kept).start()
-        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
-        await reader.stop()
-        await first.kill()
+        primary = await registry.node().start("--new")
+        await primary.put("s-1")
+        agent = await agent_node(registry, primary.listen, keep=kept).start()
+        await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        await agent.stop()
+        await primary.kill()
         raw = kept.read_bytes()
         for bad in (b"", raw[:-1], raw[:40], raw.replace(b"s-1", b"s-2"), b"\xff" * 80, raw[33:]):
             kept.write_bytes(bad)
-            await reader.start()
-            assert (await reader.list()).status == 503
-            assert b"event=kept_list_unusable" in reader.log
-            reader.log.clear()
-            await reader.kill()
+            await agent.start()
+            assert (await agent.list()).status == 503
+            assert b"event=kept_list_unusable" in agent.log
+            agent.log.clear()
+            await agent.kill()
         kept.write_bytes(raw)
-        await reader.start()
-        assert host_names(await reader.list()) == {"s-1"}
+        await agent.start()
+        assert host_names(await agent.list()) == {"s-1"}
 
 
 @asyncio_test
 async def test_agent_moves_from_unresponsive_service_to_next_one(tmp_path):
     async with Registry(tmp_path) as registry, UnresponsiveService() as unresponsive:
-        first = await registry.node().start("--new")
-        await first.put("s-1")
-        reader = await agent(registry, unresponsive.address, first.listen).start()
-        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        primary = await registry.node().start("--new")
+        await primary.put("s-1")
+        agent = await agent_node(registry, unresponsive.address, primary.listen).start()
+        await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
         assert unresponsive.connections == 1
 
 
@@ -229,13 +229,13 @@
 async def test_retries_of_failing_services_back_off(tmp_path):
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.invalid_json = True
-        reader = await agent(registry, fake.address).start()
+        agent = await agent_node(registry, fake.address).start()
         await asyncio.sleep(3)
         assert 3 <= len(fake.targets) <= 7  # 0.1 s, doubled after each failure
-        assert (await reader.list()).status == 503
+        assert (await agent.list()).status == 503
         fake.invalid_json = False
         fake.update["hosts"] = [entry("s-1")]
-        await reader.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
+        await agent.wait_for_list(lambda answer: host_names(answer) == {"s-1"})
 
 
 @asyncio_test
@@ -243,20 +243,20 @@
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.update = {"seq": 100, "whole": True, "hosts": [entry("s-1")]}
         fake.life = "50"
-        reader = await agent(registry, fake.address).start()
-        await reader.wait_for_list(lambda answer: answer["seq"] == 100)
+        agent = await agent_node(registry, fake.address).start()
+        await agent.wait_for_list(lambda answer: answer["seq"] == 100)
         for life, seq, count in (("50", 99, 1), ("49", 200, 2)):
             fake.life = life
             fake.update = {"seq": seq, "whole": True, "hosts": []}
-            while (await reader.figures())["counts"].get("older", 0) < count:
+            while (await agent.figures())["counts"].get("older", 0) < count:
                 await asyncio.sleep(0.02)
-            assert host_names(await reader.list()) == {"s-1"}
+            assert host_names(await agent.list()) == {"s-1"}
         fake.life, fake.update = "60", {"seq": 70, "whole": True, "hosts": [entry("s-2")]}
-        answer = await reader.wait_for_list(
+        answer = await agent.wait_for_list(
             lambda answer: answer["seq"] == 70
         )  # new life, primary's clock is behind
         assert host_names(answer) == {"s-2"}
-        assert (await reader.list("?index=100&wait=60000"))["whole"] is True
+        assert (await agent.list("?index=100&wait=60000"))["whole"] is True
 
 
 @asyncio_test
@@ -274,15 +274,15 @@
     ]
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.update = good
-        reader = await agent(registry, fake.address).start()
-        before = await reader.wait_for_list(lambda answer: answer["seq"] == 10)
+        agent = await agent_node(registry, fake.address).start()
+        before = await agent.wait_for_list(lambda answer: answer["seq"] == 10)
         for count, fake.update in enumerate(malformed, 1):
-            seen = (await reader.figures())["counts"].get("failures", 0)
-            while (await reader.figures())["counts"].get("failures", 0) == seen:
+            seen = (await agent.figures())["counts"].get("failures", 0)
+            while (await agent.figures())["counts"].get("failures", 0) == seen:
                 await asyncio.sleep(0.02)
             fake.update = good
-            assert await reader.list() == before, count
-            while (await reader.figures())["age_s"] > 0.5:
+            assert await agent.list() == before, count
+            while (await agent.figures())["age_s"] > 0.5:
                 await asyncio.sleep(0.02)
 
 
@@ -290,11 +290,11 @@
 async def test_agent_converts_full_lists_to_changes_for_its_watchers(tmp_path):
     async with Registry(tmp_path) as registry, FakeRegistry() as fake:
         fake.update = {"seq": 10, "whole": True, "hosts": [entry("s-1"), entry("s-2")]}
-        reader = await agent(registry, fake.address).start()
-        await reader.wait_for_list(lambda answer: answer["seq"] == 10)
-        watch = await Connection.open(reader.listen)
+        agent = await agent_node(registry, fake.address).start()
+        await agent.wait_for_list(lambda answer: answer["seq"] == 10)
+        watch = await Connection.open(agent.listen)
         watch.send("GET", f"{PATH}?index=10&wait=60000")
-        while (await reader.figures())["watches"] == 0:
+        while (await agent.figures())["watches"] == 0:
             await asyncio.sleep(0.01)
         fake.update = {"seq": 12, "whole": True, "hosts": [entry("s-2"), entry("s-3")]}
         change = await watch.read_response()
@@ -305,55 +305,55 @@
 @asyncio_test
 async def test_rolling_restart_loses_no_host_for_readers(tmp_path):
     async with Registry(tmp_path) as registry:
-        first = await registry.node().start("--new")
-        copy = await registry.node("b", follow=first.listen).start("--new")
-        reader = await agent(registry, first.listen, copy.listen).start()
+        primary = await registry.node().start("--new")
+        follower = await registry.node("b", follow=primary.listen).start("--new")
+        agent = await agent_node(registry, primary.listen, follower.listen).start()
         for number in range(10):
-            assert (await first.put(f"s-{number}")).status == 200
+            assert (await primary.put(f"s-{number}")).status == 200
         whole = {f"s-{number}" for number in range(10)}
         seen, stop = [], asyncio.Event()
 
         async def poll() -> None:
             while not stop.is_set():
-                answer = await reader.list()
+                answer = await agent.list()
                 if answer.status == 200 and len(answer["hosts"]) >= 10:
                     seen.append((answer["seq"], host_names(answer)))
                 await asyncio.sleep(0.01)
 
-        await reader.wait_for_list(lambda answer: host_names(answer) == whole)
+        await agent.wait_for_list(lambda answer: host_names(answer) == whole)
         polling = asyncio.create_task(poll())
         for number in range(10, 14):
-            for node in (first, copy):
+            for node in (primary, follower):
                 assert await node.stop() == 0
                 await node.start()
-            assert (await first.put(f"s-{number}")).status == 200
+            assert (await primary.put(f"s-{number}")).status == 200
             whole.add(f"s-{number}")
-            await reader.wait_for_list(lambda answer: host_names(answer) == whole)
+            await agent.wait_for_list(lambda answer: host_names(answer) == whole)
         stop.set()
         await polling
         assert [seq for seq, _ in seen] == sorted(seq for seq, _ in seen)
         assert all(before <= after for (_, before), (_, after) in itertools.pairwise(seen))
-        assert (await reader.figures())["hosts"] == {"SERVING": 14}
+        assert (await agent.figures())["hosts"] == {"SERVING": 14}
 
 
 @asyncio_test
 async def test_gateways_keep_serving_while_primary_is_killed_and_see_later_drain(tmp_path):
     async with Registry(tmp_path) as registry:
         hosts = [await FakeHost(f"h-{number}").listen() for number in range(3)]
-        first = await registry.node().start("--new")
+        primary = await registry.node().start("--new")
         versions = {}
         for each in hosts:
-            put = await first.put(each.name, dial=f"127.0.0.1:{each.port}", born_ms=1)
+            put = await primary.put(each.name, dial=f"127.0.0.1:{each.port}", born_ms=1)
             versions[each.name] = put["version"]
-        reader = await agent(registry, first.listen).start()
-        await reader.wait_for_list(lambda answer: len(answer["hosts"]) == 3)
+        agent = await agent_node(registry, primary.listen).start()
+        await agent.wait_for_list(lambda answer: len(answer["hosts"]) == 3)
         folders = [tmp_path / "g0", tmp_path / "g1"]
         for folder in folders:
             folder.mkdir()
         # One gateway uses the service directly, the other an agent; neither has configured hosts.
         gateways = [
-            GatewayProcesses(folders[0], discovery=first.listen),
-            GatewayProcesses(folders[1], discovery=reader.listen),
+            GatewayProcesses(folders[0], discovery=primary.listen),
+            GatewayProcesses(folders[1], discovery=agent.listen),
         ]
         async with gateways[0], gateways[1]:
             callers = []
@@ -373,13 +373,13 @@
                     await asyncio.sleep(0.01)
 
             await serve(20)
-            await first.kill()
+            await primary.kill()
             await serve(60)
-            await first.start()
+            await primary.start()
             await serve(20)
             drained = hosts[0]
-            assert (await first.post(drained.name, "drain", versions[drained.name])).status == 200
-            await reader.wait_for_list(lambda answer: "DRAINING" in {h["health"] for h in answer["hosts"]})
+            assert (await primary.post(drained.name, "drain", versions[drained.name])).status == 200
+            await agent.wait_for_list(lambda answer: "DRAINING" in {h["health"] for h in answer["hosts"]})
             async with asyncio.timeout(10):
                 while True:  # the gateway without an agent reconnects within a second
                     before = len(drained.commands)
@@ -395,7 +395,7 @@
 @asyncio_test
 async def test_unreachable_service_is_logged_once(tmp_path):
     async with Registry(tmp_path) as registry:
-        reader = await agent(registry, free_address()).start()
-        while (await reader.figures())["counts"].get("failures", 0) < 4:
+        agent = await agent_node(registry, free_address()).start()
+        while (await agent.figures())["counts"].get("failures", 0) < 4:
             await asyncio.sleep(0.02)
-        assert reader.log.decode().count("event=source_left") == 1
+        assert agent.log.decode().count("event=source_left") == 1
--- a/tests/test_request_completion.py
+++ b/tests/test_request_completion.py
@@ -40,11 +40,11 @@
         self.pending = False
 
 
-class Loop:
+class FakeLoop:
     """An event loop in virtual time; the test decides when connections are established or fail."""
 
     def __init__(self) -> None:
-        self.now, self.timers, self.opening = 100.0, [], []
+        self.now, self.timers, self.connecting = 100.0, [], []
 
     def time(self) -> float:
         return self.now
@@ -58,7 +58,7 @@
         return self.call_later(0.0, call, *args)
 
     def create_task(self, coroutine) -> Timer:
-        self.opening.append(coroutine.cr_frame.f_locals["self"])
+        self.connecting.append(coroutine.cr_frame.f_locals["self"])
         coroutine.close()
         return Timer(0.0, lambda: None, ())
 
@@ -73,12 +73,12 @@
         self.now = max(self.now, until)
 
 
-class Wire:
+class FakeTransport:
     """A transport whose other end is the test."""
 
     quiet = socket.socketpair()  # never readable
 
-    def __init__(self, loop: Loop, protocol: Client | Connection) -> None:
+    def __init__(self, loop: FakeLoop, protocol: Client | Connection) -> None:
         self.loop, self.protocol, self.closing, self.unsent, self.sent = loop, protocol, False, 0, b""
         self.ended = False
 
@@ -109,21 +109,26 @@
     pause_reading = resume_reading = lambda self: None
 
 
-class World:
+class GatewaySimulation:
     """One gateway with its clients and hosts, and the answers to each request that it accepted."""
 
     def __init__(self, seed: int) -> None:
-        self.loop, self.random, self.numbers = Loop(), random.Random(seed), itertools.count(1)
+        self.loop, self.random, self.numbers = FakeLoop(), random.Random(seed), itertools.count(1)
         self.host_entries = []
         for name in "abc":
             host = FakeHost(name)
             host.port = ord(name)
             self.host_entries.append(host.list_entry())
-        text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": f"{seed:x}"}
+        configuration = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": f"{seed:x}",
+        }
         permissions = RAW_SETTINGS["permissions"] | {"cancel": seed % 2 == 0, "secondCopies": seed % 3 == 0}
-        text |= {"limits": {"sockets": 24}, "settings": RAW_SETTINGS | {"permissions": permissions}}
-        text |= {"known": {"seq": 1, "whole": True, "hosts": self.host_entries}}
-        parsed_config = config.parse(json.dumps(text))
+        configuration |= {"limits": {"sockets": 24}, "settings": RAW_SETTINGS | {"permissions": permissions}}
+        configuration |= {"known": {"seq": 1, "whole": True, "hosts": self.host_entries}}
+        parsed_config = config.parse(json.dumps(configuration))
         self.driver = Driver(parsed_config.settings, parsed_config.seed, self.loop)
         self.started = self.driver.gateway.allowance_refilled_at
         self.driver.clock = lambda: self.started + round((self.loop.now - 100.0) * 1e6)
@@ -135,11 +140,13 @@
         self.answers: dict[Call, list[float]] = {}
         self.gone: set[Call] = set()
         self.behind = 0.0
-        arrived, client_gone = self.driver.accept_request, self.driver.client_gone
+        accept_request, client_gone = self.driver.accept_request, self.driver.client_gone
 
         def record_accepted(terms, parts, answer, sink=None) -> Call:
             times: list[float] = []
-            call = arrived(terms, parts, lambda reply: (times.append(self.loop.now), answer(reply)), sink)
+            call = accept_request(
+                terms, parts, lambda reply: (times.append(self.loop.now), answer(reply)), sink
+            )
             self.answers[call] = times
             return call
 
@@ -148,26 +155,28 @@
             client_gone(call, seconds_unobserved)
 
         self.driver.accept_request, self.driver.client_gone = record_accepted, record_gone
-        self.client_wires: list[Wire] = []  # of clients
-        self.to_send: dict[Wire, bytes] = {}
-        self.host_wires: list[Wire] = []  # to hosts
+        self.client_transports: list[FakeTransport] = []  # of clients
+        self.to_send: dict[FakeTransport, bytes] = {}
+        self.host_transports: list[FakeTransport] = []  # to hosts
 
     # -- what clients do
 
     def client_connects(self) -> None:
         client = Client(self.clients)
-        wire = Wire(self.loop, client)
-        client.connection_made(wire)
-        self.client_wires.append(wire)
-        self.to_send[wire] = b""
+        transport = FakeTransport(self.loop, client)
+        client.connection_made(transport)
+        self.client_transports.append(transport)
+        self.to_send[transport] = b""
 
     def client_sends(self) -> None:
-        if wire := self._pick([wire for wire in self.client_wires if not wire.closing]):
-            while len(self.to_send[wire]) < 200:
-                self.to_send[wire] += self._command()
-            cut = self.random.choice((1, 7, 60, 200, 10_000))
-            piece, self.to_send[wire] = self.to_send[wire][:cut], self.to_send[wire][cut:]
-            wire.protocol.data_received(piece)
+        if transport := self._pick(
+            [transport for transport in self.client_transports if not transport.closing]
+        ):
+            while len(self.to_send[transport]) < 200:
+                self.to_send[transport] += self._command()
+            size = self.random.choice((1, 7, 60, 200, 10_000))
+            piece, self.to_send[transport] = self.to_send[transport][:size], self.to_send[transport][size:]
+            transport.protocol.data_received(piece)
 
     def _command(self) -> bytes:
         draw = self.random.random()
@@ -184,35 +193,47 @@
         return hiredis.pack_command((b"CALL.POST", *values, b"BODY"))
 
     def client_disconnects(self) -> None:
-        if wire := self._pick([wire for wire in self.client_wires if not wire.closing]):
-            wire.abort(self.random.choice((None, ConnectionResetError())))
+        if transport := self._pick(
+            [transport for transport in self.client_transports if not transport.closing]
+        ):
+            transport.abort(self.random.choice((None, ConnectionResetError())))
 
     def client_stops_reading(self) -> None:
-        if wire := self._pick([w for w in self.client_wires if not w.closing and not w.unsent]):
-            wire.unsent = 70_000
-            wire.protocol.pause_writing()
+        if transport := self._pick(
+            [
+                transport
+                for transport in self.client_transports
+                if not transport.closing and not transport.unsent
+            ]
+        ):
+            transport.unsent = 70_000
+            transport.protocol.pause_writing()
 
     def client_resumes_reading(self) -> None:
-        if wire := self._pick([wire for wire in self.client_wires if not wire.closing and wire.unsent]):
-            wire.unsent = 0
-            wire.protocol.resume_writing()
+        if transport := self._pick(
+            [transport for transport in self.client_transports if not transport.closing and transport.unsent]
+        ):
+            transport.unsent = 0
+            transport.protocol.resume_writing()
 
     # -- what hosts do
 
     def connection_is_established(self) -> None:
-        if self.loop.opening:
-            link = self.loop.opening.pop(self.random.randrange(len(self.loop.opening)))
-            wire = Wire(self.loop, link)
-            link.connection_made(wire)
-            self.host_wires.append(wire)
+        if self.loop.connecting:
+            connection = self.loop.connecting.pop(self.random.randrange(len(self.loop.connecting)))
+            transport = FakeTransport(self.loop, connection)
+            connection.connection_made(transport)
+            self.host_transports.append(transport)
 
     def connection_is_refused(self) -> None:
-        if self.loop.opening:
-            link = self.loop.opening.pop(self.random.randrange(len(self.loop.opening)))
-            link.pool.connect_failed(link)
+        if self.loop.connecting:
+            connection = self.loop.connecting.pop(self.random.randrange(len(self.loop.connecting)))
+            connection.pool.connect_failed(connection)
 
     def host_answers(self) -> None:
-        if wire := self._pick([wire for wire in self.host_wires if not wire.closing]):
+        if transport := self._pick(
+            [transport for transport in self.host_transports if not transport.closing]
+        ):
             good = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
             bad_replies = [
                 b"-BUSY\r\n",
@@ -222,13 +243,15 @@
                 b"+x\r\n",
                 good.replace(b"ok", b"okok"),
             ]
-            wire.protocol.data_received(
+            transport.protocol.data_received(
                 good if self.random.random() < 0.6 else self.random.choice(bad_replies)
             )
 
     def host_resets(self) -> None:
-        if wire := self._pick([wire for wire in self.host_wires if not wire.closing]):
-            wire.abort(ConnectionResetError())
+        if transport := self._pick(
+            [transport for transport in self.host_transports if not transport.closing]
+        ):
+            transport.abort(ConnectionResetError())
 
     def host_list_changes(self) -> None:
         health = self.random.choice(("SERVING", "SERVING", "DRAINING", "DELETED"))
@@ -243,7 +266,7 @@
         """Let time pass without running the callbacks that are due."""
         self.loop.now += self.random.random() * LOOP_LAG_MAX
 
-    def _pick(self, candidates: list) -> Wire | None:
+    def _pick(self, candidates: list) -> FakeTransport | None:
         return self.random.choice(candidates) if candidates else None
 
     # -- invariants
@@ -258,8 +281,8 @@
             for attempt in call.attempts:
                 assert attempt.ended or self._has_owner(attempt)
         for pool in self.hosts.pools.values():
-            opening = [link for link in self.loop.opening if link.pool is pool]
-            assert pool.opening == sum(link.stage is Stage.OPENING for link in opening)
+            connecting = [connection for connection in self.loop.connecting if connection.pool is pool]
+            assert pool.opening == sum(connection.stage is Stage.OPENING for connection in connecting)
             cools_down = pool.timer is not None and pool.timer.pending
             assert len(pool.waiting) <= pool.opening or cools_down
             COVERED["waiting, cools down"] += len(pool.waiting) > pool.opening
@@ -272,37 +295,42 @@
 
 
 EVENT_WEIGHTS = {
-    World.client_connects: 4,
-    World.client_sends: 20,
-    World.client_disconnects: 2,
-    World.client_stops_reading: 1,
-    World.client_resumes_reading: 2,
-    World.connection_is_established: 10,
-    World.connection_is_refused: 1,
-    World.host_answers: 10,
-    World.host_resets: 1,
-    World.host_list_changes: 1,
-    World.time_passes: 10,
-    World.loop_lags: 1,
+    GatewaySimulation.client_connects: 4,
+    GatewaySimulation.client_sends: 20,
+    GatewaySimulation.client_disconnects: 2,
+    GatewaySimulation.client_stops_reading: 1,
+    GatewaySimulation.client_resumes_reading: 2,
+    GatewaySimulation.connection_is_established: 10,
+    GatewaySimulation.connection_is_refused: 1,
+    GatewaySimulation.host_answers: 10,
+    GatewaySimulation.host_resets: 1,
+    GatewaySimulation.host_list_changes: 1,
+    GatewaySimulation.time_passes: 10,
+    GatewaySimulation.loop_lags: 1,
 }
 
 
 @pytest.mark.parametrize("seeds", [range(first, first + 20) for first in range(0, 80, 20)], ids=str)
 def test_every_request_is_answered_once_and_in_time_under_random_events(seeds):
     for seed in seeds:
-        world = World(seed)
+        simulation = GatewaySimulation(seed)
         for _ in range(EVENTS_PER_SEED):
-            (event,) = world.random.choices(list(EVENT_WEIGHTS), EVENT_WEIGHTS.values())
-            event(world)
-            world.check()
-        world.loop.run(world.loop.now + 20.0)  # no more events: everything ends by its timers
-        assert world.driver.calls == world.driver.gateway.requests == world.driver.gateway.attempts == {}
-        assert world.hosts.sockets == sum(len(pool.idle) for pool in world.hosts.pools.values())
-        for call, times in world.answers.items():
-            assert len(times) == (0 if call in world.gone and not times else 1), call
-            COVERED["gone" if call in world.gone else "answered"] += 1
-            for at in times:
-                late = at - ((call.deadline - world.started) / 1e6 + 100.0)
+            (event,) = simulation.random.choices(list(EVENT_WEIGHTS), EVENT_WEIGHTS.values())
+            event(simulation)
+            simulation.check()
+        simulation.loop.run(simulation.loop.now + 20.0)  # no more events: everything ends by its timers
+        assert (
+            simulation.driver.calls
+            == simulation.driver.gateway.requests
+            == simulation.driver.gateway.attempts
+            == {}
+        )
+        assert simulation.hosts.sockets == sum(len(pool.idle) for pool in simulation.hosts.pools.values())
+        for call, times in simulation.answers.items():
+            assert len(times) == (0 if call in simulation.gone and not times else 1), call
+            COVERED["gone" if call in simulation.gone else "answered"] += 1
+            for answered_at in times:
+                late = answered_at - ((call.deadline - simulation.started) / 1e6 + 100.0)
                 assert late <= LOOP_LAG_MAX + 0.0021, (seed, call)
                 COVERED["at its last moment"] += late > -0.001
     assert all(COVERED[case] for case in ("gone", "answered", "waiting, sent", "waiting, not sent"))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,7 +8,7 @@
 from orchidlane.interface import Outcome
 
 
-def ask_and_serve(bench: Bench, request: int, took) -> api.Send | None:
+def send_and_serve(bench: Bench, request: int, took) -> api.Send | None:
     """Send a request and serve it with a response time chosen by server; returns the send, if any."""
     sends = of_type(bench.send_request(request, customer=request, time_left=2 * SECOND), api.Send)
     if not sends:
@@ -22,16 +22,16 @@
     """Response times measured under overload must not make the gateway shed everything forever (incident)."""
     bench = Bench(servers=3)
     for request in range(1, 200):
-        ask_and_serve(bench, request, lambda _: 3 * SECOND)
+        send_and_serve(bench, request, lambda _: 3 * SECOND)
     bench.run(10 * SECOND)
-    assert sum(ask_and_serve(bench, r, lambda _: 20_000) is not None for r in range(200, 240)) > 30
+    assert sum(send_and_serve(bench, r, lambda _: 20_000) is not None for r in range(200, 240)) > 30
 
 
 def test_a_gateway_that_sheds_everything_sends_trial_requests_to_idle_servers():
     """While it sent nothing it measured nothing, and shed all for seconds after the overload (incident)."""
     bench = Bench(servers=3)
     for request in range(1, 200):
-        ask_and_serve(bench, request, lambda _: 3 * SECOND)
+        send_and_serve(bench, request, lambda _: 3 * SECOND)
     trials = []
     for request in range(200, 300):
         trials += [send.request for send in of_type(bench.send_request(request, customer=request), api.Send)]
@@ -39,7 +39,7 @@
     assert 1 <= len(trials) <= 3  # one per server: none is idle, as no response arrives
     for request in trials:
         bench.end_attempt(request, bench.gateway.attempts[request, 0][0].host.entry.server, Outcome.SERVED)
-    assert sum(ask_and_serve(bench, r, lambda _: 20_000) is not None for r in range(300, 400)) > 20
+    assert sum(send_and_serve(bench, r, lambda _: 20_000) is not None for r in range(300, 400)) > 20
 
 
 def test_overload_of_all_servers_is_detected_although_each_is_rarely_used():
@@ -50,12 +50,12 @@
     """
     bench = Bench(servers=200)
     for request in range(1, 40):
-        ask_and_serve(bench, request, lambda _: 60_000)
-    before = sum(ask_and_serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(100, 140))
-    during = sum(ask_and_serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(200, 240))
+        send_and_serve(bench, request, lambda _: 60_000)
+    before = sum(send_and_serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(100, 140))
+    during = sum(send_and_serve(bench, r, lambda _: 3 * SECOND) is not None for r in range(200, 240))
     assert during < before / 2
     bench.run(15 * SECOND)
-    assert ask_and_serve(bench, 300, lambda _: 60_000) is not None
+    assert send_and_serve(bench, 300, lambda _: 60_000) is not None
 
 
 def test_slow_servers_get_less_traffic_until_they_recover():
@@ -63,7 +63,7 @@
     slow = entry(0).server
 
     def traffic_share(first: int, took) -> float:
-        sends = [s for r in range(first, first + 120) if (s := ask_and_serve(bench, r, took))]
+        sends = [s for r in range(first, first + 120) if (s := send_and_serve(bench, r, took))]
         return sum(s.server == slow for s in sends) / len(sends)
 
     assert traffic_share(1, lambda server: 200_000 if server == slow else 30_000) < 0.1
@@ -143,7 +143,7 @@
 def test_overload_is_shed_immediately():
     bench = Bench(servers=2)
     for request in range(1, 41):
-        ask_and_serve(bench, request, lambda _: 60_000)
+        send_and_serve(bench, request, lambda _: 60_000)
     sends = [s for r in range(100, 200) for s in of_type(bench.send_request(r, customer=r), api.Send)]
     assert 0 < len(sends) < 50
     # No request waited before it was refused.
@@ -169,7 +169,7 @@
 def test_requests_of_a_slow_class_are_not_shed_without_load():
     """A usual response time close to the target latency is no reason to shed."""
     bench = Bench(servers=1)
-    assert all(ask_and_serve(bench, r, lambda _: 110_000) for r in range(1, 60))
+    assert all(send_and_serve(bench, r, lambda _: 110_000) for r in range(1, 60))
 
 
 def test_decisions_are_deterministic():
@@ -177,7 +177,7 @@
     for _ in range(2):
         bench = Bench(servers=9, seed=3)
         for request in range(1, 50):
-            ask_and_serve(bench, request, lambda s: 20_000 + 1_000 * s[3])
+            send_and_serve(bench, request, lambda s: 20_000 + 1_000 * s[3])
         logs.append(bench.log)
     assert logs[0] == logs[1]
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import FakeHost, GatewayProcesses, asyncio_test, until
 from registry_processes import Connection, Registry
-from test_discovery import Agent
+from test_discovery import FakeAgent
 
 from saffrongw import meeting, places
 from saffrongw.config import address
@@ -34,7 +34,7 @@
         return {"seq": version, "whole": True, "hosts": entries}
 
     loop, lists = asyncio.get_running_loop(), [full_list(version) for version in range(2, 10)]
-    agent = Agent(lists[:])
+    agent = FakeAgent(lists[:])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     discovery = "{}:{}".format(*server.sockets[0].getsockname())
     async with GatewayProcesses(folder, discovery=discovery, balancers=size) as gateway:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,7 +23,7 @@
     of_type,
     until,
 )
-from test_discovery import Agent
+from test_discovery import FakeAgent
 
 from orchidlane import handover
 from orchidlane import interface as api
@@ -59,9 +59,9 @@
                 replies.append(await send_request(gateway, b"load%d" % number))
 
         tasks = [asyncio.create_task(load(number)) for number in range(4)]
-        before = gateway.control
+        predecessor_control = gateway.control
         await gateway.start()
-        assert (await gateway.send_control_call(b"HEALTH", before)).startswith(
+        assert (await gateway.send_control_call(b"HEALTH", predecessor_control)).startswith(
             ("error handed over", "nobody")
         )
         assert await asyncio.wait_for(old.wait(), 10) == 0  # the predecessor ends without a signal
@@ -91,14 +91,14 @@
                 served += await send_request(gateway, b"%d-%d" % (start_number, number)) == b"ok"
         for number in range(40):
             served += await send_request(gateway, b"rest%d" % number) == b"ok"
-    fresh = Bench(servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
-    alone = 0
+    bench = Bench(servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
+    served_by_one_process = 0
     for number in range(64):
-        alone += len(sent := of_type(fresh.send_request(number + 1, set_size=2), api.Send))
+        served_by_one_process += len(sent := of_type(bench.send_request(number + 1, set_size=2), api.Send))
         if sent:
-            fresh.end_attempt(number + 1, sent[0].server, api.Outcome.SERVED)
-        fresh.run(10_000)
-    assert served <= alone < 3 * 8 + 40
+            bench.end_attempt(number + 1, sent[0].server, api.Outcome.SERVED)
+        bench.run(10_000)
+    assert served <= served_by_one_process < 3 * 8 + 40
 
 
 @asyncio_test
@@ -276,10 +276,10 @@
     serving = {"seq": 5, "whole": True, "hosts": [host.list_entry() for host in hosts]}
     draining = {"seq": 6, "whole": True, "hosts": [host.list_entry("DRAINING") for host in hosts]}
     loop = asyncio.get_running_loop()
-    agents = [Agent([serving]), Agent([draining])]
+    agents = [FakeAgent([serving]), FakeAgent([draining])]
     servers = [await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents]
-    where = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-    async with GatewayProcesses(tmp_path, *hosts, discovery=where[0]) as gateway:
+    addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
+    async with GatewayProcesses(tmp_path, *hosts, discovery=addresses[0]) as gateway:
         await gateway.start(long_command_timeout=True)
         predecessor_control = gateway.control
         holding, partial = await gateway.caller(), await gateway.caller()
@@ -295,7 +295,7 @@
         )
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
-        gateway.configuration["discovery"] = where[1]
+        gateway.configuration["discovery"] = addresses[1]
         await gateway.start(ready=False)
         await until(lambda: len(agents[1].requests) >= 2, timeout=20)
         while not (await gateway.send_control_call(b"HEALTH")).startswith("done"):
@@ -306,7 +306,7 @@
         partial.transport.close()
         for control in (predecessor_control, gateway.control):
             await gateway.send_control_call(b"HEALTH", control)
-        agents[1].transport.write(answered(serving | {"seq": 7}))
+        agents[1].transport.write(list_response(serving | {"seq": 7}))
         deadline = (
             loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6
         )  # SERVER_RETRY_INTERVAL: interval at which held requests are retried
@@ -315,8 +315,8 @@
         assert {command[2] for host in hosts for command in host.commands} == {b"held", b"other"}
 
 
-def answered(listed: dict) -> bytes:
-    body = json.dumps(listed).encode()
+def list_response(host_list: dict) -> bytes:
+    body = json.dumps(host_list).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import FakeHost, asyncio_test, until
-from test_discovery import ZONES, Agent
+from test_discovery import ZONES, FakeAgent
 
 from saffrongw import discovery
 from saffrongw.discovery import LONG_POLL_WAIT, STALENESS_LIMIT, Exchange, Watch
@@ -270,7 +270,7 @@
 
     monkeypatch.setattr(Watch, "connected", block_loop)
     loop, updates = asyncio.get_running_loop(), []
-    agent = Agent([json.loads(whole_list(version)) for version in range(1, 4)])
+    agent = FakeAgent([json.loads(whole_list(version)) for version in range(1, 4)])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, updates.append, response_timeout=0.2).start()
     await until(lambda: len(updates) == 3)
