--- a/tests/birchdrum_command.py
+++ b/tests/birchdrum_command.py
@@ -29,7 +29,7 @@
 
 
 def environment(**more: str) -> dict[str, str]:
-    """Returns the environment without variables that configure birchdrum, with ``more`` added."""
+    """Return the environment without variables that configure birchdrum, with ``more`` added."""
     inherited = {
         name: value for name, value in os.environ.items() if not name.startswith(("BIRCHDRUM_", "LB_"))
     }
@@ -37,7 +37,7 @@
 
 
 def drop_capabilities() -> None:
-    """Drops root's capabilities to read any file and to bind ports below 1024; no effect for other users."""
+    """Drop root's capabilities to read any file and to bind ports below 1024; no effect for other users."""
     for capability in (1, 2, 10):  # CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_NET_BIND_SERVICE
         ctypes.CDLL(None).prctl(24, capability)  # PR_CAPBSET_DROP
 
@@ -45,7 +45,7 @@
 def run(
     *arguments: object, timeout: float = 60, preexec_fn=None, **more: str
 ) -> subprocess.CompletedProcess[str]:
-    """Runs one command until it exits."""
+    """Run one command until it exits."""
     return subprocess.run(
         [COMMAND, *map(str, arguments)],
         env=environment(**more),
@@ -59,7 +59,7 @@
 
 
 def refused(*arguments: object, code: int = 2, preexec_fn=None, **more: str) -> list[str]:
-    """Runs a command that must fail without a traceback; returns its error lines."""
+    """Run a command that must fail without a traceback; return its error lines, without their prefix."""
     completed = run(*arguments, preexec_fn=preexec_fn, **more)
     assert completed.returncode == code, (completed.returncode, completed.stderr)
     lines = completed.stderr.splitlines()
@@ -68,7 +68,7 @@
 
 
 def processes_matching(pattern: str) -> list[int]:
-    """Returns the ids of processes whose command line matches the pattern."""
+    """Return the ids of processes whose command line matches the pattern."""
     pids = []
     for folder in Path("/proc").iterdir():
         if folder.name.isdigit():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,8 +2,7 @@
 
 ``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
 simulated network. ``LoopbackGateway`` runs one gateway on loopback sockets within the test's process,
-``GatewayProcesses``
-starts it as separate processes. The settings are examples.
+``GatewayProcesses`` starts it as separate processes. The settings are examples.
 """
 
 from __future__ import annotations
@@ -74,12 +73,12 @@
 
 
 def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
-    """Returns an entry of a server list."""
+    """Return an entry of a server list."""
     return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
 def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
-    """Returns an update of the server list, as discovery sends it."""
+    """Return an update of the server list, as discovery sends it."""
     return api.ServerListed(kind, 1, tuple(entries))
 
 
@@ -102,14 +101,14 @@
                 self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """Handles an event at the current time; returns the resulting actions."""
+        """Handle an event at the current time; return the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
         self._record_timers(actions)
         self.log += actions
         return actions
 
     def run(self, span: int) -> list[api.Action]:
-        """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
+        """Advance the clock by ``span``, firing due timers; return the resulting actions."""
         end = self.now + span
         actions: list[api.Action] = []
         while due := [t for t in self.timers if t[0] <= end]:
@@ -131,7 +130,7 @@
         set_first=0,
         set_size=3,
     ):
-        """Handles the arrival of a request from a client."""
+        """Handle the arrival of a request from a client."""
         return self.feed(
             api.RequestArrived(request, customer, plan, kind, units, time_left, set_first, set_size, False)
         )
@@ -139,7 +138,7 @@
     def end_attempt(
         self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
     ):
-        """Handles the end of an attempt; by default only a served one has been answered."""
+        """Handle the end of an attempt; by default only a served one answers its request."""
         if answered is None:
             answered = outcome is api.Outcome.SERVED
         return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
@@ -180,13 +179,13 @@
                 self.answers[action.request] = action
 
     def send_request(self, rank: int, **request) -> int:
-        """Sends a request to one gateway; returns its number."""
+        """Send a request to one gateway; return its number."""
         self.request_count += 1
         self._execute(rank, self.benches[rank].send_request(self.request_count, **request))
         return self.request_count
 
     def run(self, span: int) -> None:
-        """Advances the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
+        """Advance the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
         end = self.now + span
         while self.now < end:
             self.now += self.STEP
@@ -201,18 +200,18 @@
                     self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
-        """Returns the requests that were forwarded to a host."""
+        """Return the requests that were forwarded to a host."""
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
 def of_type(actions, action_type) -> list:
-    """Returns the actions of the given type."""
+    """Return the actions of the given type."""
     return [a for a in actions if isinstance(a, action_type)]
 
 
 @pytest.fixture
 def bench() -> Bench:
-    """Returns a gateway with four warm servers."""
+    """Return a gateway with four warm servers."""
     return Bench()
 
 
@@ -248,7 +247,7 @@
 
 
 def asyncio_test(function):
-    """Runs a test on uvloop, the gateway's event loop, with a timeout of one minute."""
+    """Run a test on uvloop, the gateway's event loop, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
@@ -258,7 +257,7 @@
 
 
 async def until(condition, timeout: float = 10.0) -> None:
-    """Waits for a condition; the timeout only ends a test that would hang."""
+    """Wait for a condition; the timeout only ends a test that would hang."""
     async with asyncio.timeout(timeout):
         while not condition():
             await asyncio.sleep(0.005)
@@ -309,7 +308,7 @@
         return self
 
     def list_entry(self, health="SERVING", **changes) -> dict:
-        """Returns its entry in discovery's list."""
+        """Return the host's entry in discovery's list."""
         fields = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
         return fields | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
@@ -334,11 +333,11 @@
         self.closed = True
 
     def send_command(self, *words: bytes) -> None:
-        """Sends one command."""
+        """Send one command."""
         self.transport.write(hiredis.pack_command(words))
 
     def send_request(self, class_name="read", deadline_ms=2000, request_id=b"id1", extra_terms="") -> None:
-        """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
+        """Send a request of one class, with a deadline of ``deadline_ms`` milliseconds."""
         terms = f"c={class_name},t=team,d={deadline_ms},units=1,spread=2,first=0{extra_terms}".encode()
         if class_name == "read":
             self.send_command(b"CALL.GET", b"0000000000000007", request_id, terms)
@@ -346,13 +345,13 @@
             self.send_command(b"CALL.POST", b"0000000000000007", request_id, terms + b",k=key7", b"BODY")
 
     async def wait_for_replies(self, count=1) -> list:
-        """Waits until at least ``count`` replies have arrived; returns all."""
+        """Wait until at least ``count`` replies have arrived; return all replies so far."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
 
 
 class LoopbackGateway:
-    """One gateway with its components connected as in the program, and a list of hosts from discovery."""
+    """One gateway with its components connected as in the program; it starts with a list of hosts."""
 
     def __init__(self, *hosts: FakeHost, entries=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
@@ -375,7 +374,7 @@
         self.clients = Clients(self.driver, self.config, sockets)
 
     async def caller(self) -> Caller:
-        """Opens a client's connection to the gateway."""
+        """Open a client's connection to the gateway."""
         if self.clients.server is None:
             await self.clients.listen()
         port = self.clients.server.sockets[0].getsockname()[1]
@@ -383,13 +382,13 @@
         return caller
 
     def apply_host_list(self, *entries: dict, whole=False) -> None:
-        """Applies an update of the host list from discovery."""
+        """Apply an update of the host list from discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(entries)}
         self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
 def free_address() -> str:
-    """Returns a loopback address on which nothing listens."""
+    """Return a loopback address on which nothing listens."""
     return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
@@ -401,7 +400,7 @@
 
 
 class GatewayProcesses:
-    """Gateway processes that take over one address from each other and share one $TMPDIR."""
+    """Gateway processes on one address and with one $TMPDIR; each takes over from the one before."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
         self.folder = folder
@@ -418,7 +417,7 @@
         self.control = ""
 
     async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
-        """Starts another process with its own control address; waits until it is healthy if ``ready``.
+        """Start another process with its own control address; wait until it is healthy if ``ready``.
 
         With ``long_command_timeout`` a client has a minute to send the rest of a command, so that it isn't
         disconnected while the successor is slow to start.
@@ -436,7 +435,7 @@
         return process
 
     async def send_control_call(self, line: bytes, control: str = "") -> str:
-        """Sends a control call and returns the answer, or "nobody" if the connection fails."""
+        """Send a control call and return the answer, or "nobody" if the connection fails."""
         try:
             reader, writer = await asyncio.open_connection(*config.address(control or self.control))
         except OSError:
@@ -447,7 +446,7 @@
         return answer.decode()
 
     async def caller(self) -> Caller:
-        """Opens a client's connection."""
+        """Open a client's connection."""
         address = config.address(self.configuration["listen"])
         return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -27,7 +27,7 @@
 
 
 def read_known_failures(root: Path) -> list[KnownFailure]:
-    """Read the file, which may be absent; raises UsageError if it is invalid."""
+    """Read the file, which may be absent; raise UsageError if it is invalid."""
     file = root / FILE
     lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
     if len(lines) > MAX_LINES:
--- a/tests/registry_processes.py
+++ b/tests/registry_processes.py
@@ -1,4 +1,4 @@
-"""Starts processes of the list service on loopback addresses and sends them HTTP requests."""
+"""Processes of the list service on loopback addresses, and HTTP requests to them."""
 
 from __future__ import annotations
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -131,7 +131,7 @@
 
 
 def exchange(holder: Holder, source: Source, now: int) -> bool:
-    """One request and, unless the source parks it, its answer; whether that was applied."""
+    """Send a request and apply its answer, unless the source parks the request; return whether it applied."""
     answer = source.handle_query(now, holder.make_request(now))
     return holder.apply_answer(now, answer) if answer else False
 
@@ -206,9 +206,8 @@
     for answer in (late, early, dict(late, asked=99)):
         assert not holder.apply_answer(T0 + 900 * MS, answer)
     assert holder.lease_end == lease_end == T0 + MS + int(LEASE_MS * MS * (1 - DRIFT))
-    assert (
-        source.handle_query(T0 + SECOND, holder.make_request(T0 + SECOND)) is None
-    )  # the holder is up to date, so its request is parked
+    # The holder is up to date, so its request is parked.
+    assert source.handle_query(T0 + SECOND, holder.make_request(T0 + SECOND)) is None
     source.propose(T0 + SECOND, 2, TOGETHER)
     [update] = source.due_answers(T0 + SECOND)
     assert not holder.apply_answer(T0 + SECOND, dict(update, source=0))  # from an earlier life of the source
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -18,7 +18,7 @@
     of_type,
     until,
 )
-from test_control import call, listening_control
+from test_control import send_control_call, start_control
 from test_upgrade import restored_copy
 
 from orchidlane import interface as api
@@ -32,7 +32,7 @@
 
 
 def servers_used(bench: Bench, first: int, requests=40, **request) -> set[bytes]:
-    """Send requests, at most two open at a time; returns the servers that got one."""
+    """Send requests, at most two open at a time; return the servers that got one."""
     servers, last_attempt = set(), None
     for number in range(first, first + requests):
         for send in of_type(bench.send_request(number, customer=number, **request), api.Send):
@@ -148,7 +148,7 @@
 async def test_a_request_waiting_for_a_connection_to_a_banned_host_is_sent_to_another():
     old_host, new_host = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(old_host)
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     caller = await gateway.caller()
     connect_gate, connect = asyncio.Event(), gateway.loop.create_connection
 
@@ -165,7 +165,11 @@
     caller.send_request("bill")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     gateway.apply_host_list(new_host.list_entry())
-    assert await call(control, b"OFFLINE a") == await call(control, b"OFFLINE a") == "done out\n"
+    assert (
+        await send_control_call(control, b"OFFLINE a")
+        == await send_control_call(control, b"OFFLINE a")
+        == "done out\n"
+    )
     connect_gate.set()
     assert await caller.wait_for_replies() == [b"ok"]
     gateway.apply_host_list(old_host.list_entry(), new_host.list_entry(), whole=True)
@@ -173,7 +177,11 @@
         caller.send_request()
     await caller.wait_for_replies(6)
     assert len(new_host.commands) == 6 and old_host.commands == []
-    assert await call(control, b"ONLINE a") == await call(control, b"ONLINE a") == "done back\n"
+    assert (
+        await send_control_call(control, b"ONLINE a")
+        == await send_control_call(control, b"ONLINE a")
+        == "done back\n"
+    )
     await asyncio.sleep(0.2)
     caller.send_request()
     await until(lambda: old_host.commands)
@@ -183,21 +191,21 @@
 async def test_a_host_can_be_banned_and_reinstated_during_a_drain():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(*hosts)
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     caller = await gateway.caller()
-    await call(control, b"LEAVE")
-    assert (await call(control, b"OFFLINE a")).startswith("done")
+    await send_control_call(control, b"LEAVE")
+    assert (await send_control_call(control, b"OFFLINE a")).startswith("done")
     for _ in range(5):
         caller.send_request()
     await caller.wait_for_replies(5)
-    assert (await call(control, b"JOIN")).startswith("done")
+    assert (await send_control_call(control, b"JOIN")).startswith("done")
     for _ in range(5):
         caller.send_request()
     await caller.wait_for_replies(10)
     assert hosts[0].commands == [] and len(hosts[1].commands) == 10
-    await call(control, b"LEAVE")
-    assert (await call(control, b"ONLINE a")).startswith("done")
-    await call(control, b"JOIN")
+    await send_control_call(control, b"LEAVE")
+    assert (await send_control_call(control, b"ONLINE a")).startswith("done")
+    await send_control_call(control, b"JOIN")
     await asyncio.sleep(0.2)
     caller.send_request()
     await until(lambda: hosts[0].commands)
--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -64,7 +64,7 @@
         await self.reading
 
     async def wait_for_event(self, name: str) -> dict:
-        """Waits for an event of this name and returns the last one."""
+        """Wait for an event of this name and return the last one."""
         await until(lambda: any(event["event"] == name for event in self.events))
         return [event for event in self.events if event["event"] == name][-1]
 
@@ -78,13 +78,13 @@
             completed = await asyncio.to_thread(run, *arguments)
             return completed.returncode, completed.stdout.strip()
 
-        ask = ("call", gateway.listen, "--class", "read", "--plan", "team", "--customer", "7")
-        code, output = await run_command(*ask, "--json")
+        call_arguments = ("call", gateway.listen, "--class", "read", "--plan", "team", "--customer", "7")
+        code, output = await run_command(*call_arguments, "--json")
         answer = json.loads(output)
         assert (code, answer["outcome"], answer["value"]) == (0, "served", "ok")
         assert host.commands[0][1:3] == [b"%016x" % 7, answer["id"].encode()]
         host.script = lambda command: b"-ERR failed\r\n"
-        code, output = await run_command(*ask, "--deadline", "1s")
+        code, output = await run_command(*call_arguments, "--deadline", "1s")
         assert code in (3, 4) and output.split()[0] in ("failed", "refused")
         host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
         assert (await run_command("call", gateway.listen, "--class", "none", "--plan", "team"))[0] == 4
@@ -100,7 +100,7 @@
         assert [(line["gateway"], line["done"]) for line in lines] == [("gw-0", True), ("gw-1", False)]
         only = ("--fleet", fleet, "--only", "gw-0")
         assert (await run_command("control", "offline", "host-1", *only))[0] == 0
-        code, output = await run_command(*ask)
+        code, output = await run_command(*call_arguments)
         assert code == 3, output
         assert (await run_command("control", "offline", "host-9", *only))[0] == 3
         assert (await run_command("control", "online", "host-1", *only))[0] == 0
@@ -141,7 +141,7 @@
 
 
 def failed_start(tmp_path, text: str, *flags: str, preexec_fn=None) -> str:
-    """Starts a gateway that must exit with code 1; returns its only error line."""
+    """Start a gateway that must exit with code 1; return its only error line."""
     file = tmp_path / "gw.toml"
     file.write_text(text)
     completed = run("gateway", file, *flags, preexec_fn=preexec_fn)
@@ -154,10 +154,10 @@
 def test_an_address_in_use_or_not_local_is_reported_in_one_line(tmp_path):
     text = GATEWAY_TOML.format(listen=free_address(), discovery=free_address(), control=free_address())
     with socket.create_server(("127.0.0.1", 0)) as occupied:
-        where = f"127.0.0.1:{occupied.getsockname()[1]}"
-        for flag, what in (("listen", "clients"), ("control", "operators"), ("metrics", "metrics")):
-            output = failed_start(tmp_path, text, f"--{flag}", where)
-            assert output == f"cannot listen for {what} at {where}: {PORT_IN_USE}"
+        address = f"127.0.0.1:{occupied.getsockname()[1]}"
+        for flag, listener in (("listen", "clients"), ("control", "operators"), ("metrics", "metrics")):
+            output = failed_start(tmp_path, text, f"--{flag}", address)
+            assert output == f"cannot listen for {listener} at {address}: {PORT_IN_USE}"
     output = failed_start(tmp_path, text, "--listen", "192.0.2.1:7000")
     assert output.endswith("this machine has no such address")
 
@@ -186,7 +186,7 @@
 
 
 def commands(group: object, arguments: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-    """Returns the names of all commands and groups."""
+    """Return the names of all commands and groups."""
     import click
 
     found = [arguments]
@@ -274,7 +274,7 @@
 
 
 def demo(tmp_path, *arguments: str) -> subprocess.Popen:
-    """Starts a demo that runs until it is stopped and keeps its files in this directory."""
+    """Start a demo that runs until it is stopped and keeps its files in this directory."""
     inside = environment(TMPDIR=str(tmp_path))
     pipe = subprocess.PIPE
     return subprocess.Popen([COMMAND, "demo", *arguments], env=inside, stdout=pipe, stderr=pipe, text=True)
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -1,6 +1,7 @@
 """Races when client connections end: a half-close crossed by input, a client's close while reading is paused.
 
-Clients are plain sockets, so that the event loop does not run until a test lets it."""
+Clients are plain sockets, so that the event loop does not run until a test lets it.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +64,7 @@
 
 
 async def connect(gateway: LoopbackGateway, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
-    """A client's socket, and the gateway's object for it."""
+    """Connect a client; return its socket and the gateway's object for it."""
     if gateway.clients.server is None:
         await gateway.clients.listen()
     before = set(gateway.clients.open)
@@ -77,7 +78,7 @@
 
 
 def send_at_half_close(client: Client, plain: PlainClient, data: bytes) -> None:
-    """Have these bytes arrive just before the half-close, after the gateway's check for unread input."""
+    """Send these bytes just before the half-close, after the gateway's check for unread input."""
     half_close = client.half_close
 
     def end() -> None:
@@ -194,7 +195,7 @@
 
 @asyncio_test
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
-    """They were reset together with the listener."""
+    """Guards against resetting them together with the listener."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
     await gateway.clients.listen()
     address = gateway.clients.server.sockets[0].getsockname()
@@ -275,7 +276,8 @@
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
     await until(lambda: len(host.commands) == 4 and not gateway.driver.calls)
-    client.check_timeouts = lambda before: None  # it reads a byte now and then, so it never stalls
+    # As for a client that reads a byte now and then, and so never stalls.
+    client.check_timeouts = lambda before: None
     await asyncio.wait_for(gateway.clients.drain.shut_down(0.0), 10)
     assert not gateway.clients.is_finished
 
@@ -301,7 +303,7 @@
 
 
 async def behind_unread_responses(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
-    """The request waits behind a large response that the client does not read."""
+    """Let a request wait behind a large response that the client does not read."""
     plain.send(request(0))
     await plain.read(8)
     (idle,) = gateway.hosts.pools[b"a"].idle
@@ -321,7 +323,7 @@
 
 
 class ListHost:
-    """``open`` lists the host as serving."""
+    """Stands in for a ``Gate``: ``open`` lists the host as serving."""
 
     def __init__(self, gateway: LoopbackGateway, host: FakeHost) -> None:
         self.open = lambda: gateway.apply_host_list(host.list_entry())
@@ -335,7 +337,7 @@
 
 
 class ThawDriver:
-    """``open`` ends the handover as failed."""
+    """Stands in for a ``Gate``: ``open`` ends the handover as failed."""
 
     def __init__(self, gateway: LoopbackGateway) -> None:
         self.open = gateway.driver.thaw
@@ -387,7 +389,7 @@
 
 
 async def when_dispatched(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
-    """A request waits for a host; returns what dispatches it on an established connection."""
+    """Let a request wait for a host; return a function that dispatches it on an established connection."""
     (idle,) = gateway.hosts.pools[b"a"].idle
     await until(lambda: gateway.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
     gateway.apply_host_list(gateway.host_entry | {"health": "DRAINING"})
@@ -403,7 +405,7 @@
 
 
 async def when_cooled_down(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
-    """A request waits for a connection; returns what dispatches it on one past its cooldown."""
+    """Let a request wait for a connection; return a function that dispatches it on a cooled-down one."""
     pool = gateway.hosts.pools[b"a"]
     Gate(gateway, pool.address[1])
     plain.send(request(1, b"bill"))
@@ -550,7 +552,7 @@
                     other_client.replies.clear()
 
         async def stall(data: bytes) -> float:
-            """Connect and stall; returns the seconds until the gateway closes the connection."""
+            """Connect and stall; return the seconds until the gateway closes the connection."""
             with socket.socket() as sock:
                 sock.setblocking(False)
                 await loop.sock_connect(sock, address)
@@ -569,10 +571,8 @@
         assert len(durations) == 1_000 and max(descriptors) <= gateway.configuration["limits"]["sockets"]
         assert sum(duration > 3.5 for duration in durations) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
-        assert b"ok" in kinds and kinds <= {
-            b"ok",
-            "BUSY",
-        }  # at the connection limit, or beyond its quota of 100 a second
+        # Refused at the connection limit, or beyond the customer's quota of 100 a second.
+        assert b"ok" in kinds and kinds <= {b"ok", "BUSY"}
         assert process.returncode is None
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -21,7 +21,7 @@
 
 
 def run_cluster_command(tmp_path: Path, *arguments: object, **variables: str) -> tuple[int, list[dict]]:
-    """Runs ``birchdrum lab cluster``; returns its exit code and verdicts."""
+    """Run ``birchdrum lab cluster``; return its exit code and verdicts."""
     process_environment = {"TMPDIR": str(tmp_path)} | variables
     completed = run(
         "lab", "cluster", *arguments, "--json", "--out", tmp_path / "out", timeout=120, **process_environment
@@ -35,7 +35,7 @@
 
 
 def forge_violation(run_data: record.RunData, rule: str) -> None:
-    """Alters the data of a passing run so that it breaks a rule."""
+    """Alter the data of a passing run so that it breaks a rule."""
     began, over = run_data.run["began"], run_data.run["over"]
     match rule:
         case "gone though there":
@@ -196,9 +196,8 @@
     async def end_harness() -> None:
         try:
             await until(lambda: faults_file.exists() and faults_file.read_text(), 40)
-            assert (
-                len(processes_matching(str(scratch))) >= 5
-            )  # the list service, three gateways and the folder's guard
+            # The list service, three gateways, and the process that removes the scratch folder.
+            assert len(processes_matching(str(scratch))) >= 5
             os.kill(process.pid, end_signal)
             await asyncio.to_thread(process.wait, 20)
             await until(lambda: not processes_matching(str(scratch)) and not list(scratch.iterdir()), 20)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -160,25 +160,28 @@
     if data.draw(st.booleans()):
         del raw["limits"]["cores"]
     folder = tmp_path_factory.mktemp("convert")
-    there, back = folder / "n0.json", folder / "n0.toml"
-    there.write_text(json.dumps(raw))
-    first = configuration.load(there, {}, {})
+    platform_file, toml_file = folder / "n0.json", folder / "n0.toml"
+    platform_file.write_text(json.dumps(raw))
+    first = configuration.load(platform_file, {}, {})
     assert first.platform == raw
-    back.write_text(configuration.as_toml(first))
-    second = configuration.load(back, {}, {})
+    toml_file.write_text(configuration.as_toml(first))
+    second = configuration.load(toml_file, {}, {})
     assert second.platform == raw
     assert json.dumps(second.platform, sort_keys=True) == json.dumps(first.platform, sort_keys=True)
 
 
 def test_toml_converts_to_the_platforms_json_and_back(tmp_path):
-    ours, theirs, again = (tmp_path / name for name in ("a.toml", "a.json", "b.toml"))
-    ours.write_text(VALID_TOML + '[log]\nform = "json"\n[hosts]\nidle_close = "1.5min"\n')
-    assert run("config", "convert", ours, "-o", theirs).returncode == 0
-    assert json.loads(theirs.read_text())["settings"]["permissions"]["idleClose"] == 90_000_000
-    assert platform.parse(theirs.read_text()).log_form == "json"
-    assert run("config", "convert", theirs, "-o", again).returncode == 0
-    assert configuration.load(again, {}, {}).config.hosts == configuration.load(ours, {}, {}).config.hosts
-    missing_directory = refused("config", "convert", ours, "-o", tmp_path / "none" / "x", code=1)
+    toml_file, platform_file, converted_back = (tmp_path / name for name in ("a.toml", "a.json", "b.toml"))
+    toml_file.write_text(VALID_TOML + '[log]\nform = "json"\n[hosts]\nidle_close = "1.5min"\n')
+    assert run("config", "convert", toml_file, "-o", platform_file).returncode == 0
+    assert json.loads(platform_file.read_text())["settings"]["permissions"]["idleClose"] == 90_000_000
+    assert platform.parse(platform_file.read_text()).log_form == "json"
+    assert run("config", "convert", platform_file, "-o", converted_back).returncode == 0
+    assert (
+        configuration.load(converted_back, {}, {}).config.hosts
+        == configuration.load(toml_file, {}, {}).config.hosts
+    )
+    missing_directory = refused("config", "convert", toml_file, "-o", tmp_path / "none" / "x", code=1)
     assert "no such file" in missing_directory[0]
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,7 +15,7 @@
 from saffrongw.drain import DRAIN_NOTICE_DELAY, DRAIN_REFUSE_DELAY
 
 
-async def listening_control(gateway: LoopbackGateway) -> Control:
+async def start_control(gateway: LoopbackGateway) -> Control:
     """Start the control listener and the client listener of a gateway."""
     await gateway.clients.listen()
     control = Control(gateway.driver, gateway.clients)
@@ -27,8 +27,8 @@
     return await asyncio.open_connection(*control.server.sockets[0].getsockname())
 
 
-async def call(control: Control, line: bytes, end: bytes = b"\n") -> str:
-    """Send one call; returns all that was received until the connection closed."""
+async def send_control_call(control: Control, line: bytes, end: bytes = b"\n") -> str:
+    """Send one call; return all that was received until the connection closed."""
     reader, writer = await connect(control)
     writer.write(line + end)
     answer = (await asyncio.wait_for(reader.read(), 5)).decode()
@@ -43,11 +43,11 @@
     gateway = LoopbackGateway(entries=[{"host": "malformed"}])
     control = Control(gateway.driver, gateway.clients)
     await control.listen(("127.0.0.1", 0))
-    assert (await call(control, b"HEALTH")).startswith("error no list of hosts")
+    assert (await send_control_call(control, b"HEALTH")).startswith("error no list of hosts")
     gateway.apply_host_list(host.list_entry())
-    assert (await call(control, b"HEALTH")).startswith("error not listening")
+    assert (await send_control_call(control, b"HEALTH")).startswith("error not listening")
     caller = await gateway.caller()
-    assert (await call(control, b"HEALTH", b"\r\n")).startswith("done")
+    assert (await send_control_call(control, b"HEALTH", b"\r\n")).startswith("done")
     caller.send_command(b"PING")
     assert await caller.wait_for_replies() == [b"PONG"]
 
@@ -62,29 +62,29 @@
 @asyncio_test
 async def test_an_invalid_call_gets_an_error_and_has_no_effect(line):
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
-    assert (await call(control, line)).startswith("error ")
-    assert (await call(control, b"HEALTH")).startswith("done")
+    control = await start_control(gateway)
+    assert (await send_control_call(control, line)).startswith("error ")
+    assert (await send_control_call(control, b"HEALTH")).startswith("done")
 
 
 @asyncio_test
 async def test_a_line_without_newline_is_an_error():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     reader, writer = await connect(control)
     writer.write(b"LEAVE")
     writer.write_eof()
     assert (await asyncio.wait_for(reader.read(), 5)).startswith(b"error ")
-    assert (await call(control, b"HEALTH")).startswith("done")
+    assert (await send_control_call(control, b"HEALTH")).startswith("done")
     writer.close()
 
 
 @asyncio_test
 async def test_answered_callers_that_close_do_not_count_against_the_limit():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     for _ in range(3 * CONNECTIONS_MAX):
-        assert (await call(control, b"HEALTH")).startswith("done")
+        assert (await send_control_call(control, b"HEALTH")).startswith("done")
         await until(lambda: not control.connections)
     reader, writer = await connect(control)
     writer.write(b"HEALTH\n")
@@ -97,12 +97,12 @@
 @asyncio_test
 async def test_a_new_caller_is_answered_despite_any_number_of_silent_ones():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     silent_callers = []
     for _ in range(3 * CONNECTIONS_MAX):
         silent_callers.append(await connect(control))
         silent_callers[-1][1].write(b"HEAL")
-    assert (await call(control, b"HEALTH")).startswith("done")
+    assert (await send_control_call(control, b"HEALTH")).startswith("done")
     assert len(control.connections) <= CONNECTIONS_MAX
     assert gateway.driver.stats["control_evicted"] >= 2 * CONNECTIONS_MAX
     silent_callers[-1][1].write(b"TH\n")  # the newest silent callers were not evicted
@@ -114,8 +114,8 @@
 @asyncio_test
 async def test_data_after_the_line_does_not_reset_the_answer():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
-    assert (await call(control, b"HEALTH\n" + b"x" * 300_000)).startswith("done")
+    control = await start_control(gateway)
+    assert (await send_control_call(control, b"HEALTH\n" + b"x" * 300_000)).startswith("done")
 
 
 @asyncio_test
@@ -133,14 +133,14 @@
         assert await caller.wait_for_replies() == [b"ok"]
         assert control.server is None
     await retry_task
-    assert (await call(control, b"HEALTH")).startswith("done")
+    assert (await send_control_call(control, b"HEALTH")).startswith("done")
 
 
 @asyncio_test
 async def test_a_drain_reports_not_ready_at_once_goes_on_serving_and_closes_idle_connections():
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     polling, idle, with_open_request = [await gateway.caller() for _ in range(3)]
     for caller in (polling, idle):
         caller.send_request()
@@ -149,10 +149,14 @@
     with_open_request.send_request(deadline_ms=10_000, request_id=b"held")
     await until(lambda: len(host.commands) == 3)
     started = gateway.loop.time()
-    assert await call(control, b"LEAVE") == await call(control, b"LEAVE") == "done draining\n"
+    assert (
+        await send_control_call(control, b"LEAVE")
+        == await send_control_call(control, b"LEAVE")
+        == "done draining\n"
+    )
     polling.send_command(b"PING")
     assert str((await polling.wait_for_replies(2))[1]).startswith("ERR")
-    assert (await call(control, b"HEALTH")).startswith("error draining")
+    assert (await send_control_call(control, b"HEALTH")).startswith("error draining")
     late_caller = await gateway.caller()  # accepted until the load balancer in front has seen the drain
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
     late_caller.send_request()
@@ -170,7 +174,11 @@
         connection.transport.write(b"*1\r\n$4\r\nlast\r\n")
     assert await with_open_request.wait_for_replies() == [b"last"]
     await until(lambda: with_open_request.closed)
-    assert await call(control, b"JOIN") == await call(control, b"JOIN") == "done joined\n"
+    assert (
+        await send_control_call(control, b"JOIN")
+        == await send_control_call(control, b"JOIN")
+        == "done joined\n"
+    )
     after_join = await gateway.caller()
     after_join.send_command(b"PING")
     assert await after_join.wait_for_replies() == [b"PONG"]
@@ -183,10 +191,10 @@
 @asyncio_test
 async def test_a_cancelled_drain_closes_no_more_connections():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     caller = await gateway.caller()
-    await call(control, b"LEAVE")
-    await call(control, b"JOIN")
+    await send_control_call(control, b"LEAVE")
+    await send_control_call(control, b"JOIN")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
     caller.send_request()
     assert await caller.wait_for_replies() == [b"ok"]
@@ -198,10 +206,10 @@
     monkeypatch.setattr(drain_module, "DRAIN_REFUSE_DELAY", DRAIN_NOTICE_DELAY + 0.1)
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     caller = await gateway.caller()
     caller.transport.write(b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$2\r\nid\r\n")
-    await call(control, b"LEAVE")
+    await send_control_call(control, b"LEAVE")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
     assert not caller.closed
     terms = b"c=read,t=team,d=2000,units=1,spread=2,first=0"
@@ -216,15 +224,15 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    control = await listening_control(gateway)
+    control = await start_control(gateway)
     caller = await gateway.caller()
     caller.send_request(deadline_ms=10_000)
     await until(lambda: host.commands)
-    await call(control, b"LEAVE")
+    await send_control_call(control, b"LEAVE")
     shutdown = asyncio.create_task(gateway.clients.drain.shut_down(0.1))
     await asyncio.sleep(0.3)
-    assert (await call(control, b"JOIN")).startswith("error ending")
-    assert (await call(control, b"HEALTH")).startswith("error ending")
+    assert (await send_control_call(control, b"JOIN")).startswith("error ending")
+    assert (await send_control_call(control, b"HEALTH")).startswith("error ending")
     assert not shutdown.done()
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
     assert await caller.wait_for_replies() == [b"last"]
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -41,21 +41,21 @@
     plan=0,
     ceiling_tokens=0.0,
 ) -> Row:
-    """The row of a customer in a message from a peer."""
+    """Return the row of a customer in a message from a peer."""
     return Row(
         customer, plan, set_first, set_size, forward_count, remaining, total, ceiling_tokens, tuple(counts)
     )
 
 
 def bench_with_account(**changes) -> Bench:
-    """A gateway with an account of the customer, created by a message from a peer."""
+    """Return a gateway with an account of the customer, created by a message from a peer."""
     bench = Bench(**changes)
     deliver(bench, 1, customer_row([]))
     return bench
 
 
 def count_admitted(bench: Bench, number: int, start=1, **request) -> int:
-    """Send requests, each served immediately; returns how many were admitted without waiting."""
+    """Send requests, each served immediately; return how many were admitted without waiting."""
     sent = 0
     for i in range(start, start + number):
         for send in of_type(bench.send_request(i, **request), api.Send):
@@ -65,7 +65,7 @@
 
 
 def decoded_messages(actions) -> list:
-    """The messages to peers among the actions, decoded, each with the rank of its receiver."""
+    """Return the messages to peers among the actions, decoded, each with the rank of its receiver."""
     now = T0 // 1_000 + 60_000
     return [
         (a.peer, messages.unpack(a.body, now, 10**6, 9))
@@ -76,9 +76,8 @@
 
 def test_the_burst_is_admitted_until_it_is_nearly_spent_and_refills():
     bench = bench_with_account()
-    assert (
-        count_admitted(bench, 20) == 8
-    )  # of 10: requests are refused while less than a quarter of the burst remains
+    # Of the burst of 10: requests are refused while less than a quarter of it remains.
+    assert count_admitted(bench, 20) == 8
     bench.now += SECOND
     assert count_admitted(bench, 20, start=100) == 0
     bench.now += SECOND
@@ -314,7 +313,10 @@
 
 
 def count_calls(gateways: int) -> int:
-    """Number of function calls in the package for a fixed series of events, by the size of fleet and set."""
+    """Return the number of function calls in ``orchidlane`` for a fixed series of events.
+
+    Each customer may use all gateways of the fleet.
+    """
     bench = Bench(gateways=gateways, servers=4, peer_intake=1_000.0)
     count = 0
 
@@ -348,7 +350,7 @@
 
 
 def ask_random_gateways(fleet: Fleet, number: int, every: int, size: int) -> list[int]:
-    """Send requests of one customer, each to a random gateway; returns those admitted so far."""
+    """Send requests of one customer, each to a random gateway; return those admitted so far."""
     before = len(fleet.answers)
     live_ranks = [rank for rank in range(size) if rank not in fleet.dead]
     for _ in range(number):
@@ -386,7 +388,7 @@
 
 
 def fleet_account(fleet: Fleet, size: int):
-    """The customer's account at the first gateway."""
+    """Return the customer's account at the first gateway."""
     return fleet.benches[0].gateway._account(7, 0, 0, size, trusted=True)
 
 
@@ -448,9 +450,8 @@
     owner, other = query.peer, (query.peer + 1) % 50 or 1
     bench.now += 20_000
     deliver(bench, other, customer_row([], set_size=50))  # gossip of another gateway
-    deliver(
-        bench, owner, customer_row([], set_size=50), sent_ms=NOW_MS - 9_000
-    )  # sent too long ago to be valid
+    # Sent too long ago to be valid.
+    deliver(bench, owner, customer_row([], set_size=50), sent_ms=NOW_MS - 9_000)
     deliver(bench, owner, customer_row([], set_size=50, customer=8))  # about another customer
     bench.feed(api.PeerMessage(owner, b"\xff" * 90))
     bench.feed(api.PeerMessage(77, query.body))  # a rank outside of the fleet
@@ -541,7 +542,7 @@
 
 
 def merge_result(rows) -> tuple:
-    """Counts and remaining quota after these rows, all received at the same time."""
+    """Return the counts and the remaining quota after these rows, all received at the same time."""
     bench = bench_with_account()
     for counts, remaining in rows:
         deliver(bench, 1, customer_row(counts, remaining=remaining))
@@ -608,10 +609,10 @@
 
 
 def fleet_under_load(gateways: int, disrupt) -> tuple[float, float]:
-    """Six customers send three times their quota, spread over the fleet, which is then disrupted.
+    """Return the admitted rate per customer before and after a disruption of the fleet.
 
-    Returns the admitted rate per customer before, and after, once the quota that each gateway still knew of
-    is spent.
+    Six customers send three times their quota, spread over the fleet. The rate after the disruption is
+    measured once the quota that each gateway still knew of is spent.
     """
     fleet = Fleet(gateways, seed=4)
     rng = random.Random(9)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -232,7 +232,7 @@
 
 @asyncio_test
 async def test_a_lower_version_leads_to_a_request_of_the_whole_list():
-    """Discovery restarted: it may take hours until it reaches a version above ours."""
+    """Discovery has restarted: its versions may stay below the known one for hours."""
     whole = {"seq": 2, "whole": True, "hosts": [host_entry("b")]}
     agent, received = await start_watch([{"seq": 1, "whole": False, "hosts": []}, whole], version=9)
     await until(lambda: received)
@@ -241,9 +241,9 @@
 
 
 def test_the_first_requests_of_a_fleet_are_spread_over_a_time_that_grows_with_its_size_up_to_a_limit():
-    """25 of 40 simultaneous requests failed, as discovery could not answer all in time, and again in each
-    attempt. The time is limited to the interval of running gateways: changes that a starting gateway requests
-    later than that count as delivered to it.
+    """25 of 40 simultaneous requests failed, as discovery could not answer all in time, and the same happened
+    at each retry. The time is limited to the call interval of running gateways: a change that a starting
+    gateway requests later than that already counts as delivered to it.
     """
     start_times: dict[int, list[float]] = {}
     for gateways in (1, 3, 20, 40, 230):
@@ -265,9 +265,8 @@
     assert max(start_times[3]) < 0.5
     for gateways in (20, 40, 230):
         assert max(start_times[gateways]) <= discovery.CALL_INTERVAL_MAX
-        even_rate = max(
-            1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX
-        )  # in a second
+        # Requests per second if they were spread evenly.
+        even_rate = max(1 / discovery.FIRST_CALL_SPACING, gateways / discovery.CALL_INTERVAL_MAX)
         largest = max(
             sum(start <= time < start + 1 for time in start_times[gateways])
             for start in start_times[gateways]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -333,7 +333,7 @@
 @pytest.mark.parametrize("health", ["DRAINING", "DELETED"])
 @asyncio_test
 async def test_attempts_queued_for_a_draining_host_are_retried_elsewhere(health):
-    """They were sent once the connection was established, however long after the host began to drain."""
+    """Attempts were sent once the connection was established, however long after the host began to drain."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(old)
     caller = await gateway.caller()
@@ -665,9 +665,8 @@
         for idle in (first, second):
             idle.setblocking(False)
             idle.send(hiredis.pack_command((b"PING",)))
-        gateway.clients.connection_opened(
-            list(gateway.clients.open)[-1]
-        )  # at once: nothing is read in between
+        # Evict at once: nothing is read in between.
+        gateway.clients.connection_opened(list(gateway.clients.open)[-1])
         for idle in (first, second):
             assert await asyncio.wait_for(gateway.loop.sock_recv(idle, 64), 5) == b"+PONG\r\n"
         await until(lambda: spare.closed)
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -1,6 +1,7 @@
 """Races on connections to hosts: unread input on idle ones, attempts that must not be sent any more.
 
-Hosts and clients are plain sockets, so that the event loop does not run until a test lets it."""
+Hosts and clients are plain sockets, so that the event loop does not run until a test lets it.
+"""
 
 from __future__ import annotations
 
@@ -328,8 +329,8 @@
 
 
 @asyncio_test
-async def test_no_retry_is_sent_after_the_repeat_window():
-    """It was decided on within the window, but sent later, when its connection was established."""
+async def test_no_retry_is_sent_after_the_deduplication_window():
+    """A retry was decided on within the window, but sent later, when its connection was established."""
     classes = [dict(cls, dedupWindow=300_000) for cls in RAW_SETTINGS["classes"]]
     first, second = await FakeHost("a").listen(), await FakeHost("b").listen()
     first.script = lambda command: b"reset"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -48,7 +48,7 @@
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """Returns the probability of waiting in M/M/c at an offered load in erlangs (Erlang C formula)."""
+    """Return the probability of waiting in M/M/c at an offered load in erlangs (Erlang C formula)."""
     terms = [load**k / math.factorial(k) for k in range(servers)]
     last_term = load**servers / math.factorial(servers) * servers / (servers - load)
     return last_term / (sum(terms) + last_term)
@@ -142,7 +142,7 @@
 
 
 def trouble(what: str, **fields) -> scenario.Fault:
-    """Returns a trouble (an injected fault or load change) in the middle of a small run."""
+    """Return a trouble (an injected fault or load change) in the middle of a small run."""
     return scenario.Fault(what=what, at=Duration("1500ms"), lasts=Duration("1500ms"), **fields)
 
 
@@ -157,7 +157,7 @@
 
 
 def play(troubles=(), seed=1, variant="birchdrum", **changes) -> dict:
-    """Runs the small scenario with changes; returns the result."""
+    """Run the small scenario with changes; return the result."""
     return runs.Simulation(replace(SMALL, troubles=list(troubles), **changes), seed, variant).run()[0]
 
 
@@ -320,7 +320,7 @@
 
 
 def short_scenario(tmp_path, name="tiny") -> Path:
-    """Writes a scenario of two seconds without troubles; returns its file."""
+    """Write a scenario of two seconds without troubles; return its file."""
     short = replace(SMALL, name=name, lasts=Duration("2s"), troubles=[])
     file = tmp_path / f"{name}.toml"
     file.write_text(tomlkit.dumps(to_plain(short)))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("end", ["end", "reset"])
 @asyncio_test
 async def test_truncated_large_response_is_never_taken_for_complete(end, rest):
-    """It was when only the metadata behind the value was missing."""
+    """It was taken for complete when only the metadata behind the value was missing."""
     value = BIG[:70_000]
     data = answer(value, rest) if rest else b"*1\r\n$%d\r\n%b\r\n" % (len(value), value)
     head, tail = data.index(value), data.index(value) + len(value)
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize("suffix", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
 @asyncio_test
 async def test_malformed_large_response_behind_another_fails_alone(suffix):
-    """It closed the connection, and with it the earlier request that was still unanswered."""
+    """It closed the client's connection, on which an earlier request was still unanswered."""
     host = await FakeHost("a").listen()
     first = []
     malformed = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], suffix + b"\r\n" + b"x" * 70_000)
--- a/tests/test_members_used.py
+++ b/tests/test_members_used.py
@@ -15,7 +15,7 @@
 
 
 def send_and_serve(bench: Bench, number: int, customer: int) -> list[api.Action]:
-    """A request, which its host serves at once if it is admitted."""
+    """Send a request, which its host serves at once if it is admitted; return all actions."""
     actions = bench.send_request(number, customer=customer, set_size=GATEWAYS)
     for send in of_type(actions, api.Send):
         actions = actions + bench.end_attempt(number, send.server, api.Outcome.SERVED)
@@ -35,7 +35,7 @@
 
 
 def count_admitted(bench: Bench, first: int, seconds: int) -> int:
-    """Number of admitted requests of a customer that requests five times its quota."""
+    """Send five times the quota of a customer; return the number of admitted requests."""
     count = 0
     for number in range(10 * seconds):
         count += len(of_type(send_and_serve(bench, first + number, 5), api.Send))
@@ -44,7 +44,7 @@
 
 
 def test_a_cut_off_gateway_grants_its_share_until_it_is_connected_again():
-    """Its share is the fraction of the known usage that it granted itself; here others granted 90 %."""
+    """Its share is the fraction of the known usage that it granted itself; here others granted 90%."""
     admissions = {}
     for cut_off in (False, True):
         bench = Bench(gateways=GATEWAYS)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,7 +37,7 @@
 
 
 def as_encoded(row: Row) -> Row:
-    """The row with only the fields that its kind transmits."""
+    """Return the row with only the fields that its kind transmits."""
     age = row.age if row.kind in messages.KINDS_WITH_AGE else 0
     observer = 0 if row.kind in (RowKind.ALIVE, RowKind.LEFT) else row.observer
     return Row(row.kind, row.rank, row.life, row.incarnation, age, observer)
@@ -112,7 +112,7 @@
 
 
 def member_table(core: Membership) -> list[tuple[object, ...]]:
-    """State of all other members."""
+    """Return the state of all other members."""
     return [(m.state, m.life, m.incarnation, m.last_received, m.last_seen) for m in core.members.values()]
 
 
@@ -158,7 +158,7 @@
 
 
 def factory_of(core_class: type[Membership]) -> virtual.Factory:
-    """Factory for a world whose members run this variant of the core."""
+    """Return a factory of members that run this variant of the core."""
 
     class Core(core_class):
         def considers_active(self, rank: int) -> bool:
--- a/tests/test_peer_addresses.py
+++ b/tests/test_peer_addresses.py
@@ -22,7 +22,7 @@
 
 
 def joined_fleet(seed: int, factory=places.AddressBook, size: int = 12, loss: float = 0.0) -> Network:
-    """A fleet in which each gateway joins by one that started earlier, without a list of all."""
+    """Return a fleet in which each gateway joined through one that started earlier, without a list of all."""
     network = Network(size, seed, factory, loss)
     for rank in range(size):
         network.start(rank, 7_000 + rank, [7_000 + rank // 2] if rank else [])
@@ -32,7 +32,7 @@
 
 
 def check_join(factory, seed: int) -> None:
-    """A gateway joins by any other, though an address of ``join`` is dead and the first gateways are gone."""
+    """A gateway joins through any other, although a ``join`` address and ranks 0 and 1 are dead."""
     network = joined_fleet(seed, factory, loss=0.05)
     for rank in (0, 1):
         network.nodes["10.0.0.1", 7_000 + rank].dead = True
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -71,7 +71,7 @@
 
 
 def find_import_cycle(imports: dict[str, set[str]]) -> list[str]:
-    """The modules of an import cycle; empty if there is none."""
+    """Return the modules of an import cycle, or an empty list if there is none."""
 
     def walk(name: str, path: list[str]) -> list[str]:
         if name in path:
--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -143,9 +143,8 @@
         late = await node.post("lost", "renew", lost["version"])
         assert late.status == 404 and late["version"] > lost["version"]
         same = await node.put("lost", version=late["version"], born_ms=lost["born_ms"])
-        assert (
-            same.status == 200 and same["born_ms"] == lost["born_ms"]
-        )  # the host's process has not restarted
+        # The host's process has not restarted.
+        assert same.status == 200 and same["born_ms"] == lost["born_ms"]
 
 
 BAD_TARGETS = [
--- a/tests/test_registry_fleet.py
+++ b/tests/test_registry_fleet.py
@@ -163,14 +163,14 @@
             await until(lambda count=count: all(len(watcher.changes) == count for watcher in watchers))
             delays.append(1000 * (time.perf_counter() - started))
         after = await node.figures()
-        each = (sum(watcher.bytes for watcher in watchers) - sent) / 40 / WATCHERS
-        made = after["answers_made"] - before["answers_made"]
-        assert made == 40  # independent of the number of watchers
+        size = (sum(watcher.bytes for watcher in watchers) - sent) / 40 / WATCHERS
+        built = after["answers_made"] - before["answers_made"]
+        assert built == 40  # independent of the number of watchers
         cpu = 1000 * (after["cpu_s"] - before["cpu_s"]) / 40
-        assert each < 400  # one host's entry and the response head, independent of the number of hosts
+        assert size < 400  # one host's entry and the response head, independent of the number of hosts
         assert sum(watcher.answers for watcher in watchers) == 40 * WATCHERS
         print(f"\nwrite to last of {WATCHERS} watchers: median {statistics.median(delays):.1f} ms, ", end="")
-        print(f"worst {max(delays):.1f} ms; {each:.0f} bytes a change and watcher; CPU {cpu:.1f} ms a change")
+        print(f"worst {max(delays):.1f} ms; {size:.0f} bytes a change and watcher; CPU {cpu:.1f} ms a change")
         started, count = time.perf_counter(), 400
         connections = [await Connection.open(node.listen) for _ in range(16)]
 
@@ -192,8 +192,10 @@
         await asyncio.sleep(2)
         after = await node.figures()
         assert after["bytes_out"] == before["bytes_out"]  # nothing is sent while nothing changes
-        rest = (after["cpu_s"] - before["cpu_s"]) / 2
-        print(f"at rest: {100 * rest:.1f}% of a core, {after['rss_kb_most'] // 1024} MB at most so far")
+        cpu_at_rest = (after["cpu_s"] - before["cpu_s"]) / 2
+        print(
+            f"at rest: {100 * cpu_at_rest:.1f}% of a core, {after['rss_kb_most'] // 1024} MB at most so far"
+        )
         for watcher in watchers:
             watcher.end()
 
@@ -220,9 +222,8 @@
 async def test_log_stays_bounded_under_failing_requests(tmp_path):
     async with Registry(tmp_path) as registry:
         node = await registry.node().start("--new")
-        assert (
-            len(await register_hosts(node, 300, lease_ms=10_000)) == 300
-        )  # all are listed before the first lease expires
+        # All are listed before the first lease expires.
+        assert len(await register_hosts(node, 300, lease_ms=10_000)) == 300
         while (await call(node.operators, "GET", "/hold"))["held"] < 300:
             await asyncio.sleep(0.05)
         assert (await call(node.operators, "POST", "/hold", {"held": 300})).status == 200
--- a/tests/test_registry_followers.py
+++ b/tests/test_registry_followers.py
@@ -252,9 +252,8 @@
                 await asyncio.sleep(0.02)
             assert host_names(await agent.list()) == {"s-1"}
         fake.life, fake.update = "60", {"seq": 70, "whole": True, "hosts": [entry("s-2")]}
-        answer = await agent.wait_for_list(
-            lambda answer: answer["seq"] == 70
-        )  # new life, primary's clock is behind
+        # A later life has a lower sequence number, as the new primary's clock is behind.
+        answer = await agent.wait_for_list(lambda answer: answer["seq"] == 70)
         assert host_names(answer) == {"s-2"}
         assert (await agent.list("?index=100&wait=60000"))["whole"] is True
 
--- a/tests/test_request_completion.py
+++ b/tests/test_request_completion.py
@@ -2,7 +2,8 @@
 
 The driver and the connections run in virtual time over random events: clients that send partial commands or
 junk, do not read or disconnect; hosts that connect late or never, answer partially, wrongly, twice or not at
-all; updates of the host list; event loop lag."""
+all; updates of the host list; event loop lag.
+"""
 
 from __future__ import annotations
 
@@ -104,7 +105,7 @@
         return self.quiet[0]
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Ignored."""
+        """Do nothing: the test decides when the write buffer is full."""
 
     pause_reading = resume_reading = lambda self: None
 
@@ -155,9 +156,9 @@
             client_gone(call, seconds_unobserved)
 
         self.driver.accept_request, self.driver.client_gone = record_accepted, record_gone
-        self.client_transports: list[FakeTransport] = []  # of clients
+        self.client_transports: list[FakeTransport] = []
         self.to_send: dict[FakeTransport, bytes] = {}
-        self.host_transports: list[FakeTransport] = []  # to hosts
+        self.host_transports: list[FakeTransport] = []
 
     # -- what clients do
 
@@ -272,7 +273,7 @@
     # -- invariants
 
     def check(self) -> None:
-        """Each unanswered request has a timer due by its deadline; each open attempt has an owner."""
+        """Check that each unanswered request has a timer due in time, and each open attempt an owner."""
         for call in self.driver.calls.values():
             if not call.finished:
                 until = (call.deadline - self.started) / 1e6 + 100.0
@@ -288,7 +289,7 @@
             COVERED["waiting, cools down"] += len(pool.waiting) > pool.opening
 
     def _has_owner(self, attempt: Attempt) -> bool:
-        """Whether an open attempt is on a connection, or queued for one."""
+        """Return whether an open attempt is on a connection, or queued for one."""
         if isinstance(attempt.carrier, Connection):
             return attempt.carrier.stage is Stage.BUSY and attempt.carrier.attempt is attempt
         return attempt in attempt.carrier.waiting
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -9,7 +9,7 @@
 
 
 def read(chunks) -> tuple[list, bool]:
-    """The values parsed from these chunks, and whether a protocol error was raised."""
+    """Return the values parsed from these chunks, and whether a protocol error was raised."""
     reader, values = Reader(100), []
     try:
         for chunk in chunks:
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -94,9 +94,8 @@
                     )
             elif isinstance(action, api.Cancel):
                 attempt = self.requests[action.request].attempts[action.attempt]
-                if (
-                    attempt.outcome is None
-                ):  # the transport reports a cancelled attempt before any other event
+                # The transport reports a cancelled attempt before any other event.
+                if attempt.outcome is None:
                     attempt.outcome = Outcome.CANCELLED
                     self.bench.end_attempt(action.request, attempt.server, Outcome.CANCELLED, action.attempt)
 
@@ -130,7 +129,7 @@
 
 
 def with_short_window(request_class: api.RequestClass) -> api.RequestClass:
-    """The class with the short deduplication window, if it has one at all."""
+    """Return the class with a short deduplication window, if it has one at all."""
     return dataclasses.replace(request_class, dedup_window=DEDUP_WINDOW if request_class.dedup_window else 0)
 
 
@@ -219,6 +218,5 @@
     COUNTS.update(retries=0, retries_after_possible_run=0)
     for seed in range(first_seed, first_seed + 50):
         run_random_scenario(seed)
-    assert (
-        COUNTS["retries"] > 500 and COUNTS["retries_after_possible_run"] > 200
-    )  # else too little was tested
+    # With fewer retries too little would be tested.
+    assert COUNTS["retries"] > 500 and COUNTS["retries_after_possible_run"] > 200
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,7 @@
 
 
 def final_answers(bench: Bench, request: int) -> list:
-    """The final answers to one request."""
+    """Return the final answers to one request."""
     return [a for a in bench.log if isinstance(a, (api.Refuse, api.Fail)) and a.request == request]
 
 
@@ -231,7 +231,7 @@
 
 
 def ceiling_row(ceiling_tokens: float, total=0.0) -> Row:
-    """A message row of a customer with a ceiling, with the ceiling tokens requested or granted."""
+    """Return the row of a customer with a ceiling, with the ceiling tokens requested or granted."""
     return Row(1, 2, 0, 3, 0, 8.0, total, ceiling_tokens, ())
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -9,7 +9,7 @@
 
 
 def send_and_serve(bench: Bench, request: int, took) -> api.Send | None:
-    """Send a request and serve it with a response time chosen by server; returns the send, if any."""
+    """Send a request and serve it with a response time chosen by server; return the send, if any."""
     sends = of_type(bench.send_request(request, customer=request, time_left=2 * SECOND), api.Send)
     if not sends:
         return None
@@ -231,7 +231,10 @@
 
 
 def run_low_traffic(servers: int, seed: int = 1, rank: int = 0) -> tuple[int, set[bytes]]:
-    """Run 20 s: sends to servers unused for 5 s, which need a handshake; servers used in the last 10 s."""
+    """Run 20 s; return the number of sends that needed a handshake, and the servers used in the last 10 s.
+
+    A send to a server that was not used for 5 s needs a handshake.
+    """
     bench = Bench(servers=servers, seed=seed, rank=rank, gateways=40)
     last_sent: dict[bytes, int] = {}
     handshakes = 0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -26,7 +26,7 @@
 async def serve_during_list_updates(folder: Path, size: int, hosts: list[FakeHost]) -> tuple[int, float]:
     """Send requests through a gateway of ``size`` peers and hosts while it receives full lists repeatedly.
 
-    Returns its memory in kB and the longest time in seconds that a client waited for the response to a ping.
+    Return its memory in kB and the longest time in seconds that a client waited for the response to a ping.
     """
 
     def full_list(version: int) -> dict:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -116,7 +116,7 @@
             callback(*arguments)
 
     def peak_budget_use(self, server: api.Server) -> float:
-        """Largest share of the server's budget that was sent within ``overload_for``.
+        """Return the largest share of the server's budget that was sent within ``overload_for``.
 
         Only windows count in which more than two thirds of the sends came from gateways that were notified.
         """
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def log_output():
-    """Start logging to a buffer in a given format and level; resets logging afterwards."""
+    """Start logging to a buffer in a given format and level; reset logging afterwards."""
     output = io.StringIO()
 
     def start(form: str, level: str = "info") -> io.StringIO:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -39,7 +39,7 @@
 
 
 async def send_request(gateway: GatewayProcesses, number: bytes = b"id1"):
-    """Send one request on a new connection; returns the reply."""
+    """Send one request on a new connection; return the reply."""
     caller = await gateway.caller()
     caller.send_request(request_id=number)
     reply = (await caller.wait_for_replies())[0]
@@ -169,9 +169,9 @@
     return sock
 
 
-def receive_until(sock: socket.socket, until: bytes) -> bytes:
+def receive_until(sock: socket.socket, marker: bytes) -> bytes:
     data = b""
-    while until not in data and (more := sock.recv(65536)):
+    while marker not in data and (more := sock.recv(65536)):
         data += more
     return data
 
@@ -307,9 +307,8 @@
         for control in (predecessor_control, gateway.control):
             await gateway.send_control_call(b"HEALTH", control)
         agents[1].transport.write(list_response(serving | {"seq": 7}))
-        deadline = (
-            loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6
-        )  # SERVER_RETRY_INTERVAL: interval at which held requests are retried
+        # Ten times the interval at which held requests are retried.
+        deadline = loop.time() + 10 * SERVER_RETRY_INTERVAL / 1e6
         while loop.time() < deadline:
             assert await send_request(gateway, b"other") == b"ok"
         assert {command[2] for host in hosts for command in host.commands} == {b"held", b"other"}
@@ -395,7 +394,7 @@
 
 
 def restored_copy(bench: Bench, change=lambda state, rows: None) -> Gateway:
-    """A gateway restored from the JSON state of another one."""
+    """Return a gateway restored from the JSON state of another one."""
     text = json.dumps([handover.encode_state(bench.gateway), list(handover.encode_accounts(bench.gateway))])
     state, rows = json.loads(text)
     change(state, rows)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -38,7 +38,7 @@
 
 class Task:
     def cancel(self) -> None:
-        """Does nothing: a connection may still be established after the cancellation."""
+        """Do nothing: a connection may still be established after the cancellation."""
 
 
 class FakeTransport:
@@ -136,7 +136,7 @@
 
 
 def parser_awaiting_response(exchange: Exchange):
-    """A parser with a request in flight and no part of a response read."""
+    """Return a parser with a request in flight and no part of a response read."""
     http = discovery.h11.Connection(discovery.h11.CLIENT)
     http.send(discovery.h11.Request(method="GET", target="/", headers=[("host", "a")]))
     http.send(discovery.h11.EndOfMessage())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -71,17 +71,17 @@
 
 
 def record(text: str, size: int = wire.EVENT_SIZE) -> bytes:
-    """A record given in hexadecimal, padded with zeros."""
+    """Return a record given in hexadecimal, padded with zeros."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
-    """The events of one frame."""
+    """Return the events of one frame."""
     return wire.Decoder().decode_frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: api.Action) -> bytes:
-    """The bytes of the reply after its header."""
+    """Return the bytes of the reply after its header."""
     encoder = wire.Encoder()
     for action in actions:
         encoder.add(3, action)
@@ -89,19 +89,19 @@
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = 1) -> bytes:
-    """An input frame."""
+    """Return an input frame."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
 def start_record(gateway: int, settings: dict, offset: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
-    """A start record, and the settings for the tail."""
+    """Return a start record, and the settings for the tail."""
     text = json.dumps(settings).encode()
     return struct.pack("<BHQII", 7, gateway, seed, offset, len(text)).ljust(48, b"\0"), text
 
 
 def serve(*frames: bytes) -> bytes:
-    """All replies of the process."""
+    """Return all replies of the process."""
     sink = io.BytesIO()
     wirehost.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
@@ -195,7 +195,7 @@
 
 
 def without(*path: str) -> dict:
-    """The settings without the key at this path."""
+    """Return the settings without the key at this path."""
     settings = json.loads(json.dumps(SETTINGS))
     inner = settings
     for key in path[:-1]:
