--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -313,7 +313,7 @@
         return fields | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
 
-class Caller(asyncio.Protocol):
+class FakeClient(asyncio.Protocol):
     """A client's connection to the gateway; collects the parsed replies."""
 
     def __init__(self) -> None:
@@ -373,13 +373,13 @@
         self.driver.start(self.config.known)
         self.clients = Clients(self.driver, self.config, sockets)
 
-    async def caller(self) -> Caller:
+    async def connect_client(self) -> FakeClient:
         """Open a client's connection to the gateway."""
         if self.clients.server is None:
             await self.clients.listen()
         port = self.clients.server.sockets[0].getsockname()[1]
-        _, caller = await self.loop.create_connection(Caller, "127.0.0.1", port)
-        return caller
+        _, client = await self.loop.create_connection(FakeClient, "127.0.0.1", port)
+        return client
 
     def apply_host_list(self, *entries: dict, whole=False) -> None:
         """Apply an update of the host list from discovery."""
@@ -445,10 +445,10 @@
         writer.close()
         return answer.decode()
 
-    async def caller(self) -> Caller:
+    async def connect_client(self) -> FakeClient:
         """Open a client's connection."""
         address = config.address(self.configuration["listen"])
-        return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
+        return (await asyncio.get_running_loop().create_connection(FakeClient, *address))[1]
 
     async def __aenter__(self) -> GatewayProcesses:
         return self
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -149,7 +149,7 @@
     old_host, new_host = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(old_host)
     control = await start_control(gateway)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     connect_gate, connect = asyncio.Event(), gateway.loop.create_connection
 
     class SlowConnectLoop:
@@ -162,7 +162,7 @@
             return getattr(gateway.loop, name)
 
     gateway.hosts.loop = SlowConnectLoop()
-    caller.send_request("bill")
+    client.send_request("bill")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     gateway.apply_host_list(new_host.list_entry())
     assert (
@@ -171,11 +171,11 @@
         == "done out\n"
     )
     connect_gate.set()
-    assert await caller.wait_for_replies() == [b"ok"]
+    assert await client.wait_for_replies() == [b"ok"]
     gateway.apply_host_list(old_host.list_entry(), new_host.list_entry(), whole=True)
     for _ in range(5):
-        caller.send_request()
-    await caller.wait_for_replies(6)
+        client.send_request()
+    await client.wait_for_replies(6)
     assert len(new_host.commands) == 6 and old_host.commands == []
     assert (
         await send_control_call(control, b"ONLINE a")
@@ -183,7 +183,7 @@
         == "done back\n"
     )
     await asyncio.sleep(0.2)
-    caller.send_request()
+    client.send_request()
     await until(lambda: old_host.commands)
 
 
@@ -192,22 +192,22 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(*hosts)
     control = await start_control(gateway)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     await send_control_call(control, b"LEAVE")
     assert (await send_control_call(control, b"OFFLINE a")).startswith("done")
     for _ in range(5):
-        caller.send_request()
-    await caller.wait_for_replies(5)
+        client.send_request()
+    await client.wait_for_replies(5)
     assert (await send_control_call(control, b"JOIN")).startswith("done")
     for _ in range(5):
-        caller.send_request()
-    await caller.wait_for_replies(10)
+        client.send_request()
+    await client.wait_for_replies(10)
     assert hosts[0].commands == [] and len(hosts[1].commands) == 10
     await send_control_call(control, b"LEAVE")
     assert (await send_control_call(control, b"ONLINE a")).startswith("done")
     await send_control_call(control, b"JOIN")
     await asyncio.sleep(0.2)
-    caller.send_request()
+    client.send_request()
     await until(lambda: hosts[0].commands)
 
 
@@ -225,8 +225,8 @@
         old_control = gateway.control
         assert (await gateway.send_control_call(b"OFFLINE a")).startswith("done")
         assert (await gateway.send_control_call(b"OFFLINE nobody")).startswith("error")
-        open_caller = await gateway.caller()
-        open_caller.send_request(deadline_ms=10_000, request_id=b"held")
+        open_client = await gateway.connect_client()
+        open_client.send_request(deadline_ms=10_000, request_id=b"held")
         await until(lambda: hosts[1].commands or hosts[2].commands)
         await gateway.start()
         holding_host = hosts[1] if hosts[1].commands else hosts[2]
@@ -238,14 +238,14 @@
             == "done out\n"
         )
         holding_host.connections[0].transport.abort()
-        caller = await gateway.caller()
+        client = await gateway.connect_client()
         for number in range(5):
-            caller.send_request(request_id=b"%d" % number)
-        await caller.wait_for_replies(5)
+            client.send_request(request_id=b"%d" % number)
+        await client.wait_for_replies(5)
         assert hosts[0].commands == other_host.commands == []
         assert await gateway.send_control_call(b"ONLINE a", old_control) == "done back\n"
         for number in range(200):
-            caller.send_request(request_id=b"more%d" % number)
+            client.send_request(request_id=b"more%d" % number)
             await asyncio.sleep(0.01)
             if hosts[0].commands:
                 break
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -241,13 +241,13 @@
     waiting = []
     host.script = lambda command: waiting.append(host.sender)
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(request_id=b"0")
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"0")
     await until(lambda: len(host.commands) == 1)
     drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
     request_count, stats = 1, gateway.driver.stats
     while True:  # the next request arrives before the last is answered
-        caller.send_request(request_id=b"%d" % request_count)
+        client.send_request(request_id=b"%d" % request_count)
         request_count += 1
         await until(
             lambda request_count=request_count: (
@@ -257,12 +257,12 @@
         if stats["refused_leaving"]:
             break
         waiting.pop(0).transport.write(b"*1\r\n$2\r\nok\r\n")
-        await until(lambda request_count=request_count: len(caller.replies) >= request_count - 1)
+        await until(lambda request_count=request_count: len(client.replies) >= request_count - 1)
     (last,) = waiting
     last.transport.write(b"*1\r\n$2\r\nok\r\n")
     await asyncio.wait_for(drain, 10)
-    assert caller.closed and caller.replies[:-1] == [b"ok"] * (request_count - 1)
-    assert str(caller.replies[-1]) == "BUSY"
+    assert client.closed and client.replies[:-1] == [b"ok"] * (request_count - 1)
+    assert str(client.replies[-1]) == "BUSY"
 
 
 @asyncio_test
@@ -499,12 +499,12 @@
         )
         for host in hosts:
             host.script = lambda command: b"reset"
-        caller = await gateway.caller()
+        client = await gateway.connect_client()
         for name, effect in zip(("put", "bill"), effects, strict=True):
             before = sum(len(host.commands) for host in hosts)
             words = (b"00000000000000%02x" % (7 + before), b"id", b"k=key," + TERMS % (name.encode(), 2000))
-            caller.send_command(b"CALL.POST", *words, b"BODY")
-            await caller.wait_for_replies(len(caller.replies) + 1)
+            client.send_command(b"CALL.POST", *words, b"BODY")
+            await client.wait_for_replies(len(client.replies) + 1)
             sent = sum(len(host.commands) for host in hosts) - before
             assert (sent == 1) == (effect == "once"), effect
     # One customer's quota is spent and the other's is not, whatever their order in a segment.
@@ -512,13 +512,13 @@
     gateway = LoopbackGateway(
         host, packages=[dict(RAW_SETTINGS["packages"][0], peakUnits=2.0, perSecond=0.001)]
     )
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     spent, other = [
         hiredis.pack_command((b"CALL.GET", customer, b"id", TERMS % (b"read", 2000)))
         for customer in (b"0000000000000007", b"0000000000000008")
     ]
-    caller.transport.write(spent * 3 + other + spent + other)
-    replies = [str(reply).split()[0] for reply in await caller.wait_for_replies(6)]
+    client.transport.write(spent * 3 + other + spent + other)
+    replies = [str(reply).split()[0] for reply in await client.wait_for_replies(6)]
     assert replies[0] == "b'ok'" and replies[3] == "b'ok'"
     assert replies[2] == replies[4] == "BUSY"
 
@@ -540,11 +540,11 @@
 
         async def send_requests() -> None:
             """Send requests as another client, whose connection may be evicted between two of them."""
-            other_client = await gateway.caller()
+            other_client = await gateway.connect_client()
             while not stop.is_set():
                 descriptors.append(len(os.listdir(folder)))
                 if other_client.closed:
-                    other_client = await gateway.caller()
+                    other_client = await gateway.connect_client()
                 else:
                     other_client.send_request(request_id=b"n%d" % len(descriptors))
                     await until(lambda client=other_client: client.replies or client.closed)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -46,10 +46,10 @@
     assert (await send_control_call(control, b"HEALTH")).startswith("error no list of hosts")
     gateway.apply_host_list(host.list_entry())
     assert (await send_control_call(control, b"HEALTH")).startswith("error not listening")
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     assert (await send_control_call(control, b"HEALTH", b"\r\n")).startswith("done")
-    caller.send_command(b"PING")
-    assert await caller.wait_for_replies() == [b"PONG"]
+    client.send_command(b"PING")
+    assert await client.wait_for_replies() == [b"PONG"]
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
 @asyncio_test
 async def test_the_gateway_serves_while_its_control_address_is_in_use_and_listens_there_later():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     control = Control(gateway.driver, gateway.clients)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
@@ -129,8 +129,8 @@
         with pytest.raises(listening.StartupError, match="another process listens there"):
             await listening.listen_when_free("operators", address, listen, retry=False)
         retry_task = await listening.listen_when_free("operators", address, listen, retry=True)
-        caller.send_request()
-        assert await caller.wait_for_replies() == [b"ok"]
+        client.send_request()
+        assert await client.wait_for_replies() == [b"ok"]
         assert control.server is None
     await retry_task
     assert (await send_control_call(control, b"HEALTH")).startswith("done")
@@ -141,10 +141,10 @@
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
     control = await start_control(gateway)
-    polling, idle, with_open_request = [await gateway.caller() for _ in range(3)]
-    for caller in (polling, idle):
-        caller.send_request()
-        await caller.wait_for_replies()
+    polling, idle, with_open_request = [await gateway.connect_client() for _ in range(3)]
+    for client in (polling, idle):
+        client.send_request()
+        await client.wait_for_replies()
     host.script = lambda command: None
     with_open_request.send_request(deadline_ms=10_000, request_id=b"held")
     await until(lambda: len(host.commands) == 3)
@@ -157,13 +157,15 @@
     polling.send_command(b"PING")
     assert str((await polling.wait_for_replies(2))[1]).startswith("ERR")
     assert (await send_control_call(control, b"HEALTH")).startswith("error draining")
-    late_caller = await gateway.caller()  # accepted until the load balancer in front has seen the drain
+    late_client = (
+        await gateway.connect_client()
+    )  # accepted until the load balancer in front has seen the drain
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
-    late_caller.send_request()
+    late_client.send_request()
     idle.send_request()
-    assert await late_caller.wait_for_replies() == (await idle.wait_for_replies(2))[1:] == [b"ok"]
-    assert not (idle.closed or late_caller.closed)
-    while not (polling.closed and idle.closed and late_caller.closed):
+    assert await late_client.wait_for_replies() == (await idle.wait_for_replies(2))[1:] == [b"ok"]
+    assert not (idle.closed or late_client.closed)
+    while not (polling.closed and idle.closed and late_client.closed):
         if not polling.closed:
             polling.send_command(b"PING")  # PING alone does not keep a connection open
         await asyncio.sleep(0.05)
@@ -179,7 +181,7 @@
         == await send_control_call(control, b"JOIN")
         == "done joined\n"
     )
-    after_join = await gateway.caller()
+    after_join = await gateway.connect_client()
     after_join.send_command(b"PING")
     assert await after_join.wait_for_replies() == [b"PONG"]
     after_join.send_request()
@@ -192,13 +194,13 @@
 async def test_a_cancelled_drain_closes_no_more_connections():
     gateway = LoopbackGateway(await FakeHost("a").listen())
     control = await start_control(gateway)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     await send_control_call(control, b"LEAVE")
     await send_control_call(control, b"JOIN")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
-    caller.send_request()
-    assert await caller.wait_for_replies() == [b"ok"]
-    assert not caller.closed
+    client.send_request()
+    assert await client.wait_for_replies() == [b"ok"]
+    assert not client.closed
 
 
 @asyncio_test
@@ -207,15 +209,15 @@
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
     control = await start_control(gateway)
-    caller = await gateway.caller()
-    caller.transport.write(b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$2\r\nid\r\n")
+    client = await gateway.connect_client()
+    client.transport.write(b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$2\r\nid\r\n")
     await send_control_call(control, b"LEAVE")
     await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
-    assert not caller.closed
+    assert not client.closed
     terms = b"c=read,t=team,d=2000,units=1,spread=2,first=0"
-    caller.transport.write(b"$%d\r\n%b\r\n" % (len(terms), terms))
-    assert str((await caller.wait_for_replies())[0]) == "BUSY"  # safe to repeat: it was not executed
-    await until(lambda: caller.closed)
+    client.transport.write(b"$%d\r\n%b\r\n" % (len(terms), terms))
+    assert str((await client.wait_for_replies())[0]) == "BUSY"  # safe to repeat: it was not executed
+    await until(lambda: client.closed)
     assert host.commands == []
 
 
@@ -225,8 +227,8 @@
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
     control = await start_control(gateway)
-    caller = await gateway.caller()
-    caller.send_request(deadline_ms=10_000)
+    client = await gateway.connect_client()
+    client.send_request(deadline_ms=10_000)
     await until(lambda: host.commands)
     await send_control_call(control, b"LEAVE")
     shutdown = asyncio.create_task(gateway.clients.drain.shut_down(0.1))
@@ -235,5 +237,5 @@
     assert (await send_control_call(control, b"HEALTH")).startswith("error ending")
     assert not shutdown.done()
     host.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert await caller.wait_for_replies() == [b"last"]
+    assert await client.wait_for_replies() == [b"last"]
     await shutdown
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -68,7 +68,7 @@
         assert (await node.put("s-1")).status == 200
         gateway.configuration["metrics"] = metrics_address
         await gateway.start()
-        client = await gateway.caller()
+        client = await gateway.connect_client()
         client.send_request()
         assert await client.wait_for_replies() == [b"ok"]
         for address in (metrics_address, node.operators):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 
 import hiredis
 import pytest
-from conftest import RAW_SETTINGS, Caller, FakeHost, LoopbackGateway, asyncio_test, until
+from conftest import RAW_SETTINGS, FakeClient, FakeHost, LoopbackGateway, asyncio_test, until
 
 from orchidlane import interface as api
 from saffrongw import hosts as hosts_module
@@ -34,9 +34,9 @@
 @asyncio_test
 async def test_host_receives_the_command_with_only_the_timeout_changed():
     host = await FakeHost("a").listen()
-    caller = await LoopbackGateway(host).caller()
-    caller.send_request("put", deadline_ms=1500, request_id=b"id9", extra_terms=",r=1")
-    assert await caller.wait_for_replies() == [b"ok"]
+    client = await LoopbackGateway(host).connect_client()
+    client.send_request("put", deadline_ms=1500, request_id=b"id9", extra_terms=",r=1")
+    assert await client.wait_for_replies() == [b"ok"]
     command, customer, number, terms, body = host.commands[0]
     assert (command, customer, number, body) == (b"CALL.POST", b"0000000000000007", b"id9", b"BODY")
     sent = dict(pair.split(b"=") for pair in terms.split(b","))
@@ -50,15 +50,15 @@
     slow = []
     host = await FakeHost("a").listen()
     host.script = lambda command: slow.append(command) if command[2] == b"first" else b"*1\r\n$1\r\n2\r\n"
-    caller = await LoopbackGateway(host).caller()
-    caller.send_request(request_id=b"first")
-    caller.send_request(request_id=b"second")
-    caller.send_command(b"PING")
+    client = await LoopbackGateway(host).connect_client()
+    client.send_request(request_id=b"first")
+    client.send_request(request_id=b"second")
+    client.send_command(b"PING")
     await until(lambda: len(host.commands) == 2)
     await asyncio.sleep(0.05)
-    assert caller.replies == []
+    assert client.replies == []
     host.connections[0].transport.write(b"*1\r\n$1\r\n1\r\n")
-    assert await caller.wait_for_replies(3) == [b"1", b"2", b"PONG"]
+    assert await client.wait_for_replies(3) == [b"1", b"2", b"PONG"]
 
 
 @asyncio_test
@@ -66,16 +66,16 @@
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     host.script = lambda command: None
-    caller.send_request(request_id=b"one")
-    caller.send_request(request_id=b"two")
+    client.send_request(request_id=b"one")
+    client.send_request(request_id=b"two")
     await until(lambda: len(host.commands) == 2)
     assert len(host.connections) == 2
     for connection in host.connections:
         connection.transport.write(b"*1\r\n$1\r\nx\r\n")
-    await caller.wait_for_replies(2)
-    caller.send_request(request_id=b"three")
+    await client.wait_for_replies(2)
+    client.send_request(request_id=b"three")
     await until(lambda: len(host.commands) == 3)
     assert len(host.connections) == gateway.hosts.sockets == 2
 
@@ -85,9 +85,9 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"reset"
-    caller = await LoopbackGateway(*hosts).caller()
-    caller.send_request("bill")
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
+    client = await LoopbackGateway(*hosts).connect_client()
+    client.send_request("bill")
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -96,10 +96,10 @@
     busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
-    caller = await LoopbackGateway(busy, closed, good).caller()
+    client = await LoopbackGateway(busy, closed, good).connect_client()
     for number in range(12):
-        caller.send_request("bill", request_id=b"%d" % number)
-    assert await caller.wait_for_replies(12) == [b"ok"] * 12
+        client.send_request("bill", request_id=b"%d" % number)
+    assert await client.wait_for_replies(12) == [b"ok"] * 12
 
 
 @asyncio_test
@@ -108,9 +108,9 @@
     replies = [b"-ERR failed util=0.5\r\n", b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"]
     for host in hosts:
         host.script = lambda command: replies.pop(0)
-    caller = await LoopbackGateway(*hosts).caller()
-    caller.send_request()
-    assert await caller.wait_for_replies() == [b"ok"]
+    client = await LoopbackGateway(*hosts).connect_client()
+    client.send_request()
+    assert await client.wait_for_replies() == [b"ok"]
 
 
 @pytest.mark.parametrize(
@@ -131,9 +131,9 @@
     for host in hosts:
         host.script = lambda command: replies.pop(0)
     gateway = LoopbackGateway(*hosts)
-    caller = await gateway.caller()
-    caller.send_request()
-    assert await caller.wait_for_replies() == [b"ok"]
+    client = await gateway.connect_client()
+    client.send_request()
+    assert await client.wait_for_replies() == [b"ok"]
     await until(lambda: gateway.hosts.sockets == 1)  # the other connection is closed
 
 
@@ -142,9 +142,9 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request("bill", deadline_ms=200)
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
+    client = await gateway.connect_client()
+    client.send_request("bill", deadline_ms=200)
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
     await until(lambda: not host.connections)  # the attempt is cancelled
     assert gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
 
@@ -160,7 +160,7 @@
     ended = []
     feed = gateway.driver.feed
     gateway.driver.feed = lambda event: (ended.append(event), feed(event))
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     pool = gateway.hosts.pools[b"a"]
     connected = pool.connected
 
@@ -171,8 +171,8 @@
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
-    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
-    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
+    client.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    assert error_text((await client.wait_for_replies())[0]).startswith("BUSY")
     outcomes = [event.outcome for event in ended if isinstance(event, api.AttemptEnded)]
     assert outcomes == [api.Outcome.NOT_CONNECTED]
     listener.close()
@@ -187,7 +187,7 @@
     host = FakeHost("a")
     host.port = listener.getsockname()[1]
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     connected = gateway.hosts.pools[b"a"].connected
 
     def shrink_send_buffer(connection):
@@ -197,10 +197,10 @@
 
     gateway.hosts.pools[b"a"].connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
-    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    client.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await gateway.loop.sock_accept(listener)
     await gateway.loop.sock_sendall(accepted, b"-BUSY\r\n")
-    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert error_text((await client.wait_for_replies())[0]).startswith("BUSY")
     assert gateway.hosts.sockets == 0
     accepted.close()
     listener.close()
@@ -211,10 +211,10 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request()
+    client = await gateway.connect_client()
+    client.send_request()
     await until(lambda: host.commands)
-    caller.transport.close()
+    client.transport.close()
     await until(lambda: not host.connections)
     await until(lambda: gateway.driver.calls == gateway.driver.gateway.requests == {})
 
@@ -225,10 +225,10 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"cancel": False})
-    caller = await gateway.caller()
-    caller.send_request(deadline_ms=3000)
+    client = await gateway.connect_client()
+    client.send_request(deadline_ms=3000)
     await until(lambda: host.commands)
-    caller.transport.close()
+    client.transport.close()
     await until(lambda: not gateway.driver.calls)
     assert host.connections
     await until(lambda: not host.connections)
@@ -278,10 +278,10 @@
 @asyncio_test
 async def test_malformed_commands_get_an_error_and_reach_no_host(command):
     host = await FakeHost("a").listen()
-    caller = await LoopbackGateway(host).caller()
-    caller.send_command(*command)
-    caller.send_command(b"PING")  # the connection is kept
-    replies = await caller.wait_for_replies(2)
+    client = await LoopbackGateway(host).connect_client()
+    client.send_command(*command)
+    client.send_command(b"PING")  # the connection is kept
+    replies = await client.wait_for_replies(2)
     assert error_text(replies[0]).startswith("ERR")
     assert replies[1] == b"PONG"
     assert host.commands == []
@@ -290,25 +290,25 @@
 @pytest.mark.parametrize("junk", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$400000\r\n" + b"x" * 399_999])
 @asyncio_test
 async def test_connection_is_closed_when_framing_is_lost(junk):
-    caller = await LoopbackGateway(await FakeHost("a").listen()).caller()
-    caller.transport.write(junk)
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
-    await until(lambda: caller.closed)
+    client = await LoopbackGateway(await FakeHost("a").listen()).connect_client()
+    client.transport.write(junk)
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
+    await until(lambda: client.closed)
 
 
 @pytest.mark.parametrize("head", [b"*2147483647\r\n", b"*4\r\n*999999999\r\n", b"%99999999\r\n"])
 @asyncio_test
 async def test_oversized_declared_length_gets_an_error_and_a_close(head):
     """The parser would allocate all declared values, which the garbage collector scans for seconds."""
-    caller = await LoopbackGateway(await FakeHost("a").listen()).caller()
-    caller.send_command(b"PING")
-    caller.transport.write(hiredis.pack_command((b"PING",)) + head[:5])
-    await caller.wait_for_replies(2)
-    caller.transport.write(head[5:])
-    replies = await caller.wait_for_replies(3)
+    client = await LoopbackGateway(await FakeHost("a").listen()).connect_client()
+    client.send_command(b"PING")
+    client.transport.write(hiredis.pack_command((b"PING",)) + head[:5])
+    await client.wait_for_replies(2)
+    client.transport.write(head[5:])
+    replies = await client.wait_for_replies(3)
     assert replies[:2] == [b"PONG", b"PONG"]
     assert error_text(replies[2]).startswith("ERR")
-    await until(lambda: caller.closed)
+    await until(lambda: client.closed)
 
 
 @asyncio_test
@@ -316,15 +316,15 @@
     old, new = [await FakeHost(name).listen() for name in "ab"]
     old.script = lambda command: None
     gateway = LoopbackGateway(old)
-    caller = await gateway.caller()
-    caller.send_request()
+    client = await gateway.connect_client()
+    client.send_request()
     await until(lambda: old.commands)
     gateway.apply_host_list(old.list_entry("DRAINING"), new.list_entry())
     for number in range(5):
-        caller.send_request(request_id=b"%d" % number)
+        client.send_request(request_id=b"%d" % number)
     await until(lambda: len(new.commands) == 5)
     old.connections[0].transport.write(b"*1\r\n$4\r\nlast\r\n")
-    assert (await caller.wait_for_replies(6))[0] == b"last"
+    assert (await client.wait_for_replies(6))[0] == b"last"
     assert len(old.commands) == 1
     gateway.apply_host_list(old.list_entry("DELETED"))
     await until(lambda: not old.connections)
@@ -336,7 +336,7 @@
     """Attempts were sent once the connection was established, however long after the host began to drain."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     gateway = LoopbackGateway(old)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     connect_gate, connect = asyncio.Event(), gateway.loop.create_connection
 
     class SlowConnectLoop:
@@ -349,11 +349,11 @@
             return getattr(gateway.loop, name)
 
     gateway.hosts.loop = SlowConnectLoop()
-    caller.send_request("bill")
+    client.send_request("bill")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     gateway.apply_host_list(old.list_entry(health), new.list_entry())
     connect_gate.set()
-    assert await caller.wait_for_replies() == [b"ok"]
+    assert await client.wait_for_replies() == [b"ok"]
     assert len(new.commands) == 1
     await until(lambda: len(old.connections) == (health == "DRAINING"))
     assert old.commands == []
@@ -363,9 +363,9 @@
 async def test_idle_connections_are_closed_before_the_host_idle_timeout():
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"idleClose": 200_000})
-    caller = await gateway.caller()
-    caller.send_request()
-    await caller.wait_for_replies()
+    client = await gateway.connect_client()
+    client.send_request()
+    await client.wait_for_replies()
     await until(lambda: not host.connections and not gateway.hosts.sockets)
 
 
@@ -374,10 +374,10 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host, sockets=4)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     for number in range(9):
-        caller.send_request("bill", deadline_ms=400, request_id=b"%d" % number)
-    replies = await caller.wait_for_replies(9)
+        client.send_request("bill", deadline_ms=400, request_id=b"%d" % number)
+    replies = await client.wait_for_replies(9)
     assert len(host.commands) == 4
     assert sorted(error_text(reply).split()[0] for reply in replies) == ["BUSY"] * 5 + ["ERR"] * 4
 
@@ -388,19 +388,19 @@
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
     gateway.clients.max_connections = 3
-    first, second, third = [await gateway.caller() for _ in range(3)]
+    first, second, third = [await gateway.connect_client() for _ in range(3)]
     await until(lambda: len(gateway.clients.open) == 3)
-    for caller in (second, third, first):  # the first is the most recently used
-        caller.send_request()
-        await caller.wait_for_replies()
-    more = [await gateway.caller() for _ in range(2)]  # both connect before an eviction is noticed
+    for client in (second, third, first):  # the first is the most recently used
+        client.send_request()
+        await client.wait_for_replies()
+    more = [await gateway.connect_client() for _ in range(2)]  # both connect before an eviction is noticed
     await until(lambda: second.closed and third.closed)
     assert not first.closed
     host.script = lambda command: None
-    for caller in (first, *more):
-        caller.send_request("bill")
+    for client in (first, *more):
+        client.send_request("bill")
     await until(lambda: len(host.commands) == 6)
-    surplus = await gateway.caller()
+    surplus = await gateway.connect_client()
     surplus.send_request()
     assert error_text((await surplus.wait_for_replies())[0]) == "BUSY 1000"
     await until(lambda: surplus.closed)
@@ -414,7 +414,7 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    silent, partial, dripping, idle, waiting = [await gateway.caller() for _ in range(5)]
+    silent, partial, dripping, idle, waiting = [await gateway.connect_client() for _ in range(5)]
     started = gateway.loop.time()
     ping = hiredis.pack_command((b"PING",))
     idle.transport.write(ping)
@@ -436,14 +436,14 @@
 @asyncio_test
 async def test_input_received_during_event_loop_lag_is_read_before_the_timeout():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
-    (client,) = gateway.clients.open
-    client.waiting_since -= 10 * COMMAND_TIMEOUT
-    caller.send_command(b"PING")
-    client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
-    assert await caller.wait_for_replies() == [b"PONG"]
-    client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
-    assert client.stage is Stage.OPEN
+    client = await gateway.connect_client()
+    (gateway_client,) = gateway.clients.open
+    gateway_client.waiting_since -= 10 * COMMAND_TIMEOUT
+    client.send_command(b"PING")
+    gateway_client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
+    assert await client.wait_for_replies() == [b"PONG"]
+    gateway_client.check_timeouts(gateway.loop.time() - COMMAND_TIMEOUT)
+    assert gateway_client.stage is Stage.OPEN
 
 
 @asyncio_test
@@ -453,18 +453,18 @@
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
     gateway.clients.max_connections = 1
-    busy = await gateway.caller()
+    busy = await gateway.connect_client()
     busy.send_request("bill", deadline_ms=10_000)
     await until(lambda: host.commands)
     gateway.clients._sweep = lambda: None  # disables the command timeout
     more = []
     for number in range(SURPLUS_CONNECTIONS_MAX + 5):
-        more.append(await gateway.caller())
+        more.append(await gateway.connect_client())
         more[-1].transport.write(b"*1\r\n")
         await until(
             lambda number=number: more[-1].closed or gateway.clients.unfinished_bytes() == 4 * (number + 1)
         )
-    assert [caller.closed for caller in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
+    assert [client.closed for client in more] == [False] * SURPLUS_CONNECTIONS_MAX + [True] * 5
     assert len(gateway.clients.open) == 1 + SURPLUS_CONNECTIONS_MAX
     assert not busy.closed
 
@@ -476,31 +476,31 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(request_id=b"first", deadline_ms=30_000)
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"first", deadline_ms=30_000)
     pings = 200_000
-    caller.transport.write(hiredis.pack_command((b"PING",)) * pings)
-    await until(lambda: any(client.reading_paused for client in gateway.clients.open))
-    (client,) = gateway.clients.open
+    client.transport.write(hiredis.pack_command((b"PING",)) * pings)
+    await until(lambda: any(gateway_client.reading_paused for gateway_client in gateway.clients.open))
+    (gateway_client,) = gateway.clients.open
     for _ in range(20):
         await asyncio.sleep(0.01)
-        assert len(client.slots) <= PIPELINE_MAX
+        assert len(gateway_client.slots) <= PIPELINE_MAX
     host.connections[0].transport.write(b"*1\r\n$2\r\nok\r\n")
-    replies = await caller.wait_for_replies(pings + 1)
+    replies = await client.wait_for_replies(pings + 1)
     assert replies == [b"ok"] + [b"PONG"] * pings
 
 
 @asyncio_test
 async def test_client_that_never_reads_its_responses_is_closed():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
-    caller.transport.pause_reading()
+    client = await gateway.connect_client()
+    client.transport.pause_reading()
     await until(lambda: gateway.clients.open)
-    (client,) = gateway.clients.open
-    while not client.stalled_since:
-        caller.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
+    (gateway_client,) = gateway.clients.open
+    while not gateway_client.stalled_since:
+        client.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
         await asyncio.sleep(0)
-    client.stalled_since -= WRITE_STALL_TIMEOUT
+    gateway_client.stalled_since -= WRITE_STALL_TIMEOUT
     await until(lambda: not gateway.clients.open)
 
 
@@ -508,12 +508,12 @@
 async def test_unfinished_commands_of_all_clients_are_bounded():
     gateway = LoopbackGateway(await FakeHost("a").listen(), sockets=256)
     gateway.clients._sweep = lambda: None  # disables the command timeout
-    callers = [await gateway.caller() for _ in range(80)]
-    for caller in callers:
-        caller.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
-    await until(lambda: sum(caller.closed for caller in callers) >= 80 - COMMAND_BYTES_MAX_ALL // 60_000)
+    clients = [await gateway.connect_client() for _ in range(80)]
+    for client in clients:
+        client.transport.write(b"*5\r\n$65536\r\n" + b"x" * 60_000)
+    await until(lambda: sum(client.closed for client in clients) >= 80 - COMMAND_BYTES_MAX_ALL // 60_000)
     assert gateway.clients.unfinished_bytes() <= COMMAND_BYTES_MAX_ALL
-    assert not all(caller.closed for caller in callers)
+    assert not all(client.closed for client in clients)
 
 
 @asyncio_test
@@ -521,39 +521,39 @@
     """When a command is cut right after a header, the parser holds no unparsed data."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
     gateway.clients.max_connections = 1
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     ping = hiredis.pack_command((b"PING",))
-    caller.transport.write(ping + ping[:4])
-    await caller.wait_for_replies()
-    other = await gateway.caller()
+    client.transport.write(ping + ping[:4])
+    await client.wait_for_replies()
+    other = await gateway.connect_client()
     other.send_request()
     assert error_text((await other.wait_for_replies())[0]) == "BUSY 1000"
-    caller.transport.write(ping[4:])
-    assert await caller.wait_for_replies(2) == [b"PONG", b"PONG"]
+    client.transport.write(ping[4:])
+    assert await client.wait_for_replies(2) == [b"PONG", b"PONG"]
 
 
 @asyncio_test
 async def test_exception_in_the_decision_module_fails_only_one_request():
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     choose = gateway.driver.gateway._choose_server
     gateway.driver.gateway._choose_server = lambda request: 1 // 0
-    caller.send_request("bill")
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
+    client.send_request("bill")
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
     gateway.driver.gateway._choose_server = choose
-    caller.send_request("bill")
-    assert (await caller.wait_for_replies(2))[1] == b"ok"
+    client.send_request("bill")
+    assert (await client.wait_for_replies(2))[1] == b"ok"
     assert gateway.driver.calls == gateway.driver.gateway.requests == {}
 
 
 @asyncio_test
 async def test_request_without_a_decision_fails_at_its_deadline():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     gateway.driver.gateway._advance = lambda request: None
-    caller.send_request(deadline_ms=100)
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
+    client.send_request(deadline_ms=100)
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
 
 
 @asyncio_test
@@ -573,11 +573,11 @@
     )
     loop = asyncio.get_running_loop()
 
-    async def connect() -> Caller:
+    async def connect() -> FakeClient:
         async with asyncio.timeout(20):
             while True:
                 try:
-                    return (await loop.create_connection(Caller, "127.0.0.1", port))[1]
+                    return (await loop.create_connection(FakeClient, "127.0.0.1", port))[1]
                 except OSError:
                     await asyncio.sleep(0.02)
 
@@ -600,14 +600,14 @@
 @asyncio_test
 async def test_retry_after_is_rounded_up_to_whole_milliseconds():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
         gateway.driver.gateway._advance = lambda request, wait=wait: gateway.driver.gateway.actions.append(
             api.Refuse(request.event.request, wait)
         )
-        caller.send_request()
-        await until(lambda: caller.replies)
-        assert error_text(caller.replies.pop()) == line
+        client.send_request()
+        await until(lambda: client.replies)
+        assert error_text(client.replies.pop()) == line
 
 
 @asyncio_test
@@ -627,37 +627,37 @@
 @asyncio_test
 async def test_client_that_does_not_read_gets_backpressure():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    caller = await gateway.caller()
-    caller.transport.pause_reading()
+    client = await gateway.connect_client()
+    client.transport.pause_reading()
     await until(lambda: gateway.clients.open)
-    (client,) = gateway.clients.open
+    (gateway_client,) = gateway.clients.open
     paused = []
-    pause = client.pause_writing
-    client.transport.set_write_buffer_limits(high=1024)
-    client.pause_writing = lambda: (paused.append(True), pause())
+    pause = gateway_client.pause_writing
+    gateway_client.transport.set_write_buffer_limits(high=1024)
+    gateway_client.pause_writing = lambda: (paused.append(True), pause())
     # Few commands are executed per loop iteration, so the socket buffers must be small.
-    client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    caller.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    gateway_client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     pings = 0
     async with asyncio.timeout(30):
         while not paused:
-            if caller.transport.get_write_buffer_size() < 100_000:
-                caller.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
+            if client.transport.get_write_buffer_size() < 100_000:
+                client.transport.write(hiredis.pack_command((b"PING",)) * 20_000)
                 pings += 20_000
             await asyncio.sleep(0)
-    caller.transport.resume_reading()
-    await caller.wait_for_replies(pings)
+    client.transport.resume_reading()
+    await client.wait_for_replies(pings)
 
 
 @asyncio_test
 async def test_client_with_an_unread_request_in_its_socket_is_not_evicted():
     """With event loop lag, requests of the clients idle longest may be unread when an eviction is due."""
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    active = await gateway.caller()
+    active = await gateway.connect_client()
     address = active.transport.get_extra_info("peername")
     with socket.create_connection(address) as first, socket.create_connection(address) as second:
         await until(lambda: len(gateway.clients.open) == 3)
-        spare = await gateway.caller()
+        spare = await gateway.connect_client()
         await until(lambda: len(gateway.clients.open) == 4)
         active.send_request()  # so that the others have been idle longer
         await active.wait_for_replies()
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -78,23 +78,23 @@
     on that connection and lost, or answered with another request's response."""
     host = PlainHost("a")
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(kind, request_id=b"one")
+    client = await gateway.connect_client()
+    client.send_request(kind, request_id=b"one")
     first = await host.accept()
     await receive_command(first)
     await gateway.loop.sock_sendall(first, ANSWER)
-    assert await caller.wait_for_replies() == [b"fresh"]
+    assert await client.wait_for_replies() == [b"fresh"]
     (connection,) = gateway.hosts.pools[b"a"].idle
     await until(lambda: gateway.loop.time() - connection.idle_since > 2 * CONNECTION_COOLDOWN)
-    client = next(iter(gateway.clients.open))
-    caller.send_request(kind, request_id=b"two")  # passed to the kernel at once
-    wait_readable(client.transport.get_extra_info("socket").fileno())
+    gateway_client = next(iter(gateway.clients.open))
+    client.send_request(kind, request_id=b"two")  # passed to the kernel at once
+    wait_readable(gateway_client.transport.get_extra_info("socket").fileno())
     LEFTOVERS[left](first)
     wait_readable(connection.transport.get_extra_info("socket").fileno())
     second = await host.accept()
     assert (await receive_command(second))[2] == b"two"
     await gateway.loop.sock_sendall(second, ANSWER)
-    assert await caller.wait_for_replies(2) == [b"fresh", b"fresh"]
+    assert await client.wait_for_replies(2) == [b"fresh", b"fresh"]
     assert gateway.hosts.sockets == 1 and gateway.driver.stats["host_stale"] == 1
 
 
@@ -103,20 +103,20 @@
     """The next request followed at once on the same connection, and the duplicate response arrived there."""
     host = PlainHost("a")
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(request_id=b"one")
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"one")
     first = await host.accept()
     await receive_command(first)
     await gateway.loop.sock_sendall(first, ANSWER)
-    await caller.wait_for_replies()
-    caller.send_request(request_id=b"two")
+    await client.wait_for_replies()
+    client.send_request(request_id=b"two")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     await gateway.loop.sock_sendall(first, STALE)
     await until(lambda: gateway.driver.stats["host_unasked"])
     second = await host.accept()
     assert (await receive_command(second))[2] == b"two"
     await gateway.loop.sock_sendall(second, ANSWER)
-    assert await caller.wait_for_replies(2) == [b"fresh", b"fresh"]
+    assert await client.wait_for_replies(2) == [b"fresh", b"fresh"]
 
 
 @asyncio_test
@@ -126,18 +126,18 @@
     gateway = LoopbackGateway(
         slow, quick, permissions=RAW_SETTINGS["permissions"] | {"cancel": False, "connectTimeout": 5_000_000}
     )
-    gate, caller = Gate(gateway, slow.port), await gateway.caller()
+    gate, client = Gate(gateway, slow.port), await gateway.connect_client()
     gateway.driver.gateway._choose_server = lambda request: gateway.driver.gateway.hosts[b"a"]
-    caller.send_request()
+    client.send_request()
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     (number,) = gateway.driver.calls
     gateway.driver._execute([api.Send(number, b"b", 0, 0)])
-    assert await caller.wait_for_replies() == [b"ok"]
+    assert await client.wait_for_replies() == [b"ok"]
     gate.open()
     await until(lambda: slow.connections and not gateway.hosts.pools[b"a"].opening)
     assert gateway.driver.stats["attempt_not_connected"] == 1
-    caller.send_request(request_id=b"id2")  # anything sent earlier arrives before it
-    await caller.wait_for_replies(2)
+    client.send_request(request_id=b"id2")  # anything sent earlier arrives before it
+    await client.wait_for_replies(2)
     assert [command[2] for command in slow.commands] == [b"id2"]
 
 
@@ -147,21 +147,21 @@
     connections."""
     host = PlainHost("a")
     gateway = LoopbackGateway(host)
-    caller, pool = await gateway.caller(), gateway.hosts.pools[b"a"]
-    caller.send_request(request_id=b"one")
+    client, pool = await gateway.connect_client(), gateway.hosts.pools[b"a"]
+    client.send_request(request_id=b"one")
     first = await host.accept()
     await receive_command(first)
     gate = Gate(gateway, host.port)
     for number in (b"two", b"three"):
         await gateway.loop.sock_sendall(first, ANSWER)
         await until(lambda: pool.idle)
-        caller.send_request(request_id=number)
+        client.send_request(request_id=number)
         assert (await receive_command(first))[2] == number
     assert gateway.hosts.sockets == 1 and pool.opening == 0
     await gateway.loop.sock_sendall(first, ANSWER)
     await until(lambda: pool.idle)
     for number in (b"four", b"five", b"six"):
-        caller.send_request(request_id=number)
+        client.send_request(request_id=number)
     await until(lambda: gate.connecting == 2)
     assert (await receive_command(first))[2] == b"four"
     gate.open()
@@ -169,7 +169,7 @@
     assert {(await receive_command(other))[2] for other in others} == {b"five", b"six"}
     for each in (first, *others):
         await gateway.loop.sock_sendall(each, ANSWER)
-    assert await caller.wait_for_replies(6) == [b"fresh"] * 6
+    assert await client.wait_for_replies(6) == [b"fresh"] * 6
     assert len(pool.idle) == gateway.hosts.sockets == 3
 
 
@@ -201,7 +201,7 @@
     its request was never answered, and it stayed in the connection count."""
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"connectTimeout": 50_000})
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     pool = gateway.hosts.pools[b"a"]
     connected = pool.connected
 
@@ -210,11 +210,11 @@
         time.sleep(0.1)
 
     pool.connected = block_loop
-    caller.send_request(kind)
-    assert await caller.wait_for_replies() == [b"ok"]
+    client.send_request(kind)
+    assert await client.wait_for_replies() == [b"ok"]
     await until(lambda: pool.idle)
-    caller.send_request(kind, request_id=b"id2")
-    assert await caller.wait_for_replies(2) == [b"ok", b"ok"]
+    client.send_request(kind, request_id=b"id2")
+    assert await client.wait_for_replies(2) == [b"ok", b"ok"]
     assert gateway.hosts.sockets == len(host.connections)
 
 
@@ -231,7 +231,7 @@
         gate.open(),
     ),
     "taken out while it opens": lambda gateway, host, gate: (gateway.driver.ban(b"a", True), gate.open()),
-    "client gone": lambda gateway, host, gate: (gateway.test_caller.transport.abort(), gate.open()),
+    "client gone": lambda gateway, host, gate: (gateway.test_client.transport.abort(), gate.open()),
 }
 
 
@@ -243,13 +243,13 @@
         host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1, "connectTimeout": 200_000}
     )
     gate = Gate(gateway, host.port)
-    caller = gateway.test_caller = await gateway.caller()
-    caller.send_request("bill")
+    client = gateway.test_client = await gateway.connect_client()
+    client.send_request("bill")
     await until(lambda: gateway.hosts.pools[b"a"].waiting)
     assert gateway.hosts.sockets == 1
     CONNECT_OUTCOMES[end](gateway, host, gate)
     if end != "client gone":
-        assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
+        assert error_text((await client.wait_for_replies())[0]).startswith("BUSY")
     await until(
         lambda: (
             gateway.driver.calls == gateway.driver.gateway.requests == gateway.driver.gateway.attempts == {}
@@ -274,7 +274,7 @@
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     pool = gateway.hosts.pools[b"a"]
     connected = pool.connected
 
@@ -284,10 +284,10 @@
 
     pool.connected = shrink_send_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
-    caller.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
+    client.send_command(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     sock = await host.accept()
     await gateway.loop.sock_sendall(sock, early)
-    assert error_text((await caller.wait_for_replies())[0]).startswith("BUSY")
+    assert error_text((await client.wait_for_replies())[0]).startswith("BUSY")
     assert gateway.hosts.sockets == 0
 
 
@@ -296,9 +296,9 @@
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"-BUSY\r\n*1\r\n$2\r\nok\r\n"
-    caller = await LoopbackGateway(*hosts).caller()
-    caller.send_request("bill")
-    assert error_text((await caller.wait_for_replies())[0]).startswith("ERR")
+    client = await LoopbackGateway(*hosts).connect_client()
+    client.send_request("bill")
+    assert error_text((await client.wait_for_replies())[0]).startswith("ERR")
     assert sum(len(host.commands) for host in hosts) == 1
 
 
@@ -310,13 +310,13 @@
     for cut in range(len(data) + 1):
         host = PlainHost("a")
         gateway = LoopbackGateway(host)
-        caller = await gateway.caller()
-        caller.send_request("bill")
+        client = await gateway.connect_client()
+        client.send_request("bill")
         sock = await host.accept()
         await receive_command(sock)
         await gateway.loop.sock_sendall(sock, data[:cut])
         sock.close() if end == "end" else reset(sock)
-        (reply,) = await caller.wait_for_replies()
+        (reply,) = await client.wait_for_replies()
         if cut == len(data) and end == "end":
             assert reply == b"fresh"
         elif cut < len(data):
@@ -325,7 +325,7 @@
         with pytest.raises(BlockingIOError):
             host.listener.accept()
         await until(lambda gateway=gateway: gateway.hosts.sockets == 0)
-        caller.transport.close()
+        client.transport.close()
 
 
 @asyncio_test
@@ -339,7 +339,7 @@
     )
     gateway.apply_host_list(second.list_entry("DRAINING"))
     gate = Gate(gateway, second.port)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     ended, feed = [], gateway.driver.feed
 
     def feed_and_update_list(event):
@@ -350,12 +350,12 @@
         feed(event)
 
     gateway.driver.feed = feed_and_update_list
-    caller.send_request("put", deadline_ms=3000)
+    client.send_request("put", deadline_ms=3000)
     await until(lambda: gateway.hosts.pools[b"b"].waiting)
     sent = gateway.loop.time()
     await until(lambda: gateway.loop.time() - sent > 0.35)
     gate.open()
-    assert error_text((await caller.wait_for_replies())[0]) == "ERR failed"
+    assert error_text((await client.wait_for_replies())[0]) == "ERR failed"
     await until(lambda: second.connections)
     assert (len(first.commands), len(second.commands)) == (1, 0)
     assert [event.outcome for event in ended][:2] == [api.Outcome.BROKEN, api.Outcome.NOT_CONNECTED]
@@ -380,10 +380,10 @@
     closed = await FakeHost("e").listen()
     closed.server.close()
     gateway = LoopbackGateway(*hosts, closed)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     for number in range(120):
-        caller.send_request(request_id=b"%d" % number, deadline_ms=1500)
-    assert len(await caller.wait_for_replies(120)) == 120
+        client.send_request(request_id=b"%d" % number, deadline_ms=1500)
+    assert len(await client.wait_for_replies(120)) == 120
     await until(lambda: not gateway.driver.calls)
     await until(lambda: gateway.hosts.sockets == sum(len(pool.idle) for pool in gateway.hosts.pools.values()))
     for pool in gateway.hosts.pools.values():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -77,12 +77,12 @@
     monkeypatch.setattr(hosts_module, "CONNECTION_COOLDOWN", 0.0)  # reuse connections at once
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     host.script = lambda command: answer(BIG) if command[2] == b"big" else answer(b"small")
     for round_number in range(3):
-        caller.send_request(request_id=b"big")
-        caller.send_request(request_id=b"other")
-        assert await caller.wait_for_replies(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
+        client.send_request(request_id=b"big")
+        client.send_request(request_id=b"other")
+        assert await client.wait_for_replies(2 * round_number + 2) == [BIG, b"small"] * (round_number + 1)
         await until(lambda: not gateway.hosts.streams)
     assert gateway.driver.stats["streamed"] == 3 and gateway.hosts.streams == {}
     assert len(host.connections) == gateway.hosts.sockets <= 2
@@ -123,14 +123,14 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request()
+    client = await gateway.connect_client()
+    client.send_request()
     await until(lambda: host.commands)
     host.connections[0].transport.write(answer(BIG)[:100_000])
     await until(lambda: gateway.hosts.streams)
     host.connections[0].transport.abort()
-    await until(lambda: caller.closed)
-    assert caller.replies == [] and len(host.commands) == 1
+    await until(lambda: client.closed)
+    assert client.replies == [] and len(host.commands) == 1
     assert gateway.driver.stats["stream_broken"] == 1 and gateway.hosts.sockets == 0
 
 
@@ -146,8 +146,8 @@
         host = await FakeHost("a").listen()
         host.script = lambda command: None
         gateway = LoopbackGateway(host)
-        caller = await gateway.caller()
-        caller.send_request("bill")
+        client = await gateway.connect_client()
+        client.send_request("bill")
         await until(lambda host=host: host.commands)
         (connection,) = host.connections
         connection.transport.write(data[:cut])
@@ -157,16 +157,16 @@
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.transport.close()
-        await until(lambda caller=caller, cut=cut, head=head: caller.closed or (caller.replies and True))
+        await until(lambda client=client, cut=cut, head=head: client.closed or (client.replies and True))
         if cut == len(data):
-            assert caller.replies == [value] or (end == "reset" and not caller.replies)
-        elif caller.replies:
-            assert str(caller.replies[0]) == "ERR failed" and len(caller.replies) == 1
+            assert client.replies == [value] or (end == "reset" and not client.replies)
+        elif client.replies:
+            assert str(client.replies[0]) == "ERR failed" and len(client.replies) == 1
         else:
-            assert caller.closed and gateway.driver.stats["stream_broken"] == 1
+            assert client.closed and gateway.driver.stats["stream_broken"] == 1
         await until(lambda gateway=gateway: gateway.hosts.sockets == 0)
         assert len(host.commands) == 1
-        caller.transport.close()
+        client.transport.close()
 
 
 @pytest.mark.parametrize("suffix", [b"xx", b"\r\n$70000\r\n", b"\r\n:x"])
@@ -178,14 +178,14 @@
     malformed = b"*3\r\n$70000\r\n%b%b" % (BIG[:70_000], suffix + b"\r\n" + b"x" * 70_000)
     host.script = lambda command: first.append(host.sender) if command[2] == b"one" else malformed
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(request_id=b"one")
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"one")
     await until(lambda: first)
-    caller.send_request("bill", request_id=b"two")
+    client.send_request("bill", request_id=b"two")
     await until(lambda: gateway.driver.stats["stream_broken"])
     first[0].transport.write(answer(b"ok"))
-    caller.send_command(b"PING")
-    replies = await caller.wait_for_replies(3)
+    client.send_command(b"PING")
+    replies = await client.wait_for_replies(3)
     assert replies[0] == b"ok" and str(replies[1]) == "ERR failed" and replies[2] == b"PONG"
     assert len(host.commands) == 2
 
@@ -195,11 +195,11 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG) * 2 if command[2] == b"one" else answer(b"other")
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request(request_id=b"one")
-    assert await caller.wait_for_replies() == [BIG]
-    caller.send_request(request_id=b"two")
-    assert await caller.wait_for_replies(2) == [BIG, b"other"]
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"one")
+    assert await client.wait_for_replies() == [BIG]
+    client.send_request(request_id=b"two")
+    assert await client.wait_for_replies(2) == [BIG, b"other"]
 
 
 @asyncio_test
@@ -207,9 +207,9 @@
     monkeypatch.setattr(hosts_module, "STREAM_IDLE_TIMEOUT", 0.3)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
-    caller = await LoopbackGateway(host).caller()
-    caller.send_request()
-    await until(lambda: caller.closed)
+    client = await LoopbackGateway(host).connect_client()
+    client.send_request()
+    await until(lambda: client.closed)
     await until(lambda: not host.connections)
 
 
@@ -248,17 +248,17 @@
     value = random.Random(6).randbytes(LARGE_VALUE_BYTES_MAX)
     host.script = lambda command: answer(value)
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    (client,) = await asyncio.sleep(0.05) or gateway.clients.open
-    client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    client.transport.set_write_buffer_limits(high=1_000, low=0)  # so that it rarely drains
-    caller.send_request(deadline_ms=2000)
+    client = await gateway.connect_client()
+    (gateway_client,) = await asyncio.sleep(0.05) or gateway.clients.open
+    gateway_client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    gateway_client.transport.set_write_buffer_limits(high=1_000, low=0)  # so that it rarely drains
+    client.send_request(deadline_ms=2000)
     for _ in range(40):
-        caller.transport.pause_reading()
+        client.transport.pause_reading()
         await asyncio.sleep(0.1)
-        caller.transport.resume_reading()
+        client.transport.resume_reading()
         await asyncio.sleep(0.002)
-    assert await caller.wait_for_replies() == [value]
+    assert await client.wait_for_replies() == [value]
 
 
 @asyncio_test
@@ -268,15 +268,15 @@
     for host in hosts:
         host.script = lambda command: replies.pop(0)
     gateway = LoopbackGateway(*hosts)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     free = gateway.clients.upload_memory.free
     data = post(BIG)
     for at in range(0, len(data), 400_000):
         assert not hosts[0].commands + hosts[1].commands
-        caller.transport.write(data[at : at + 400_000])
+        client.transport.write(data[at : at + 400_000])
         await asyncio.sleep(0.05)
-    caller.send_request(request_id=b"next")
-    assert await caller.wait_for_replies(2) == [b"done", b"small"]
+    client.send_request(request_id=b"next")
+    assert await client.wait_for_replies(2) == [b"done", b"small"]
     commands = [command for host in hosts for command in host.commands]
     assert [command[4] for command in commands if command[2] == b"id1"] == [BIG, BIG]
     assert gateway.clients.upload_memory.free == free
@@ -288,17 +288,17 @@
     gateway = LoopbackGateway(host)
     gateway.clients.upload_memory.free = 2 * len(BIG) + 1
     host.script = lambda command: answer(command[2])
-    callers = [await gateway.caller() for _ in range(6)]
-    for number, caller in enumerate(callers):
-        caller.transport.write(post(BIG, b"id%d" % number)[:-10])
+    clients = [await gateway.connect_client() for _ in range(6)]
+    for number, client in enumerate(clients):
+        client.transport.write(post(BIG, b"id%d" % number)[:-10])
     await until(lambda: len(gateway.clients.upload_memory.waiting) == 4)
     assert gateway.clients.upload_memory.free == 1
-    callers[5].transport.close()  # one that waits for memory disconnects, and one that holds some
-    callers[0].transport.close()
-    for number, caller in enumerate(callers[1:5], 1):
-        caller.transport.write(post(BIG, b"id%d" % number)[-10:])
-    for number, caller in enumerate(callers[1:5], 1):
-        assert await caller.wait_for_replies() == [b"id%d" % number]
+    clients[5].transport.close()  # one that waits for memory disconnects, and one that holds some
+    clients[0].transport.close()
+    for number, client in enumerate(clients[1:5], 1):
+        client.transport.write(post(BIG, b"id%d" % number)[-10:])
+    for number, client in enumerate(clients[1:5], 1):
+        assert await client.wait_for_replies() == [b"id%d" % number]
     await until(lambda: gateway.clients.upload_memory.free == 2 * len(BIG) + 1)
     assert gateway.clients.upload_memory.waiting == {} and len(host.commands) == 4
 
@@ -309,20 +309,20 @@
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
     gateway.clients.upload_memory.free = 10
-    caller = await gateway.caller()
-    caller.transport.write(post(BIG))
-    assert str((await caller.wait_for_replies())[0]) == "BUSY"
-    await until(lambda: caller.closed)
+    client = await gateway.connect_client()
+    client.transport.write(post(BIG))
+    assert str((await client.wait_for_replies())[0]) == "BUSY"
+    await until(lambda: client.closed)
     assert gateway.clients.upload_memory.free == 10 and host.commands == []
 
 
 @asyncio_test
 async def test_stalled_and_slow_uploads_are_closed_in_time():
     gateway = LoopbackGateway(await FakeHost("a").listen())
-    stalled, slow = [await gateway.caller() for _ in range(2)]
+    stalled, slow = [await gateway.connect_client() for _ in range(2)]
     started, free = gateway.loop.time(), gateway.clients.upload_memory.free
-    for caller in (stalled, slow):
-        caller.transport.write(post(BIG)[:1000])
+    for client in (stalled, slow):
+        client.transport.write(post(BIG)[:1000])
     while not (stalled.closed and slow.closed):
         slow.transport.write(b"x")
         await asyncio.sleep(0.05)
@@ -335,10 +335,10 @@
 @asyncio_test
 async def test_body_over_the_limit_gets_an_error(more):
     host = await FakeHost("a").listen()
-    caller = await LoopbackGateway(host).caller()
-    caller.transport.write(post(b"x" * (LARGE_VALUE_BYTES_MAX + 1 + more)))
-    assert str((await caller.wait_for_replies())[0]).startswith("ERR")
-    await until(lambda: caller.closed)
+    client = await LoopbackGateway(host).connect_client()
+    client.transport.write(post(b"x" * (LARGE_VALUE_BYTES_MAX + 1 + more)))
+    assert str((await client.wait_for_replies())[0]).startswith("ERR")
+    await until(lambda: client.closed)
     assert host.commands == []
 
 
@@ -346,10 +346,10 @@
 async def test_malformed_request_with_a_large_body_is_discarded_and_the_connection_kept():
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
+    client = await gateway.connect_client()
     free = gateway.clients.upload_memory.free
-    caller.transport.write(post(BIG, terms=b"c=put") + hiredis.pack_command((b"PING",)))
-    replies = await caller.wait_for_replies(2)
+    client.transport.write(post(BIG, terms=b"c=put") + hiredis.pack_command((b"PING",)))
+    replies = await client.wait_for_replies(2)
     assert str(replies[0]).startswith("ERR") and replies[1] == b"PONG"
     assert gateway.clients.upload_memory.free == free and host.commands == []
 
@@ -359,12 +359,12 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(BIG)[:100_000]
     gateway = LoopbackGateway(host)
-    caller = await gateway.caller()
-    caller.send_request()
+    client = await gateway.connect_client()
+    client.send_request()
     await until(lambda: gateway.hosts.streams)
     ending = asyncio.create_task(gateway.clients.drain.shut_down(0.1))
     await asyncio.sleep(1.5)
     assert not ending.done()
     host.connections[0].transport.write(answer(BIG)[100_000:])
-    assert await caller.wait_for_replies() == [BIG]
+    assert await client.wait_for_replies() == [BIG]
     await ending
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -37,17 +37,17 @@
         gateway.configuration["known"]["hosts"].append(hosts[1].list_entry(site="nowhere"))
         await gateway.start()
         before = await scrape(address)
-        caller = await gateway.caller()
+        client = await gateway.connect_client()
         for number in range(40):  # several customers, each request with its own id
             terms = b"c=read,t=team,d=2000,units=1,spread=1,first=0"
             words = (b"CALL.GET", b"%016x" % (number % 5), b"id%d" % number, terms)
-            caller.send_command(*words)
-            await caller.wait_for_replies(number + 1)
-        caller.send_command(b"CALL.GET", b"zzz", b"\xff", b"c=nothing")
-        await caller.wait_for_replies(41)
+            client.send_command(*words)
+            await client.wait_for_replies(number + 1)
+        client.send_command(b"CALL.GET", b"zzz", b"\xff", b"c=nothing")
+        await client.wait_for_replies(41)
         after = await scrape(address)
-        served = [r for r in caller.replies if r == b"ok"]
-        refused = [r for r in caller.replies if str(r).startswith("BUSY")]
+        served = [r for r in client.replies if r == b"ok"]
+        refused = [r for r in client.replies if str(r).startswith("BUSY")]
         assert served and refused
         served_reads = (("class", "read"), ("outcome", "served"))
         by_zone = {
--- a/tests/test_registry_followers.py
+++ b/tests/test_registry_followers.py
@@ -355,20 +355,20 @@
             GatewayProcesses(folders[1], discovery=agent.listen),
         ]
         async with gateways[0], gateways[1]:
-            callers = []
+            clients = []
             for gateway in gateways:
                 await gateway.start()
-                callers.append(await gateway.caller())
+                clients.append(await gateway.connect_client())
             request_count = 0
 
             async def serve(rounds: int) -> None:
                 nonlocal request_count
                 for _ in range(rounds):
-                    for caller in callers:
-                        caller.send_request(request_id=b"id%d" % request_count)
+                    for client in clients:
+                        client.send_request(request_id=b"id%d" % request_count)
                     request_count += 1
-                    for caller in callers:
-                        assert (await caller.wait_for_replies(request_count))[-1] == b"ok"
+                    for client in clients:
+                        assert (await client.wait_for_replies(request_count))[-1] == b"ok"
                     await asyncio.sleep(0.01)
 
             await serve(20)
@@ -388,7 +388,7 @@
             before = len(drained.commands)
             await serve(60)
             assert len(drained.commands) == before
-            assert all(caller.replies == [b"ok"] * request_count for caller in callers)
+            assert all(client.replies == [b"ok"] * request_count for client in clients)
 
 
 @asyncio_test
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -44,7 +44,7 @@
             "known": full_list(1),
         }
         process = await gateway.start()
-        client, longest, number = await gateway.caller(), 0.0, 0
+        client, longest, number = await gateway.connect_client(), 0.0, 0
         while len(agent.requests) <= len(lists) or number < 40:
             started, number = loop.time(), number + 1
             client.send_command(b"PING")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -40,10 +40,10 @@
 
 async def send_request(gateway: GatewayProcesses, number: bytes = b"id1"):
     """Send one request on a new connection; return the reply."""
-    caller = await gateway.caller()
-    caller.send_request(request_id=number)
-    reply = (await caller.wait_for_replies())[0]
-    caller.transport.close()
+    client = await gateway.connect_client()
+    client.send_request(request_id=number)
+    reply = (await client.wait_for_replies())[0]
+    client.transport.close()
     return reply
 
 
@@ -108,7 +108,7 @@
         host.script = lambda command: None
     async with GatewayProcesses(tmp_path, *hosts) as gateway:
         old = await gateway.start(long_command_timeout=True)
-        holding, partial, idle = [await gateway.caller() for _ in range(3)]
+        holding, partial, idle = [await gateway.connect_client() for _ in range(3)]
         holding.send_request("put", deadline_ms=10_000, request_id=b"held")
         await until(lambda: any(host.commands for host in hosts))
         command_parts = (
@@ -184,7 +184,7 @@
     host = await FakeHost("a").listen()
     async with GatewayProcesses(tmp_path, host) as gateway:
         old = await gateway.start()
-        client = await gateway.caller()
+        client = await gateway.connect_client()
         sock = await asyncio.to_thread(connect_as_successor, gateway)
         first_byte, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         assert first_byte == b"\0" and len(descriptors) == 2
@@ -233,7 +233,7 @@
     host = await FakeHost("a").listen()
     async with GatewayProcesses(tmp_path, host) as gateway:
         old = await gateway.start()
-        client = await gateway.caller()
+        client = await gateway.connect_client()
         sock = await asyncio.to_thread(connect_as_successor, gateway)
         _, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, sock, 1, 2)
         sock.sendall(b'{"take": true}\n')
@@ -282,7 +282,7 @@
     async with GatewayProcesses(tmp_path, *hosts, discovery=addresses[0]) as gateway:
         await gateway.start(long_command_timeout=True)
         predecessor_control = gateway.control
-        holding, partial = await gateway.caller(), await gateway.caller()
+        holding, partial = await gateway.connect_client(), await gateway.connect_client()
         for host in hosts:
             host.script = lambda command: None if command[2] == b"held" else OK
         holding.send_request("put", deadline_ms=20_000, request_id=b"held")  # keeps the predecessor running
@@ -326,7 +326,7 @@
     host.script = lambda command: None
     async with GatewayProcesses(tmp_path, host) as gateway:
         await gateway.start(long_command_timeout=True)
-        holding, partial = await gateway.caller(), await gateway.caller()
+        holding, partial = await gateway.connect_client(), await gateway.connect_client()
         holding.send_request("put", deadline_ms=9_000, request_id=b"held")  # keeps the predecessor running
         await until(lambda: host.commands)
         command_parts = (
