--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 """Settings and helpers that the tests share.
 
-``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
-simulated network. ``LoopbackGateway`` runs one gateway on loopback sockets within the test's process,
+``GatewayHarness`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them
+with a simulated network. ``LoopbackGateway`` runs one gateway on loopback sockets within the test's process,
 ``GatewayProcesses`` starts it as separate processes. The settings are examples.
 """
 
@@ -82,7 +82,7 @@
     return api.ServerListed(kind, 1, tuple(entries))
 
 
-class Bench:
+class GatewayHarness:
     """The decision core of one gateway with a simulated clock; records its actions and runs its timers."""
 
     def __init__(self, servers=4, now=T0, seed=1, **changes) -> None:
@@ -156,13 +156,13 @@
         self.request_count = 0
         self.messages = 0
         changes |= {"gateways": gateways}
-        self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
+        self.harnesses = [GatewayHarness(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
         self.now = T0
         self.dead: set[int] = set()
         self.in_flight: list[tuple[int, int, int, bytes]] = []  # arrival, sender, receiver, body
         self.answers: dict[int, api.Action] = {}  # by request: Send, Refuse or Fail
-        for rank, bench in enumerate(self.benches):
-            self._execute(rank, bench.log)
+        for rank, harness in enumerate(self.harnesses):
+            self._execute(rank, harness.log)
 
     def _execute(self, rank: int, actions) -> None:
         for action in actions:
@@ -173,7 +173,7 @@
             elif isinstance(action, api.Send):
                 self.answers[action.request] = action
                 self._execute(
-                    rank, self.benches[rank].end_attempt(action.request, action.server, api.Outcome.SERVED)
+                    rank, self.harnesses[rank].end_attempt(action.request, action.server, api.Outcome.SERVED)
                 )
             elif isinstance(action, api.Refuse | api.Fail):
                 self.answers[action.request] = action
@@ -181,7 +181,7 @@
     def send_request(self, rank: int, **request) -> int:
         """Send a request to one gateway; return its number."""
         self.request_count += 1
-        self._execute(rank, self.benches[rank].send_request(self.request_count, **request))
+        self._execute(rank, self.harnesses[rank].send_request(self.request_count, **request))
         return self.request_count
 
     def run(self, span: int) -> None:
@@ -189,15 +189,15 @@
         end = self.now + span
         while self.now < end:
             self.now += self.STEP
-            for rank, bench in enumerate(self.benches):
-                bench.now = bench.now if rank in self.dead else self.now
-                if rank not in self.dead and bench.timers and min(bench.timers)[0] <= self.now:
-                    self._execute(rank, bench.run(0))
+            for rank, harness in enumerate(self.harnesses):
+                harness.now = harness.now if rank in self.dead else self.now
+                if rank not in self.dead and harness.timers and min(harness.timers)[0] <= self.now:
+                    self._execute(rank, harness.run(0))
             due = [message for message in self.in_flight if message[0] <= self.now]
             self.in_flight = [message for message in self.in_flight if message[0] > self.now]
             for _, sender, rank, body in due:
                 if rank not in self.dead:
-                    self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
+                    self._execute(rank, self.harnesses[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
         """Return the requests that were forwarded to a host."""
@@ -210,9 +210,9 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> GatewayHarness:
     """Return a gateway with four warm servers."""
-    return Bench()
+    return GatewayHarness()
 
 
 # -- the gateway on loopback sockets -------------------------------------------------------------------
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -8,8 +8,8 @@
 from conftest import (
     RAW_SETTINGS,
     SECOND,
-    Bench,
     FakeHost,
+    GatewayHarness,
     GatewayProcesses,
     LoopbackGateway,
     asyncio_test,
@@ -27,21 +27,21 @@
 SERVER_1, SERVER_2 = entry(1).server, entry(2).server
 
 
-def ban(bench: Bench, server=SERVER_1, is_banned=True) -> None:
-    assert bench.feed(api.ServerBanned(server, is_banned)) == []
+def ban(harness: GatewayHarness, server=SERVER_1, is_banned=True) -> None:
+    assert harness.feed(api.ServerBanned(server, is_banned)) == []
 
 
-def servers_used(bench: Bench, first: int, requests=40, **request) -> set[bytes]:
+def servers_used(harness: GatewayHarness, first: int, requests=40, **request) -> set[bytes]:
     """Send requests, at most two open at a time; return the servers that got one."""
     servers, last_attempt = set(), None
     for number in range(first, first + requests):
-        for send in of_type(bench.send_request(number, customer=number, **request), api.Send):
+        for send in of_type(harness.send_request(number, customer=number, **request), api.Send):
             servers.add(send.server)
             if last_attempt:
-                bench.end_attempt(*last_attempt, api.Outcome.SERVED)
+                harness.end_attempt(*last_attempt, api.Outcome.SERVED)
             last_attempt = number, send.server
-        bench.run(20_000)
-    bench.end_attempt(*last_attempt, api.Outcome.SERVED)
+        harness.run(20_000)
+    harness.end_attempt(*last_attempt, api.Outcome.SERVED)
     return servers
 
 
@@ -56,92 +56,92 @@
     ],
 )
 def test_a_ban_outlasts_discovery_updates_and_the_latest_list_applies_after_it(update):
-    bench = Bench(servers=0, plans=(api.Plan(9.0, 99.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
-    bench.feed(listed(entry(1), entry(2)))
-    assert servers_used(bench, 1) == {SERVER_1, SERVER_2}
-    ban(bench)
-    ban(bench)
-    assert servers_used(bench, 100) == {SERVER_2}
-    bench.feed(update)
-    assert servers_used(bench, 200) == {SERVER_2}
-    bench.feed(listed(entry(1, launched=bench.now - SECOND), kind=api.ListKind.CHANGES))
-    assert servers_used(bench, 300) == {SERVER_2}
-    ban(bench, is_banned=False)
-    assert [host.entry.server for host in bench.gateway.cold.hosts] == [SERVER_1]  # it has restarted
-    bench.run(SECOND)
-    assert servers_used(bench, 400) == {SERVER_1, SERVER_2}
-    bench.feed(listed(entry(1, api.Phase.DRAINING), kind=api.ListKind.CHANGES))
-    assert servers_used(bench, 500) == {SERVER_2}
+    harness = GatewayHarness(servers=0, plans=(api.Plan(9.0, 99.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
+    harness.feed(listed(entry(1), entry(2)))
+    assert servers_used(harness, 1) == {SERVER_1, SERVER_2}
+    ban(harness)
+    ban(harness)
+    assert servers_used(harness, 100) == {SERVER_2}
+    harness.feed(update)
+    assert servers_used(harness, 200) == {SERVER_2}
+    harness.feed(listed(entry(1, launched=harness.now - SECOND), kind=api.ListKind.CHANGES))
+    assert servers_used(harness, 300) == {SERVER_2}
+    ban(harness, is_banned=False)
+    assert [host.entry.server for host in harness.gateway.cold.hosts] == [SERVER_1]  # it has restarted
+    harness.run(SECOND)
+    assert servers_used(harness, 400) == {SERVER_1, SERVER_2}
+    harness.feed(listed(entry(1, api.Phase.DRAINING), kind=api.ListKind.CHANGES))
+    assert servers_used(harness, 500) == {SERVER_2}
 
 
 def test_a_retry_is_not_sent_to_a_banned_server():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2)))
-    (send,) = of_type(bench.send_request(1, kind=1), api.Send)
+    harness = GatewayHarness(servers=0)
+    harness.feed(listed(entry(1), entry(2)))
+    (send,) = of_type(harness.send_request(1, kind=1), api.Send)
     other = SERVER_1 if send.server == SERVER_2 else SERVER_2
-    ban(bench, other)
+    ban(harness, other)
     for number in range(3):
-        again = of_type(bench.end_attempt(1, send.server, api.Outcome.FULL, attempt=number), api.Send)
+        again = of_type(harness.end_attempt(1, send.server, api.Outcome.FULL, attempt=number), api.Send)
         assert [action.server for action in again] == [send.server]
 
 
 def test_a_reinstated_server_gets_a_trial_request_soon_even_if_others_look_better():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2)))
-    ban(bench)
-    servers_used(bench, 1)
-    ban(bench, is_banned=False)
-    host = bench.gateway.hosts[SERVER_1]
-    bench.run(SECOND)
-    host.updated_at, host.slowdown, host.failures = bench.now, 8.0, 6.0  # too slow ever to be chosen
-    (send,) = of_type(bench.send_request(100, customer=100), api.Send)
+    harness = GatewayHarness(servers=0)
+    harness.feed(listed(entry(1), entry(2)))
+    ban(harness)
+    servers_used(harness, 1)
+    ban(harness, is_banned=False)
+    host = harness.gateway.hosts[SERVER_1]
+    harness.run(SECOND)
+    host.updated_at, host.slowdown, host.failures = harness.now, 8.0, 6.0  # too slow ever to be chosen
+    (send,) = of_type(harness.send_request(100, customer=100), api.Send)
     assert send.server == SERVER_1
-    bench.end_attempt(100, SERVER_1, api.Outcome.NOT_CONNECTED)
-    bench.end_attempt(100, SERVER_2, api.Outcome.SERVED, attempt=1)
-    assert servers_used(bench, 101, 5) == {SERVER_2}  # no further trial request so soon
-    bench.run(SECOND)
-    assert SERVER_1 in servers_used(bench, 200, 1)
-    host.updated_at, host.slowdown = bench.now, 8.0
-    assert servers_used(bench, 300, 5) == {SERVER_2}  # it has served a request: the trials are over
+    harness.end_attempt(100, SERVER_1, api.Outcome.NOT_CONNECTED)
+    harness.end_attempt(100, SERVER_2, api.Outcome.SERVED, attempt=1)
+    assert servers_used(harness, 101, 5) == {SERVER_2}  # no further trial request so soon
+    harness.run(SECOND)
+    assert SERVER_1 in servers_used(harness, 200, 1)
+    host.updated_at, host.slowdown = harness.now, 8.0
+    assert servers_used(harness, 300, 5) == {SERVER_2}  # it has served a request: the trials are over
 
 
 def test_a_reinstated_server_gets_its_trial_request_once_discovery_lists_it():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2)))
-    ban(bench)
-    bench.feed(listed(entry(1, api.Phase.GONE), kind=api.ListKind.CHANGES))
-    ban(bench, is_banned=False)
-    bench.run(SECOND)
-    assert servers_used(bench, 1, 5) == {SERVER_2}
-    bench.feed(listed(entry(1, launched=bench.now), kind=api.ListKind.CHANGES))
-    assert SERVER_1 in servers_used(bench, 10, 1)
+    harness = GatewayHarness(servers=0)
+    harness.feed(listed(entry(1), entry(2)))
+    ban(harness)
+    harness.feed(listed(entry(1, api.Phase.GONE), kind=api.ListKind.CHANGES))
+    ban(harness, is_banned=False)
+    harness.run(SECOND)
+    assert servers_used(harness, 1, 5) == {SERVER_2}
+    harness.feed(listed(entry(1, launched=harness.now), kind=api.ListKind.CHANGES))
+    assert SERVER_1 in servers_used(harness, 10, 1)
 
 
 def test_remembered_server_names_are_limited_and_those_in_use_are_kept(monkeypatch):
     monkeypatch.setattr(state, "NAMES_MAX", 8)
-    bench = Bench(servers=0)
+    harness = GatewayHarness(servers=0)
     for number in range(40):
-        bench.feed(listed(entry(250), entry(number)))
+        harness.feed(listed(entry(250), entry(number)))
         if number == 2:
-            ban(bench, entry(2).server)
-    assert len(bench.gateway.server_names) == 8
-    assert {entry(250).server, entry(39).server, entry(38).server} <= set(bench.gateway.server_names)
-    assert bench.gateway.banned == {}
+            ban(harness, entry(2).server)
+    assert len(harness.gateway.server_names) == 8
+    assert {entry(250).server, entry(39).server, entry(38).server} <= set(harness.gateway.server_names)
+    assert harness.gateway.banned == {}
 
 
 def test_a_ban_is_restored_after_an_upgrade():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2)))
-    ban(bench)
-    gateway = restored_copy(bench)
+    harness = GatewayHarness(servers=0)
+    harness.feed(listed(entry(1), entry(2)))
+    ban(harness)
+    gateway = restored_copy(harness)
     for number in range(20):
         event = api.RequestArrived(number, number, 0, 0, 1.0, 2 * SECOND, 0, 3, False)
-        for action in of_type(gateway.handle(bench.now, event), api.Send):
+        for action in of_type(gateway.handle(harness.now, event), api.Send):
             assert action.server == SERVER_2
             ended = api.AttemptEnded(number, 0, SERVER_2, api.Outcome.SERVED, 9_000, True, 0, 0.0, ())
-            gateway.handle(bench.now, ended)
-    assert gateway.hosts[SERVER_2].last_active == bench.now and gateway.hosts[SERVER_1].open_attempts == 0
-    assert gateway.server_names == bench.gateway.server_names
+            gateway.handle(harness.now, ended)
+    assert gateway.hosts[SERVER_2].last_active == harness.now and gateway.hosts[SERVER_1].open_attempts == 0
+    assert gateway.server_names == harness.gateway.server_names
 
 
 @asyncio_test
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -157,9 +157,8 @@
     polling.send_command(b"PING")
     assert str((await polling.wait_for_replies(2))[1]).startswith("ERR")
     assert (await send_control_call(control, b"HEALTH")).startswith("error draining")
-    late_client = (
-        await gateway.connect_client()
-    )  # accepted until the load balancer in front has seen the drain
+    # Accepted until the load balancer in front has seen the drain.
+    late_client = await gateway.connect_client()
     host.script = lambda command: b"*1\r\n$2\r\nok\r\n"
     late_client.send_request()
     idle.send_request()
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from conftest import KEYED_ALL, KEYED_CELL, KEYED_ZONE, SAFE, SECOND, UNSAFE, Bench, entry, listed
+from conftest import KEYED_ALL, KEYED_CELL, KEYED_ZONE, SAFE, SECOND, UNSAFE, GatewayHarness, entry, listed
 
 from orchidlane import interface as api
 from orchidlane.interface import Effect, Group, Outcome, Phase
@@ -45,36 +45,36 @@
 class RetryChecker:
     """Checks the actions of a gateway, independently of its implementation."""
 
-    def __init__(self, bench: Bench) -> None:
-        self.bench = bench
+    def __init__(self, harness: GatewayHarness) -> None:
+        self.harness = harness
         self.requests: dict[int, RequestRecord] = {}
         self.entries: dict[bytes, api.ServerEntry] = {}
         self.banned: set[bytes] = set()
         self.checked_actions = 0
-        feed = bench.feed
+        feed = harness.feed
 
         def feed_and_check(event: api.Event) -> list[api.Action]:
             actions = feed(event)
-            self.check_new_actions()  # at the time of the action, also for timers fired by Bench.run
+            self.check_new_actions()  # at the time of the action, also for timers fired by GatewayHarness.run
             return actions
 
-        bench.feed = feed_and_check
+        harness.feed = feed_and_check
 
     def list_servers(self, *entries: api.ServerEntry) -> None:
         self.entries |= {e.server: e for e in entries}
-        self.bench.feed(listed(*entries, kind=api.ListKind.CHANGES))
+        self.harness.feed(listed(*entries, kind=api.ListKind.CHANGES))
 
     def ban(self, server: bytes, is_banned: bool) -> None:
         if is_banned:
             self.banned.add(server)
         else:
             self.banned.discard(server)
-        self.bench.feed(api.ServerBanned(server, is_banned))
+        self.harness.feed(api.ServerBanned(server, is_banned))
 
     def check_new_actions(self) -> None:
         """Check the actions since the last call."""
-        while self.checked_actions < len(self.bench.log):
-            action = self.bench.log[self.checked_actions]
+        while self.checked_actions < len(self.harness.log):
+            action = self.harness.log[self.checked_actions]
             self.checked_actions += 1
             if isinstance(action, api.Send):
                 self.check_send(self.requests[action.request], action)
@@ -97,7 +97,9 @@
                 # The transport reports a cancelled attempt before any other event.
                 if attempt.outcome is None:
                     attempt.outcome = Outcome.CANCELLED
-                    self.bench.end_attempt(action.request, attempt.server, Outcome.CANCELLED, action.attempt)
+                    self.harness.end_attempt(
+                        action.request, attempt.server, Outcome.CANCELLED, action.attempt
+                    )
 
     def check_send(self, request: RequestRecord, action: api.Send) -> None:
         assert not request.is_finished, "sent after its final answer"
@@ -110,7 +112,7 @@
         elif request.request_class.effect is Effect.KEYED and possibly_run:
             first_attempt = possibly_run[0]
             window_end = first_attempt.sent_at + request.request_class.dedup_window
-            assert self.bench.now < window_end and 0 < action.send_by < window_end, (
+            assert self.harness.now < window_end and 0 < action.send_by < window_end, (
                 "retried after the deduplication window"
             )
             first_entry = self.entries[first_attempt.server]
@@ -125,7 +127,7 @@
         ), "two concurrent attempts"
         COUNTS["retries"] += bool(request.attempts)
         COUNTS["retries_after_possible_run"] += bool(possibly_run)
-        request.attempts.append(AttemptRecord(action.server, self.bench.now))
+        request.attempts.append(AttemptRecord(action.server, self.harness.now))
 
 
 def with_short_window(request_class: api.RequestClass) -> api.RequestClass:
@@ -147,14 +149,14 @@
     attempt.outcome = rng.choice([outcome for outcome in Outcome if outcome is not Outcome.CANCELLED])
     served = attempt.outcome is Outcome.SERVED or checker.requests[request].is_finished
     checker.requests[request].is_finished |= served
-    checker.bench.end_attempt(request, attempt.server, attempt.outcome, attempt_number, answered=served)
+    checker.harness.end_attempt(request, attempt.server, attempt.outcome, attempt_number, answered=served)
 
 
 def list_random_server(checker: RetryChecker, rng: random.Random) -> None:
     """List a server as ready or draining, either unchanged or restarted."""
     index = rng.randrange(8)
     phase = rng.choice((Phase.READY, Phase.READY, Phase.DRAINING))
-    launched = rng.choice((0, checker.bench.now))  # long ago, or restarted now
+    launched = rng.choice((0, checker.harness.now))  # long ago, or restarted now
     checker.list_servers(entry(index, phase, cell=index % 3, zone=index % 2, launched=launched))
 
 
@@ -163,7 +165,7 @@
     request = rng.randrange(1, last_request + 1)
     if not checker.requests[request].is_finished:
         checker.requests[request].is_finished = True
-        checker.bench.feed(api.ClientGone(request))
+        checker.harness.feed(api.ClientGone(request))
 
 
 def feed_random_event(checker: RetryChecker, rng: random.Random, last_request: int) -> None:
@@ -176,7 +178,7 @@
     elif event == "ban":
         checker.ban(entry(rng.randrange(8)).server, rng.random() < 0.4)
     elif event == "time":
-        checker.bench.run(rng.choice((1_000, 100_000, DEDUP_WINDOW - 30_000, DEDUP_WINDOW)))
+        checker.harness.run(rng.choice((1_000, 100_000, DEDUP_WINDOW - 30_000, DEDUP_WINDOW)))
     elif event == "gone":
         disconnect_random_client(checker, rng, last_request)
 
@@ -186,7 +188,7 @@
         for attempt_number, attempt in enumerate(record.attempts):
             if attempt.outcome is None:
                 attempt.outcome = Outcome.TIMED_OUT
-                checker.bench.end_attempt(
+                checker.harness.end_attempt(
                     number, attempt.server, Outcome.TIMED_OUT, attempt_number, answered=record.is_finished
                 )
 
@@ -194,23 +196,23 @@
 def run_random_scenario(seed: int) -> None:
     rng = random.Random(seed)
     classes = tuple(with_short_window(request_class) for request_class in CLASSES)
-    bench = Bench(servers=0, seed=seed, classes=classes)
-    bench.gateway._latency_limit = lambda request: float("inf")
-    checker = RetryChecker(bench)
+    harness = GatewayHarness(servers=0, seed=seed, classes=classes)
+    harness.gateway._latency_limit = lambda request: float("inf")
+    checker = RetryChecker(harness)
     checker.list_servers(*(entry(index, cell=index % 3, zone=index % 2) for index in range(8)))
     for number in range(1, 150):
         kind = rng.randrange(len(classes))
         checker.requests[number] = RequestRecord(classes[kind])
-        bench.gateway.retry_budget = 5.0  # the retry budget must not limit what is tested
-        bench.send_request(number, kind=kind, customer=rng.randrange(40))
+        harness.gateway.retry_budget = 5.0  # the retry budget must not limit what is tested
+        harness.send_request(number, kind=kind, customer=rng.randrange(40))
         for _ in range(rng.randrange(5)):
             feed_random_event(checker, rng, last_request=number)
-    bench.run(20 * SECOND)
+    harness.run(20 * SECOND)
     time_out_open_attempts(checker)
     # Every request must have had its final answer.
     assert all(record.is_finished for record in checker.requests.values())
-    assert bench.gateway.requests == bench.gateway.attempts == {}
-    assert all(host.open_attempts == 0 for host in bench.gateway.hosts.values())
+    assert harness.gateway.requests == harness.gateway.attempts == {}
+    assert all(host.open_attempts == 0 for host in harness.gateway.hosts.values())
 
 
 @pytest.mark.parametrize("first_seed", range(0, 200, 50))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -15,7 +15,7 @@
 from collections import defaultdict
 
 import pytest
-from conftest import SECOND, T0, Bench, entry, listed
+from conftest import SECOND, T0, GatewayHarness, entry, listed
 
 from orchidlane import interface as api
 
@@ -39,8 +39,9 @@
         self.were_banned = were_banned
         self.sequence = itertools.count()
         self.events: list[tuple] = []
-        self.benches = [
-            Bench(0, seed=seed * 1_000 + n, rank=n, gateways=gateways, **SLOW_START) for n in range(gateways)
+        self.harnesses = [
+            GatewayHarness(0, seed=seed * 1_000 + n, rank=n, gateways=gateways, **SLOW_START)
+            for n in range(gateways)
         ]
         self.weights = [self.random.uniform(0.5, 1.5) * (4 if n % 7 == 0 else 1) for n in range(gateways)]
         self.notified_gateways: set[int] = set()  # ranks of the gateways that know of the new servers
@@ -51,8 +52,8 @@
         # Restarted servers keep their names.
         self.restarted_servers = [entry(n, launched=STARTED_AT) for n in range(RESTARTED_SERVERS)]
         self.new_servers = [entry(100 + n, launched=STARTED_AT) for n in range(NEW_SERVERS)]
-        for rank, bench in enumerate(self.benches):
-            self.process_actions(rank, bench.feed(listed(*old_servers)))
+        for rank, harness in enumerate(self.harnesses):
+            self.process_actions(rank, harness.feed(listed(*old_servers)))
             self.schedule(STARTED_AT + self.random.randrange(800_000), self.announce_servers, rank)
         self.schedule(T0, self.generate_request)
 
@@ -60,35 +61,35 @@
         heapq.heappush(self.events, (time, next(self.sequence), callback, arguments))
 
     def process_actions(self, rank: int, actions) -> None:
-        bench = self.benches[rank]
+        harness = self.harnesses[rank]
         for send in (action for action in actions if isinstance(action, api.Send)):
-            self.sends[send.server].append((bench.now, rank in self.notified_gateways))
+            self.sends[send.server].append((harness.now, rank in self.notified_gateways))
             attempt = self.attempts.get(send.request, -1) + 1
             self.attempts[send.request] = attempt
             took = int(self.random.expovariate(1 / RESPONSE_TIME))
-            self.schedule(bench.now + took, self.end_attempt, rank, send.request, send.server, attempt)
-        for time, token in bench.timers:
+            self.schedule(harness.now + took, self.end_attempt, rank, send.request, send.server, attempt)
+        for time, token in harness.timers:
             self.schedule(time, self.fire_timer, rank, token)
-        bench.timers.clear()
+        harness.timers.clear()
 
     def generate_request(self) -> None:
-        rank = self.random.choices(range(len(self.benches)), self.weights)[0]
+        rank = self.random.choices(range(len(self.harnesses)), self.weights)[0]
         number = next(self.sequence)
-        self.benches[rank].now = self.now
+        self.harnesses[rank].now = self.now
         self.process_actions(
-            rank, self.benches[rank].send_request(number, customer=number, set_size=1, set_first=rank)
+            rank, self.harnesses[rank].send_request(number, customer=number, set_size=1, set_first=rank)
         )
         rate = OLD_SERVERS * CAPACITY * (BURST_FACTOR if self.now >= STARTED_AT - SECOND else 1.0)
         self.schedule(self.now + int(self.random.expovariate(rate) * SECOND), self.generate_request)
 
     def fire_timer(self, rank: int, token: int) -> None:
-        self.process_actions(rank, self.benches[rank].feed(api.TimerFired(token)))
+        self.process_actions(rank, self.harnesses[rank].feed(api.TimerFired(token)))
 
     def end_attempt(self, rank: int, request: int, server: api.Server, attempt: int) -> None:
         outcome = api.Outcome.BROKEN if self.random.random() < FAILURE_RATE else api.Outcome.SERVED
         self.process_actions(
             rank,
-            self.benches[rank].end_attempt(request, server, outcome, attempt=attempt, took=RESPONSE_TIME),
+            self.harnesses[rank].end_attempt(request, server, outcome, attempt=attempt, took=RESPONSE_TIME),
         )
 
     def announce_servers(self, rank: int) -> None:
@@ -96,23 +97,23 @@
 
         With ``were_banned`` the restarted ones were banned by operators before, and the ban is lifted.
         """
-        bench = self.benches[rank]
+        harness = self.harnesses[rank]
         self.notified_gateways.add(rank)
         banned_entries = self.restarted_servers if self.were_banned else []
         for server_entry in banned_entries:
-            bench.feed(api.ServerBanned(server_entry.server, True))
+            harness.feed(api.ServerBanned(server_entry.server, True))
         self.process_actions(
-            rank, bench.feed(listed(*self.new_servers, *self.restarted_servers, kind=api.ListKind.CHANGES))
+            rank, harness.feed(listed(*self.new_servers, *self.restarted_servers, kind=api.ListKind.CHANGES))
         )
         for server_entry in banned_entries:
-            self.process_actions(rank, bench.feed(api.ServerBanned(server_entry.server, False)))
+            self.process_actions(rank, harness.feed(api.ServerBanned(server_entry.server, False)))
 
     def run(self) -> None:
         self.now = T0
         while self.now < END_AT:
             self.now, _, callback, arguments = heapq.heappop(self.events)
             if arguments:
-                self.benches[arguments[0]].now = self.now
+                self.harnesses[arguments[0]].now = self.now
             callback(*arguments)
 
     def peak_budget_use(self, server: api.Server) -> float:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,8 +14,8 @@
 from conftest import (
     RAW_SETTINGS,
     SECOND,
-    Bench,
     FakeHost,
+    GatewayHarness,
     GatewayProcesses,
     asyncio_test,
     entry,
@@ -91,13 +91,15 @@
                 served += await send_request(gateway, b"%d-%d" % (start_number, number)) == b"ok"
         for number in range(40):
             served += await send_request(gateway, b"rest%d" % number) == b"ok"
-    bench = Bench(servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),))
+    harness = GatewayHarness(
+        servers=1, gateways=2, plans=(api.Plan(0.001, 40.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0),)
+    )
     served_by_one_process = 0
     for number in range(64):
-        served_by_one_process += len(sent := of_type(bench.send_request(number + 1, set_size=2), api.Send))
+        served_by_one_process += len(sent := of_type(harness.send_request(number + 1, set_size=2), api.Send))
         if sent:
-            bench.end_attempt(number + 1, sent[0].server, api.Outcome.SERVED)
-        bench.run(10_000)
+            harness.end_attempt(number + 1, sent[0].server, api.Outcome.SERVED)
+        harness.run(10_000)
     assert served <= served_by_one_process < 3 * 8 + 40
 
 
@@ -393,65 +395,67 @@
 # -- the state, without sockets ---------------------------------------------------------------------------
 
 
-def restored_copy(bench: Bench, change=lambda state, rows: None) -> Gateway:
+def restored_copy(harness: GatewayHarness, change=lambda state, rows: None) -> Gateway:
     """Return a gateway restored from the JSON state of another one."""
-    text = json.dumps([handover.encode_state(bench.gateway), list(handover.encode_accounts(bench.gateway))])
+    text = json.dumps(
+        [handover.encode_state(harness.gateway), list(handover.encode_accounts(harness.gateway))]
+    )
     state, rows = json.loads(text)
     change(state, rows)
-    gateway = Gateway(bench.settings, 99, bench.now)
+    gateway = Gateway(harness.settings, 99, harness.now)
     gateway.start()
-    gateway.handle(bench.now, listed(*(host.entry for host in bench.gateway.hosts.values())))
+    gateway.handle(harness.now, listed(*(host.entry for host in harness.gateway.hosts.values())))
     handover.decode(gateway, state, rows).apply_to(gateway)
     return gateway
 
 
 def test_counts_limits_ceilings_and_host_statistics_are_restored():
-    bench = Bench()
+    harness = GatewayHarness()
     for number in range(1, 30):
-        sent = of_type(bench.send_request(number, customer=number % 5, plan=number % 3), api.Send)
-        bench.run(30_000)
+        sent = of_type(harness.send_request(number, customer=number % 5, plan=number % 3), api.Send)
+        harness.run(30_000)
         if sent and number % 4:
-            bench.end_attempt(number, sent[0].server, api.Outcome.SERVED, took=40_000 * number)
-    gateway = restored_copy(bench)
+            harness.end_attempt(number, sent[0].server, api.Outcome.SERVED, took=40_000 * number)
+    gateway = restored_copy(harness)
     assert len(gateway.accounts) == 5
-    for customer, account in bench.gateway.accounts.items():
+    for customer, account in harness.gateway.accounts.items():
         assert gateway.accounts[customer] == dataclasses.replace(account, open_attempts=0)
-    for server, host in bench.gateway.hosts.items():
+    for server, host in harness.gateway.hosts.items():
         # Connections stay with the process that opened them.
         assert dataclasses.replace(host, open_attempts=0, open_connections=0) == gateway.hosts[server]
     assert (
-        gateway.usual_times == bench.gateway.usual_times
-        and gateway.pending_gossip == bench.gateway.pending_gossip
+        gateway.usual_times == harness.gateway.usual_times
+        and gateway.pending_gossip == harness.gateway.pending_gossip
     )
-    assert handover.encode_state(gateway) == handover.encode_state(bench.gateway)
+    assert handover.encode_state(gateway) == handover.encode_state(harness.gateway)
 
 
 def test_the_predecessors_open_attempts_count_and_end_like_any_other():
-    bench = Bench()
-    bench.send_request(1, plan=1)
-    bench.send_request(2, plan=1)
-    gateway = restored_copy(bench)
-    for event in (events := handover.open_attempt_events(bench.gateway)):
+    harness = GatewayHarness()
+    harness.send_request(1, plan=1)
+    harness.send_request(2, plan=1)
+    gateway = restored_copy(harness)
+    for event in (events := handover.open_attempt_events(harness.gateway)):
         arrived = dataclasses.replace(event.arrived, request=-event.arrived.request)
-        assert gateway.handle(bench.now, dataclasses.replace(event, arrived=arrived)) == []
+        assert gateway.handle(harness.now, dataclasses.replace(event, arrived=arrived)) == []
     assert len(events) == 2
     assert (
         gateway.accounts[7].open_attempts == 2 == sum(host.open_attempts for host in gateway.hosts.values())
     )
-    refused = gateway.handle(bench.now, api.RequestArrived(9, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
+    refused = gateway.handle(harness.now, api.RequestArrived(9, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of_type(refused, api.Refuse)  # its plan allows two open attempts
     gateway.handle(
-        bench.now, api.AttemptEnded(-1, 0, events[0].server, api.Outcome.SERVED, 9, True, 0, 0.0, ())
+        harness.now, api.AttemptEnded(-1, 0, events[0].server, api.Outcome.SERVED, 9, True, 0, 0.0, ())
     )
     assert gateway.accounts[7].open_attempts == 1
-    sent_again = gateway.handle(bench.now, api.RequestArrived(10, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
+    sent_again = gateway.handle(harness.now, api.RequestArrived(10, 7, 1, 0, 1.0, 2 * SECOND, 0, 3, False))
     assert of_type(sent_again, api.Send)
 
 
 def test_a_cold_server_stays_cold():
-    bench = Bench(servers=0)
-    bench.feed(listed(entry(1), entry(2, launched=bench.now - SECOND)))
-    gateway = restored_copy(bench)
+    harness = GatewayHarness(servers=0)
+    harness.feed(listed(entry(1), entry(2, launched=harness.now - SECOND)))
+    gateway = restored_copy(harness)
     assert [host.entry.server for host in gateway.cold.hosts] == [entry(2).server]
 
 
@@ -470,7 +474,7 @@
     ],
 )
 def test_a_malformed_state_is_rejected_as_a_whole(change):
-    bench = Bench()
-    bench.send_request(1)
+    harness = GatewayHarness()
+    harness.send_request(1)
     with pytest.raises(ValueError, match="usable"):
-        restored_copy(bench, change)
+        restored_copy(harness, change)
