--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -145,7 +145,7 @@
 
 
 class Fleet:
-    """Gateways that exchange delayed messages; hosts answer each request immediately."""
+    """Gateways that exchange delayed messages; servers answer each request immediately."""
 
     MESSAGE_DELAY = 10_000  # microseconds
     STEP = 1_000  # microseconds by which the clock advances
@@ -154,7 +154,7 @@
         self.random = random.Random(seed)
         self.loss = loss
         self.request_count = 0
-        self.messages = 0
+        self.message_count = 0
         changes |= {"gateways": gateways}
         self.harnesses = [GatewayHarness(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
         self.now = T0
@@ -167,7 +167,7 @@
     def _execute(self, rank: int, actions) -> None:
         for action in actions:
             if isinstance(action, api.SendPeerMessage):
-                self.messages += 1
+                self.message_count += 1
                 if self.random.random() >= self.loss:
                     self.in_flight.append((self.now + self.MESSAGE_DELAY, rank, action.peer, action.body))
             elif isinstance(action, api.Send):
@@ -200,7 +200,7 @@
                     self._execute(rank, self.harnesses[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
-        """Return the requests that were forwarded to a host."""
+        """Return the numbers of the requests that were sent to a server."""
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -433,7 +433,7 @@
 @pytest.mark.parametrize("plan", [0, 2])  # the quota of a large set, the tokens of a ceiling
 @pytest.mark.parametrize("time_left_ms", [40, 60, 90, 150, 250])
 def test_a_request_that_waits_for_the_owner_is_answered_before_its_deadline(time_left_ms, plan):
-    """With a deadline before the end of the 100 ms wait, it was not refused in time and failed."""
+    """With a deadline before the end of the 100 ms wait, the request was not refused in time and failed."""
     harness = GatewayHarness(gateways=60)
     waited = 0
     for request in range(1, 9):
@@ -464,7 +464,7 @@
 
 @pytest.mark.parametrize("kind", range(5))
 def test_the_timeout_of_an_answered_query_has_no_effect(kind):
-    """It fires while the attempt is open; neither a second attempt nor a final answer may follow."""
+    """The timeout fires while the attempt is open; neither a second attempt nor a final answer may follow."""
     harness = GatewayHarness(gateways=60)
     (query,) = of_type(harness.send_request(1, kind=kind, set_size=50), api.SendPeerMessage)
     harness.now += 20_000
--- a/tests/test_host_links.py
+++ b/tests/test_host_links.py
@@ -143,7 +143,7 @@
 
 @asyncio_test
 async def test_queued_attempts_reuse_cooled_down_connections_before_opening_new_ones():
-    """Opening a connection for each request within the cooldown cost hosts a handshake, and a fifth more
+    """Opening a connection for each request within the cooldown cost hosts a handshake each and a fifth more
     connections."""
     host = PlainHost("a")
     gateway = LoopbackGateway(host)
@@ -270,7 +270,7 @@
 @pytest.mark.parametrize("early", [b"*1\r\n$2\r\nok\r\n", b"*1\r\n$2\r", b"-ERR failed\r\n", b"+OK\r\n"])
 @asyncio_test
 async def test_input_before_a_request_is_fully_sent_is_not_its_response(early):
-    """A host cannot have served a request that it has not received; it is never executed."""
+    """A host cannot have served a request that it has not received, so this one counts as not executed."""
     host = PlainHost("a")
     host.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     gateway = LoopbackGateway(host, permissions=RAW_SETTINGS["permissions"] | {"maxAttempts": 1})
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -38,7 +38,7 @@
             send.request for send in of_type(harness.send_request(request, customer=request), api.Send)
         ]
         harness.run(10_000)
-    assert 1 <= len(trials) <= 3  # one per server: none is idle, as no response arrives
+    assert 1 <= len(trials) <= 3  # one per server, which is then not idle, as no response arrives
     for request in trials:
         harness.end_attempt(
             request, harness.gateway.attempts[request, 0][0].host.entry.server, Outcome.SERVED
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -210,7 +210,7 @@
 
 @asyncio_test
 async def test_a_confirmation_received_just_before_the_timeout_counts(tmp_path):
-    """It was written before the predecessor stopped receiving: only the successor goes on serving."""
+    """The successor sent it in time and goes on serving, so the predecessor must not."""
     host = await FakeHost("a").listen()
     async with GatewayProcesses(tmp_path, host) as gateway:
         old = await gateway.start()
