--- a/lab/address_discovery.py
+++ b/lab/address_discovery.py
@@ -1,4 +1,4 @@
-"""Simulated gateways that discover each other's addresses: ``saffrongw/address_book.py`` on a virtual clock."""
+"""Simulated gateways discover each other's addresses: ``saffrongw/address_book.py`` on a virtual clock."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
 """Settings and helpers that the tests share.
 
-``Bench`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them with a
-simulated network. ``Rig`` runs one gateway on loopback sockets within the test's process, ``Service``
-starts it as separate processes. The settings are examples.
+``GatewayHarness`` runs the decision core of one gateway on a simulated clock, ``Fleet`` several of them
+with a simulated network. ``LoopbackGateway`` runs one gateway on loopback sockets within the test's process,
+``GatewayProcesses`` starts it as separate processes. The settings are examples.
 """
 
 from __future__ import annotations
@@ -73,16 +73,16 @@
 
 
 def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
-    """Returns an entry of a server list."""
+    """Return an entry of a server list."""
     return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
 
 
 def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
-    """Returns an update of the server list, as discovery sends it."""
+    """Return an update of the server list, as discovery sends it."""
     return api.ServerListed(kind, 1, tuple(entries))
 
 
-class Bench:
+class GatewayHarness:
     """The decision core of one gateway with a simulated clock; records its actions and runs its timers."""
 
     def __init__(self, servers=4, now=T0, seed=1, **changes) -> None:
@@ -101,14 +101,14 @@
                 self.timers.append((self.now + action.delay, action.token))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """Handles an event at the current time; returns the resulting actions."""
+        """Handle an event at the current time; return the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
         self._record_timers(actions)
         self.log += actions
         return actions
 
     def run(self, span: int) -> list[api.Action]:
-        """Advances the clock by ``span``, firing due timers; returns the resulting actions."""
+        """Advance the clock by ``span``, firing due timers; return the resulting actions."""
         end = self.now + span
         actions: list[api.Action] = []
         while due := [t for t in self.timers if t[0] <= end]:
@@ -119,21 +119,33 @@
         self.now = end
         return actions
 
-    def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
-        """Handles the arrival of a request from a client."""
-        return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
+    def send_request(
+        self,
+        request: int,
+        kind=0,
+        customer=7,
+        plan=0,
+        units=1.0,
+        time_left=2 * SECOND,
+        set_first=0,
+        set_size=3,
+    ):
+        """Handle the arrival of a request from a client."""
+        return self.feed(
+            api.RequestArrived(request, customer, plan, kind, units, time_left, set_first, set_size, False)
+        )
 
-    def outcome(
+    def end_attempt(
         self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
     ):
-        """Handles the end of an attempt; by default only a served one has been answered."""
+        """Handle the end of an attempt; by default only a served one answers its request."""
         if answered is None:
             answered = outcome is api.Outcome.SERVED
         return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
 
 
 class Fleet:
-    """Gateways that exchange delayed messages; hosts answer each request immediately."""
+    """Gateways that exchange delayed messages; servers answer each request immediately."""
 
     MESSAGE_DELAY = 10_000  # microseconds
     STEP = 1_000  # microseconds by which the clock advances
@@ -142,70 +154,70 @@
         self.random = random.Random(seed)
         self.loss = loss
         self.request_count = 0
-        self.messages = 0
+        self.message_count = 0
         changes |= {"gateways": gateways}
-        self.benches = [Bench(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
+        self.harnesses = [GatewayHarness(servers, seed=seed + i, rank=i, **changes) for i in range(gateways)]
         self.now = T0
         self.dead: set[int] = set()
         self.in_flight: list[tuple[int, int, int, bytes]] = []  # arrival, sender, receiver, body
         self.answers: dict[int, api.Action] = {}  # by request: Send, Refuse or Fail
-        for rank, bench in enumerate(self.benches):
-            self._execute(rank, bench.log)
+        for rank, harness in enumerate(self.harnesses):
+            self._execute(rank, harness.log)
 
     def _execute(self, rank: int, actions) -> None:
         for action in actions:
             if isinstance(action, api.SendPeerMessage):
-                self.messages += 1
+                self.message_count += 1
                 if self.random.random() >= self.loss:
                     self.in_flight.append((self.now + self.MESSAGE_DELAY, rank, action.peer, action.body))
             elif isinstance(action, api.Send):
                 self.answers[action.request] = action
                 self._execute(
-                    rank, self.benches[rank].outcome(action.request, action.server, api.Outcome.SERVED)
+                    rank, self.harnesses[rank].end_attempt(action.request, action.server, api.Outcome.SERVED)
                 )
             elif isinstance(action, api.Refuse | api.Fail):
                 self.answers[action.request] = action
 
-    def ask(self, rank: int, **request) -> int:
-        """Sends a request to one gateway; returns its number."""
+    def send_request(self, rank: int, **request) -> int:
+        """Send a request to one gateway; return its number."""
         self.request_count += 1
-        self._execute(rank, self.benches[rank].ask(self.request_count, **request))
+        self._execute(rank, self.harnesses[rank].send_request(self.request_count, **request))
         return self.request_count
 
     def run(self, span: int) -> None:
-        """Advances the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
+        """Advance the clock by ``span``, firing timers and delivering messages, except to dead gateways."""
         end = self.now + span
         while self.now < end:
             self.now += self.STEP
-            for rank, bench in enumerate(self.benches):
-                bench.now = bench.now if rank in self.dead else self.now
-                if rank not in self.dead and bench.timers and min(bench.timers)[0] <= self.now:
-                    self._execute(rank, bench.run(0))
+            for rank, harness in enumerate(self.harnesses):
+                harness.now = harness.now if rank in self.dead else self.now
+                if rank not in self.dead and harness.timers and min(harness.timers)[0] <= self.now:
+                    self._execute(rank, harness.run(0))
             due = [message for message in self.in_flight if message[0] <= self.now]
             self.in_flight = [message for message in self.in_flight if message[0] > self.now]
             for _, sender, rank, body in due:
                 if rank not in self.dead:
-                    self._execute(rank, self.benches[rank].feed(api.PeerMessage(sender, body)))
+                    self._execute(rank, self.harnesses[rank].feed(api.PeerMessage(sender, body)))
 
     def sent(self) -> list[int]:
-        """Returns the requests that were forwarded to a host."""
+        """Return the numbers of the requests that were sent to a server."""
         return [number for number, answer in self.answers.items() if isinstance(answer, api.Send)]
 
 
-def of(actions, kind) -> list:
-    """Returns the actions of the given type."""
-    return [a for a in actions if isinstance(a, kind)]
+def of_type(actions, action_type) -> list:
+    """Return the actions of the given type."""
+    return [a for a in actions if isinstance(a, action_type)]
 
 
 @pytest.fixture
-def bench() -> Bench:
-    """Returns a gateway with four warm servers."""
-    return Bench()
+def harness() -> GatewayHarness:
+    """Return a gateway with four warm servers."""
+    return GatewayHarness()
 
 
 # -- the gateway on loopback sockets -------------------------------------------------------------------
 
-SITE = {
+RAW_SETTINGS = {
     "balancers": 2,
     "rank": 0,
     "locality": 0,
@@ -235,7 +247,7 @@
 
 
 def asyncio_test(function):
-    """Runs a test on uvloop, the gateway's event loop, with a timeout of one minute."""
+    """Run a test on uvloop, the gateway's event loop, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
@@ -244,9 +256,9 @@
     return run
 
 
-async def until(condition, within: float = 10.0) -> None:
-    """Waits for a condition; the timeout only ends a test that would hang."""
-    async with asyncio.timeout(within):
+async def until(condition, timeout: float = 10.0) -> None:
+    """Wait for a condition; the timeout only ends a test that would hang."""
+    async with asyncio.timeout(timeout):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -295,13 +307,13 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def line(self, health="SERVING", **changes) -> dict:
-        """Returns its entry in discovery's list."""
-        line = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
-        return line | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
+    def list_entry(self, health="SERVING", **changes) -> dict:
+        """Return the host's entry in discovery's list."""
+        fields = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
+        return fields | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
 
 
-class Caller(asyncio.Protocol):
+class FakeClient(asyncio.Protocol):
     """A client's connection to the gateway; collects the parsed replies."""
 
     def __init__(self) -> None:
@@ -320,31 +332,31 @@
     def connection_lost(self, error) -> None:
         self.closed = True
 
-    def ask(self, *words: bytes) -> None:
-        """Sends one command."""
+    def send_command(self, *words: bytes) -> None:
+        """Send one command."""
         self.transport.write(hiredis.pack_command(words))
 
-    def call(self, kind="read", wait=2000, number=b"id1", extra_terms="") -> None:
-        """Sends a request of one class, with a deadline of ``wait`` milliseconds."""
-        terms = f"c={kind},t=team,d={wait},units=1,spread=2,first=0{extra_terms}".encode()
-        if kind == "read":
-            self.ask(b"CALL.GET", b"0000000000000007", number, terms)
+    def send_request(self, class_name="read", deadline_ms=2000, request_id=b"id1", extra_terms="") -> None:
+        """Send a request of one class, with a deadline of ``deadline_ms`` milliseconds."""
+        terms = f"c={class_name},t=team,d={deadline_ms},units=1,spread=2,first=0{extra_terms}".encode()
+        if class_name == "read":
+            self.send_command(b"CALL.GET", b"0000000000000007", request_id, terms)
         else:
-            self.ask(b"CALL.POST", b"0000000000000007", number, terms + b",k=key7", b"BODY")
+            self.send_command(b"CALL.POST", b"0000000000000007", request_id, terms + b",k=key7", b"BODY")
 
-    async def replied(self, count=1) -> list:
-        """Waits until at least ``count`` replies have arrived; returns all."""
+    async def wait_for_replies(self, count=1) -> list:
+        """Wait until at least ``count`` replies have arrived; return all replies so far."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
 
 
-class Rig:
-    """One gateway with its components connected as in the program, and a list of hosts from discovery."""
+class LoopbackGateway:
+    """One gateway with its components connected as in the program; it starts with a list of hosts."""
 
-    def __init__(self, *hosts: FakeHost, lines=None, sockets=64, **changes) -> None:
+    def __init__(self, *hosts: FakeHost, entries=None, sockets=64, **changes) -> None:
         self.loop = asyncio.get_running_loop()
-        host_list = {"seq": 1, "whole": True, "hosts": lines or [host.line() for host in hosts]}
-        site = SITE | changes
+        host_list = {"seq": 1, "whole": True, "hosts": entries or [host.list_entry() for host in hosts]}
+        site = RAW_SETTINGS | changes
         configuration = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
         configuration |= {"limits": {"sockets": sockets}, "known": host_list, "settings": site}
         self.config = config.parse(json.dumps(configuration))
@@ -361,22 +373,22 @@
         self.driver.start(self.config.known)
         self.clients = Clients(self.driver, self.config, sockets)
 
-    async def caller(self) -> Caller:
-        """Opens a client's connection to the gateway."""
+    async def connect_client(self) -> FakeClient:
+        """Open a client's connection to the gateway."""
         if self.clients.server is None:
             await self.clients.listen()
         port = self.clients.server.sockets[0].getsockname()[1]
-        _, caller = await self.loop.create_connection(Caller, "127.0.0.1", port)
-        return caller
+        _, client = await self.loop.create_connection(FakeClient, "127.0.0.1", port)
+        return client
 
-    def told(self, *lines: dict, whole=False) -> None:
-        """Applies an update of the host list from discovery."""
-        raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
+    def apply_host_list(self, *entries: dict, whole=False) -> None:
+        """Apply an update of the host list from discovery."""
+        raw = {"seq": 2, "whole": whole, "hosts": list(entries)}
         self.driver.apply_host_list(config.parse_hosts(raw, self.config.zones))
 
 
 def free_address() -> str:
-    """Returns a loopback address on which nothing listens."""
+    """Return a loopback address on which nothing listens."""
     return f"127.0.0.1:{ports.allocate(1)[0]}"
 
 
@@ -387,21 +399,25 @@
 """
 
 
-class Service:
-    """Gateway processes that take over one address from each other and share one $TMPDIR."""
+class GatewayProcesses:
+    """Gateway processes on one address and with one $TMPDIR; each takes over from the one before."""
 
     def __init__(self, folder, *hosts: FakeHost, discovery="127.0.0.1:1", **changes) -> None:
         self.folder = folder
         self.processes = []
-        host_list = {"seq": 1, "whole": True, "hosts": [host.line() for host in hosts]}
+        host_list = {"seq": 1, "whole": True, "hosts": [host.list_entry() for host in hosts]}
         peers = [free_address(), free_address()]
         self.configuration = {"name": "n0", "listen": free_address(), "discovery": discovery, "seed": "01"}
-        self.configuration |= {"limits": {"sockets": 256}, "known": host_list, "settings": SITE | changes}
+        self.configuration |= {
+            "limits": {"sockets": 256},
+            "known": host_list,
+            "settings": RAW_SETTINGS | changes,
+        }
         self.configuration |= {"peer_listen": peers[0], "peers": peers}
         self.control = ""
 
     async def start(self, ready=True, long_command_timeout=False) -> asyncio.subprocess.Process:
-        """Starts another process with its own control address; waits until it is healthy if ``ready``.
+        """Start another process with its own control address; wait until it is healthy if ``ready``.
 
         With ``long_command_timeout`` a client has a minute to send the rest of a command, so that it isn't
         disconnected while the successor is slow to start.
@@ -413,13 +429,13 @@
         program = ("-c", PROGRAM_WITH_LONG_COMMAND_TIMEOUT) if long_command_timeout else ("-m", "saffrongw")
         process = await asyncio.create_subprocess_exec(sys.executable, *program, env=environment)
         self.processes.append(process)
-        while ready and not (await self.say(b"HEALTH")).startswith("done"):
+        while ready and not (await self.send_control_call(b"HEALTH")).startswith("done"):
             assert process.returncode is None
             await asyncio.sleep(0.02)
         return process
 
-    async def say(self, line: bytes, control: str = "") -> str:
-        """Sends a control call and returns the answer, or "nobody" if the connection fails."""
+    async def send_control_call(self, line: bytes, control: str = "") -> str:
+        """Send a control call and return the answer, or "nobody" if the connection fails."""
         try:
             reader, writer = await asyncio.open_connection(*config.address(control or self.control))
         except OSError:
@@ -429,12 +445,12 @@
         writer.close()
         return answer.decode()
 
-    async def caller(self) -> Caller:
-        """Opens a client's connection."""
+    async def connect_client(self) -> FakeClient:
+        """Open a client's connection."""
         address = config.address(self.configuration["listen"])
-        return (await asyncio.get_running_loop().create_connection(Caller, *address))[1]
+        return (await asyncio.get_running_loop().create_connection(FakeClient, *address))[1]
 
-    async def __aenter__(self) -> Service:
+    async def __aenter__(self) -> GatewayProcesses:
         return self
 
     async def __aexit__(self, *error) -> None:
--- a/tests/listing.py
+++ b/tests/registry_processes.py
@@ -1,4 +1,4 @@
-"""Starts processes of the list service on loopback addresses and sends them HTTP requests."""
+"""Processes of the list service on loopback addresses, and HTTP requests to them."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
         assert len(lines) == 1 and "Traceback" not in output
         return lines[0]
 
-    def service(self, name="a", **changes) -> Node:
+    def node(self, name="a", **changes) -> Node:
         return Node(self, name, **changes)
 
 
--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -1,6 +1,7 @@
 """Races when client connections end: a half-close crossed by input, a client's close while reading is paused.
 
-Clients are plain sockets, so that the event loop does not run until a test lets it."""
+Clients are plain sockets, so that the event loop does not run until a test lets it.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 
 import hiredis
 import pytest
-from conftest import SITE, FakeHost, Rig, Service, asyncio_test, until
+from conftest import RAW_SETTINGS, FakeHost, GatewayProcesses, LoopbackGateway, asyncio_test, until
 from test_host_links import Gate, reset, wait_readable
 from test_large import answer, post
 
@@ -27,9 +28,9 @@
 TERMS = b"c=%b,t=team,d=%d,units=1,spread=2,first=0"
 
 
-def request(number: int = 1, kind: bytes = b"read", wait: int = 2000) -> bytes:
-    words = (b"0000000000000007", b"id%d" % number, TERMS % (kind, wait))
-    if kind == b"read":
+def request(number: int = 1, class_name: bytes = b"read", deadline_ms: int = 2000) -> bytes:
+    words = (b"0000000000000007", b"id%d" % number, TERMS % (class_name, deadline_ms))
+    if class_name == b"read":
         return hiredis.pack_command((b"CALL.GET", *words))
     return hiredis.pack_command((b"CALL.POST", *words, b"BODY"))
 
@@ -37,8 +38,8 @@
 class PlainClient:
     """A client as a plain socket."""
 
-    def __init__(self, rig: Rig, address: tuple[str, int], receive_buffer: int = 0) -> None:
-        self.loop = rig.loop
+    def __init__(self, gateway: LoopbackGateway, address: tuple[str, int], receive_buffer: int = 0) -> None:
+        self.loop = gateway.loop
         self.sock = socket.socket()
         if receive_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -54,7 +55,7 @@
             data += piece
         return data
 
-    async def rest(self) -> bytes:
+    async def read_until_close(self) -> bytes:
         """Read until the peer closes; a reset raises."""
         data = b""
         while piece := await asyncio.wait_for(self.loop.sock_recv(self.sock, 65536), 10):
@@ -62,14 +63,14 @@
         return data
 
 
-async def connected(rig: Rig, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
-    """A client's socket, and the gateway's object for it."""
-    if rig.clients.server is None:
-        await rig.clients.listen()
-    before = set(rig.clients.open)
-    plain = PlainClient(rig, rig.clients.server.sockets[0].getsockname(), receive_buffer)
-    await until(lambda: set(rig.clients.open) - before)
-    return plain, (set(rig.clients.open) - before).pop()
+async def connect(gateway: LoopbackGateway, receive_buffer: int = 0) -> tuple[PlainClient, Client]:
+    """Connect a client; return its socket and the gateway's object for it."""
+    if gateway.clients.server is None:
+        await gateway.clients.listen()
+    before = set(gateway.clients.open)
+    plain = PlainClient(gateway, gateway.clients.server.sockets[0].getsockname(), receive_buffer)
+    await until(lambda: set(gateway.clients.open) - before)
+    return plain, (set(gateway.clients.open) - before).pop()
 
 
 def fileno(client: Client) -> int:
@@ -77,7 +78,7 @@
 
 
 def send_at_half_close(client: Client, plain: PlainClient, data: bytes) -> None:
-    """Have these bytes arrive just before the half-close, after the gateway's check for unread input."""
+    """Send these bytes just before the half-close, after the gateway's check for unread input."""
     half_close = client.half_close
 
     def end() -> None:
@@ -90,36 +91,36 @@
     client.half_close = end
 
 
-async def by_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_drain(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
-    rig.clients.drain._close_idle()
+    gateway.clients.drain._close_idle()
     return b""
 
 
-async def by_eviction(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    rig.clients.max_connections = len(rig.clients.open)
-    await connected(rig)
+async def by_eviction(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    gateway.clients.max_connections = len(gateway.clients.open)
+    await connect(gateway)
     return b""
 
 
-async def by_command_timeout(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    client.waiting_since = rig.loop.time() - COMMAND_TIMEOUT - 1
+async def by_command_timeout(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    client.waiting_since = gateway.loop.time() - COMMAND_TIMEOUT - 1
     return b""
 
 
-async def by_error(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_error(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     plain.send(b"junk\r\n")
     return b"-ERR not a RESP2 value\r\n"
 
 
-async def by_late_drain(rig: Rig, plain: PlainClient, client: Client) -> bytes:
+async def by_late_drain(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
     client.waiting_since = 0.0
-    rig.clients.drain._close_without_request()
+    gateway.clients.drain._close_without_request()
     return b""
 
 
-async def by_connection_limit(rig: Rig, plain: PlainClient, client: Client) -> bytes:
-    rig.clients.max_connections, client.is_surplus = 0, True
+async def by_connection_limit(gateway: LoopbackGateway, plain: PlainClient, client: Client) -> bytes:
+    gateway.clients.max_connections, client.is_surplus = 0, True
     plain.send(request())
     return b"-BUSY 1000\r\n"
 
@@ -140,73 +141,73 @@
 async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
     """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    plain, client = await connected(rig)
+    gateway = LoopbackGateway(host)
+    plain, client = await connect(gateway)
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
     send_at_half_close(client, plain, CROSSING_INPUT[crossing])
-    last = await end(rig, plain, client)
-    assert await plain.rest() == last
+    last = await end(gateway, plain, client)
+    assert await plain.read_until_close() == last
     assert (
         client.stage is Stage.HALF_CLOSED
-        and client in rig.clients.half_closed
-        and client not in rig.clients.open
+        and client in gateway.clients.half_closed
+        and client not in gateway.clients.open
     )
     for _ in range(3):  # a client that keeps sending is not reset either during the lingering close
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
     plain.sock.shutdown(socket.SHUT_WR)
-    await until(lambda: client not in rig.clients.half_closed)
+    await until(lambda: client not in gateway.clients.half_closed)
     assert [command[2] for command in host.commands] == [b"id1"]
-    assert rig.driver.calls == {}
+    assert gateway.driver.calls == {}
 
 
 @asyncio_test
 async def test_drain_answers_all_commands_received_in_one_segment():
     """The connection was closed after the first response, and later commands were still sent to hosts."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    plain, client = await connected(rig)
-    rig.clients.drain.closing_idle = True
+    gateway = LoopbackGateway(host)
+    plain, client = await connect(gateway)
+    gateway.clients.drain.closing_idle = True
     client.waiting_since = 0.0
     plain.send(PING + request(1) + PING)
-    assert await plain.rest() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
+    assert await plain.read_until_close() == b"+PONG\r\n$2\r\nok\r\n+PONG\r\n"
     assert len(host.commands) == 1
 
 
 @asyncio_test
 async def test_half_closed_connections_are_bounded_and_aborted_after_the_linger_timeout(monkeypatch):
     monkeypatch.setattr(client_module, "LINGER_TIMEOUT", 0.3)
-    rig = Rig(await FakeHost("a").listen())
-    held = [await connected(rig) for _ in range(4)]
-    rig.clients.max_connections = 4
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    held = [await connect(gateway) for _ in range(4)]
+    gateway.clients.max_connections = 4
     for _ in range(3 * SURPLUS_CONNECTIONS_MAX):
-        held.append(await connected(rig))
+        held.append(await connect(gateway))
         assert (
-            len(rig.clients.open) + len(rig.clients.half_closed)
-            <= rig.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
+            len(gateway.clients.open) + len(gateway.clients.half_closed)
+            <= gateway.clients.max_connections + SURPLUS_CONNECTIONS_MAX + 1
         )
-    assert rig.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
-    await until(lambda: not rig.clients.half_closed)
-    assert len(rig.clients.open) == 4
+    assert gateway.driver.stats["client_evicted"] == 3 * SURPLUS_CONNECTIONS_MAX
+    await until(lambda: not gateway.clients.half_closed)
+    assert len(gateway.clients.open) == 4
 
 
 @asyncio_test
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
-    """They were reset together with the listener."""
-    rig = Rig(await FakeHost("a").listen())
-    await rig.clients.listen()
-    where = rig.clients.server.sockets[0].getsockname()
-    late = [PlainClient(rig, where) for _ in range(5)]
+    """Guards against resetting them together with the listener."""
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    await gateway.clients.listen()
+    address = gateway.clients.server.sockets[0].getsockname()
+    late = [PlainClient(gateway, address) for _ in range(5)]
     for plain in late:
         plain.send(request())
-    rig.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
+    gateway.clients.stop_accepting()  # in the same loop iteration: none has been accepted yet
     for plain in late:
         assert await plain.read(8) == b"$2\r\nok\r\n"
     with pytest.raises(ConnectionRefusedError):
-        PlainClient(rig, where)
-    assert not rig.clients.accepting
+        PlainClient(gateway, address)
+    assert not gateway.clients.accepting
 
 
 @asyncio_test
@@ -216,20 +217,20 @@
     monkeypatch.setattr(drain_module, "SHUTDOWN_COMMAND_TIMEOUT", 0.0)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
-    rig = Rig(host)
-    plain, client = await connected(rig, receive_buffer=4096)
+    gateway = LoopbackGateway(host)
+    plain, client = await connect(gateway, receive_buffer=4096)
     sock = client.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     count = 5
     plain.send(b"".join(request(number) for number in range(count)))
-    await until(lambda: len(host.commands) == count and not rig.driver.calls)
-    drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
+    await until(lambda: len(host.commands) == count and not gateway.driver.calls)
+    drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
     await until(lambda: client.stage is Stage.HALF_CLOSED)
     assert client.transport.get_write_buffer_size() and not drain.done()
-    assert await plain.rest() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
+    assert await plain.read_until_close() == (b"$60000\r\n" + b"v" * 60_000 + b"\r\n") * count
     plain.sock.close()
     await asyncio.wait_for(drain, 10)
-    assert rig.clients.is_finished
+    assert gateway.clients.is_finished
 
 
 @asyncio_test
@@ -237,27 +238,31 @@
     """A connection that always had a request in flight was never closed, but served until SIGKILL."""
     monkeypatch.setattr(drain_module, "SHUTDOWN_REFUSE_DELAY", 0.2)
     host = await FakeHost("a").listen()
-    out = []
-    host.script = lambda command: out.append(host.sender)
-    rig = Rig(host)
-    caller = await rig.caller()
-    caller.call(number=b"0")
+    waiting = []
+    host.script = lambda command: waiting.append(host.sender)
+    gateway = LoopbackGateway(host)
+    client = await gateway.connect_client()
+    client.send_request(request_id=b"0")
     await until(lambda: len(host.commands) == 1)
-    drain = asyncio.create_task(rig.clients.drain.shut_down(0.0))
-    asked, stats = 1, rig.driver.stats
+    drain = asyncio.create_task(gateway.clients.drain.shut_down(0.0))
+    request_count, stats = 1, gateway.driver.stats
     while True:  # the next request arrives before the last is answered
-        caller.call(number=b"%d" % asked)
-        asked += 1
-        await until(lambda asked=asked: len(host.commands) == asked or stats["refused_leaving"])
+        client.send_request(request_id=b"%d" % request_count)
+        request_count += 1
+        await until(
+            lambda request_count=request_count: (
+                len(host.commands) == request_count or stats["refused_leaving"]
+            )
+        )
         if stats["refused_leaving"]:
             break
-        out.pop(0).transport.write(b"*1\r\n$2\r\nok\r\n")
-        await until(lambda asked=asked: len(caller.replies) >= asked - 1)
-    (last,) = out
+        waiting.pop(0).transport.write(b"*1\r\n$2\r\nok\r\n")
+        await until(lambda request_count=request_count: len(client.replies) >= request_count - 1)
+    (last,) = waiting
     last.transport.write(b"*1\r\n$2\r\nok\r\n")
     await asyncio.wait_for(drain, 10)
-    assert caller.closed and caller.replies[:-1] == [b"ok"] * (asked - 1)
-    assert str(caller.replies[-1]) == "BUSY"
+    assert client.closed and client.replies[:-1] == [b"ok"] * (request_count - 1)
+    assert str(client.replies[-1]) == "BUSY"
 
 
 @asyncio_test
@@ -266,80 +271,83 @@
     monkeypatch.setattr(drain_module, "WRITE_STALL_TIMEOUT", 0.5)
     host = await FakeHost("a").listen()
     host.script = lambda command: answer(b"v" * 60_000)
-    rig = Rig(host)
-    plain, client = await connected(rig, receive_buffer=4096)
+    gateway = LoopbackGateway(host)
+    plain, client = await connect(gateway, receive_buffer=4096)
     client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     plain.send(b"".join(request(number) for number in range(4)))
-    await until(lambda: len(host.commands) == 4 and not rig.driver.calls)
-    client.check_timeouts = lambda before: None  # it reads a byte now and then, so it never stalls
-    await asyncio.wait_for(rig.clients.drain.shut_down(0.0), 10)
-    assert not rig.clients.is_finished
+    await until(lambda: len(host.commands) == 4 and not gateway.driver.calls)
+    # As for a client that reads a byte now and then, and so never stalls.
+    client.check_timeouts = lambda before: None
+    await asyncio.wait_for(gateway.clients.drain.shut_down(0.0), 10)
+    assert not gateway.clients.is_finished
 
 
 # -- a client that disconnects while reading is paused
 
 
-async def behind_a_full_pipeline(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
+async def behind_a_full_pipeline(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
+    gate = Gate(gateway, host.port)
     plain.send(b"".join(request(number, b"bill") for number in range(1, 25)))
-    await until(lambda: len(rig.driver.calls) == 16 and next(iter(rig.clients.open)).reading_paused)
+    await until(lambda: len(gateway.driver.calls) == 16 and next(iter(gateway.clients.open)).reading_paused)
     return gate
 
 
-async def behind_an_upload_without_memory(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
-    rig.clients.upload_memory.free = 0
+async def behind_an_upload_without_memory(
+    gateway: LoopbackGateway, host: FakeHost, plain: PlainClient
+) -> Gate:
+    gate = Gate(gateway, host.port)
+    gateway.clients.upload_memory.free = 0
     plain.send(request(1, b"bill") + post(b"x" * 200_000)[:150_000])
-    await until(lambda: rig.clients.upload_memory.waiting and rig.driver.calls)
+    await until(lambda: gateway.clients.upload_memory.waiting and gateway.driver.calls)
     return gate
 
 
-async def behind_unread_responses(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    """The request waits behind a large response that the client does not read."""
+async def behind_unread_responses(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
+    """Let a request wait behind a large response that the client does not read."""
     plain.send(request(0))
     await plain.read(8)
-    (idle,) = rig.hosts.pools[b"a"].idle
-    await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
-    gate = Gate(rig, host.port)
+    (idle,) = gateway.hosts.pools[b"a"].idle
+    await until(lambda: gateway.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
+    gate = Gate(gateway, host.port)
     host.script = lambda command: answer(b"v" * 4_000_000) if command[2] == b"id0" else answer(b"ok")
     plain.send(request(0) + request(1, b"bill"))
-    await until(lambda: next(iter(rig.clients.open)).reading_paused and rig.hosts.pools[b"a"].waiting)
+    await until(lambda: next(iter(gateway.clients.open)).reading_paused and gateway.hosts.pools[b"a"].waiting)
     return gate
 
 
-async def for_a_host_connection(rig: Rig, host: FakeHost, plain: PlainClient) -> Gate:
-    gate = Gate(rig, host.port)
+async def for_a_host_connection(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> Gate:
+    gate = Gate(gateway, host.port)
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
+    await until(lambda: gateway.hosts.pools[b"a"].waiting)
     return gate
 
 
 class ListHost:
-    """``open`` lists the host as serving."""
+    """Stands in for a ``Gate``: ``open`` lists the host as serving."""
 
-    def __init__(self, rig: Rig, host: FakeHost) -> None:
-        self.open = lambda: rig.told(host.line())
+    def __init__(self, gateway: LoopbackGateway, host: FakeHost) -> None:
+        self.open = lambda: gateway.apply_host_list(host.list_entry())
 
 
-async def for_an_available_host(rig: Rig, host: FakeHost, plain: PlainClient) -> ListHost:
-    rig.told(host.line("DRAINING"))
+async def for_an_available_host(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> ListHost:
+    gateway.apply_host_list(host.list_entry("DRAINING"))
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    return ListHost(rig, host)
+    await until(lambda: gateway.driver.calls)
+    return ListHost(gateway, host)
 
 
 class ThawDriver:
-    """``open`` ends the handover as failed."""
+    """Stands in for a ``Gate``: ``open`` ends the handover as failed."""
 
-    def __init__(self, rig: Rig) -> None:
-        self.open = rig.driver.thaw
+    def __init__(self, gateway: LoopbackGateway) -> None:
+        self.open = gateway.driver.thaw
 
 
-async def during_a_handover(rig: Rig, host: FakeHost, plain: PlainClient) -> ThawDriver:
-    rig.driver.freeze()
+async def during_a_handover(gateway: LoopbackGateway, host: FakeHost, plain: PlainClient) -> ThawDriver:
+    gateway.driver.freeze()
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    return ThawDriver(rig)
+    await until(lambda: gateway.driver.calls)
+    return ThawDriver(gateway)
 
 
 WAIT_REASONS = (
@@ -360,46 +368,46 @@
     """While reading is paused the event loop does not report a close, wherever the request waits."""
     monkeypatch.setattr(client_module, "PIPELINE_MAX", 16)
     host = await FakeHost("a").listen()
-    permissions = SITE["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
-    rig = Rig(host, permissions=permissions, sockets=256)
-    plain, _ = await connected(rig, receive_buffer=4096)
-    opens = await wait(rig, host, plain)
-    asked = rig.loop.time()
+    permissions = RAW_SETTINGS["permissions"] | {"cancel": may_cancel, "connectTimeout": 5_000_000}
+    gateway = LoopbackGateway(host, permissions=permissions, sockets=256)
+    plain, _ = await connect(gateway, receive_buffer=4096)
+    gate = await wait(gateway, host, plain)
+    left_at = gateway.loop.time()
     leave(plain.sock)
-    await until(lambda: not rig.driver.calls, within=20)
-    assert rig.loop.time() - asked < 1.5  # well before the deadline of 2 s
-    stats = rig.driver.stats
+    await until(lambda: not gateway.driver.calls, timeout=20)
+    assert gateway.loop.time() - left_at < 1.5  # well before the deadline of 2 s
+    stats = gateway.driver.stats
     assert stats["client_gone_waiting"] > 0 and stats["client_gone_sent_late"] == 0
-    opens.open()
-    other, _ = await connected(rig)
+    gate.open()
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))  # anything sent earlier arrives before it
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert {command[2] for command in host.commands} - {b"id0"} == {b"id99"}
-    gateway = rig.driver.gateway
-    await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [host.open_attempts for host in gateway.hosts.values()] == [0]
+    core = gateway.driver.gateway
+    await until(lambda: core.requests == core.attempts == {})
+    assert [host.open_attempts for host in core.hosts.values()] == [0]
 
 
-async def when_dispatched(rig: Rig, plain: PlainClient) -> Callable[[], None]:
-    """A request waits for a host; returns what dispatches it on an established connection."""
-    (idle,) = rig.hosts.pools[b"a"].idle
-    await until(lambda: rig.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
-    rig.told(rig.line | {"health": "DRAINING"})
+async def when_dispatched(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
+    """Let a request wait for a host; return a function that dispatches it on an established connection."""
+    (idle,) = gateway.hosts.pools[b"a"].idle
+    await until(lambda: gateway.loop.time() - idle.idle_since > 2 * CONNECTION_COOLDOWN)
+    gateway.apply_host_list(gateway.host_entry | {"health": "DRAINING"})
     plain.send(request(1, b"bill"))
-    await until(lambda: rig.driver.calls)
-    (number,) = rig.driver.calls
+    await until(lambda: gateway.driver.calls)
+    (number,) = gateway.driver.calls
 
-    def go_on() -> None:
-        rig.told(rig.line)
-        rig.driver.feed(api.TimerFired(number + 1))
+    def resume() -> None:
+        gateway.apply_host_list(gateway.host_entry)
+        gateway.driver.feed(api.TimerFired(number + 1))
 
-    return go_on
+    return resume
 
 
-async def when_cooled_down(rig: Rig, plain: PlainClient) -> Callable[[], None]:
-    """A request waits for a connection; returns what dispatches it on one past its cooldown."""
-    pool = rig.hosts.pools[b"a"]
-    Gate(rig, pool.address[1])
+async def when_cooled_down(gateway: LoopbackGateway, plain: PlainClient) -> Callable[[], None]:
+    """Let a request wait for a connection; return a function that dispatches it on a cooled-down one."""
+    pool = gateway.hosts.pools[b"a"]
+    Gate(gateway, pool.address[1])
     plain.send(request(1, b"bill"))
     await until(lambda: pool.waiting)
     pool.idle[0].idle_since -= CONNECTION_COOLDOWN
@@ -412,24 +420,24 @@
 async def test_nothing_is_sent_for_a_client_whose_close_is_not_yet_noticed(wait, leave):
     """The request is dispatched before the event loop reads the client's FIN from the socket."""
     host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.line = host.line()
-    plain, client = await connected(rig)
+    gateway = LoopbackGateway(host)
+    gateway.host_entry = host.list_entry()
+    plain, client = await connect(gateway)
     plain.send(request(0, b"bill"))
     assert await plain.read(8) == b"$2\r\nok\r\n"
-    go_on = await wait(rig, plain)
+    resume = await wait(gateway, plain)
     leave(plain.sock)
     wait_readable(fileno(client))
-    go_on()
-    assert not rig.driver.calls or all(call.finished for call in rig.driver.calls.values())
-    other, _ = await connected(rig)
+    resume()
+    assert not gateway.driver.calls or all(call.finished for call in gateway.driver.calls.values())
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id0", b"id99"]
-    assert rig.driver.stats["client_gone"] == 1
-    gateway = rig.driver.gateway
-    await until(lambda: gateway.requests == gateway.attempts == {})
-    assert [known.open_attempts for known in gateway.hosts.values()] == [0]
+    assert gateway.driver.stats["client_gone"] == 1
+    core = gateway.driver.gateway
+    await until(lambda: core.requests == core.attempts == {})
+    assert [known.open_attempts for known in core.hosts.values()] == [0]
 
 
 @pytest.mark.parametrize("pings", [COMMANDS_PER_TICK, 2 * COMMANDS_PER_TICK])
@@ -438,19 +446,19 @@
 async def test_pipelined_commands_are_not_executed_after_the_client_disconnects(leave, pings):
     """A segment is processed over several loop iterations, and the connection may be lost between two."""
     host = await FakeHost("a").listen()
-    rig, faults = Rig(host), []
-    rig.loop.set_exception_handler(lambda loop, context: faults.append(context))
-    plain, client = await connected(rig)
+    gateway, errors = LoopbackGateway(host), []
+    gateway.loop.set_exception_handler(lambda loop, context: errors.append(context))
+    plain, client = await connect(gateway)
     plain.send(PING * pings + b"".join(request(number, b"bill") for number in range(1, 9)))
     leave(plain.sock)
-    await until(lambda: client not in rig.clients.open)
-    other, _ = await connected(rig)
+    await until(lambda: client not in gateway.clients.open)
+    other, _ = await connect(gateway)
     other.send(request(99, b"bill"))
     assert await other.read(8) == b"$2\r\nok\r\n"
     assert [command[2] for command in host.commands] == [b"id99"]
-    assert rig.driver.stats["requests"] == 1
-    assert rig.driver.calls == {} == rig.driver.gateway.requests
-    assert faults == []
+    assert gateway.driver.stats["requests"] == 1
+    assert gateway.driver.calls == {} == gateway.driver.gateway.requests
+    assert errors == []
 
 
 # -- fairness and isolation between clients
@@ -459,18 +467,18 @@
 @asyncio_test
 async def test_client_flooding_with_commands_does_not_starve_others():
     """A segment of thousands of commands was executed completely before other clients were read from."""
-    rig = Rig(await FakeHost("a").listen())
-    flood, flooding = await connected(rig)
-    calm, waiting = await connected(rig)
+    gateway = LoopbackGateway(await FakeHost("a").listen())
+    flooding_plain, flooding = await connect(gateway)
+    calm_plain, calm = await connect(gateway)
     order: list[Client] = []
-    for client in (flooding, waiting):
+    for client in (flooding, calm):
         client.write = lambda data, client=client: (order.append(client), client.transport.write(data))
-    flood.send(PING * 4_000)
-    calm.send(PING)
-    wait_readable(fileno(waiting))  # both are readable before the loop polls
-    assert await calm.read(7) == b"+PONG\r\n"
-    assert order.index(waiting) <= 200  # of 4,000
-    assert await flood.read(7 * 4_000) == b"+PONG\r\n" * 4_000
+    flooding_plain.send(PING * 4_000)
+    calm_plain.send(PING)
+    wait_readable(fileno(calm))  # both are readable before the loop polls
+    assert await calm_plain.read(7) == b"+PONG\r\n"
+    assert order.index(calm) <= 200  # of 4,000
+    assert await flooding_plain.read(7 * 4_000) == b"+PONG\r\n" * 4_000
 
 
 @asyncio_test
@@ -480,33 +488,37 @@
         classes = [
             dict(cls, name=name, effect=effect, group="all")
             for cls, (name, effect) in zip(
-                SITE["classes"], zip(("put", "bill"), effects, strict=True), strict=False
+                RAW_SETTINGS["classes"], zip(("put", "bill"), effects, strict=True), strict=False
             )
         ]
         hosts = [await FakeHost(name).listen() for name in "ab"]
-        rig = Rig(
-            *hosts, classes=classes, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)]
+        gateway = LoopbackGateway(
+            *hosts,
+            classes=classes,
+            packages=[dict(RAW_SETTINGS["packages"][0], peakUnits=2.0, perSecond=0.001)],
         )
         for host in hosts:
             host.script = lambda command: b"reset"
-        caller = await rig.caller()
+        client = await gateway.connect_client()
         for name, effect in zip(("put", "bill"), effects, strict=True):
             before = sum(len(host.commands) for host in hosts)
             words = (b"00000000000000%02x" % (7 + before), b"id", b"k=key," + TERMS % (name.encode(), 2000))
-            caller.ask(b"CALL.POST", *words, b"BODY")
-            await caller.replied(len(caller.replies) + 1)
+            client.send_command(b"CALL.POST", *words, b"BODY")
+            await client.wait_for_replies(len(client.replies) + 1)
             sent = sum(len(host.commands) for host in hosts) - before
             assert (sent == 1) == (effect == "once"), effect
     # One customer's quota is spent and the other's is not, whatever their order in a segment.
     host = await FakeHost("a").listen()
-    rig = Rig(host, packages=[dict(SITE["packages"][0], peakUnits=2.0, perSecond=0.001)])
-    caller = await rig.caller()
+    gateway = LoopbackGateway(
+        host, packages=[dict(RAW_SETTINGS["packages"][0], peakUnits=2.0, perSecond=0.001)]
+    )
+    client = await gateway.connect_client()
     spent, other = [
         hiredis.pack_command((b"CALL.GET", customer, b"id", TERMS % (b"read", 2000)))
         for customer in (b"0000000000000007", b"0000000000000008")
     ]
-    caller.transport.write(spent * 3 + other + spent + other)
-    replies = [str(reply).split()[0] for reply in await caller.replied(6)]
+    client.transport.write(spent * 3 + other + spent + other)
+    replies = [str(reply).split()[0] for reply in await client.wait_for_replies(6)]
     assert replies[0] == "b'ok'" and replies[3] == "b'ok'"
     assert replies[2] == replies[4] == "BUSY"
 
@@ -518,51 +530,49 @@
 async def test_a_thousand_stalled_connections_are_closed_in_time_while_others_are_served(tmp_path):
     """Some send part of a command or of a large body. Descriptors stay within the limit throughout."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        process = await service.start()
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        process = await gateway.start()
         loop = asyncio.get_running_loop()
-        where = service.configuration["listen"].split(":")
-        where = (where[0], int(where[1]))
-        descriptors, replies, over = [], [], asyncio.Event()
+        address = gateway.configuration["listen"].split(":")
+        address = (address[0], int(address[1]))
+        descriptors, replies, stop = [], [], asyncio.Event()
         folder = f"/proc/{process.pid}/fd"
 
-        async def ask() -> None:
+        async def send_requests() -> None:
             """Send requests as another client, whose connection may be evicted between two of them."""
-            other_client = await service.caller()
-            while not over.is_set():
+            other_client = await gateway.connect_client()
+            while not stop.is_set():
                 descriptors.append(len(os.listdir(folder)))
                 if other_client.closed:
-                    other_client = await service.caller()
+                    other_client = await gateway.connect_client()
                 else:
-                    other_client.call(number=b"n%d" % len(descriptors))
+                    other_client.send_request(request_id=b"n%d" % len(descriptors))
                     await until(lambda client=other_client: client.replies or client.closed)
                     replies.extend(other_client.replies)
                     other_client.replies.clear()
 
-        async def rest(words: bytes) -> float:
-            """Connect and stall; returns the seconds until the gateway closes the connection."""
+        async def stall(data: bytes) -> float:
+            """Connect and stall; return the seconds until the gateway closes the connection."""
             with socket.socket() as sock:
                 sock.setblocking(False)
-                await loop.sock_connect(sock, where)
-                began = loop.time()
+                await loop.sock_connect(sock, address)
+                started = loop.time()
                 with contextlib.suppress(ConnectionResetError, BrokenPipeError):
-                    await loop.sock_sendall(sock, words)
+                    await loop.sock_sendall(sock, data)
                     while await loop.sock_recv(sock, 65536):
                         pass  # an error line
-                return loop.time() - began
+                return loop.time() - started
 
-        asking = asyncio.create_task(ask())
+        requests_task = asyncio.create_task(send_requests())
         kinds = (b"", b"*1\r\n$4\r\nPI", post(b"x" * 300_000)[:90_000], b"junk\r\n")
-        took = await asyncio.wait_for(asyncio.gather(*(rest(kinds[n % 4]) for n in range(1_000))), 50)
-        over.set()
-        await asking
-        assert len(took) == 1_000 and max(descriptors) <= service.configuration["limits"]["sockets"]
-        assert sum(span > 3.5 for span in took) == 0
+        durations = await asyncio.wait_for(asyncio.gather(*(stall(kinds[n % 4]) for n in range(1_000))), 50)
+        stop.set()
+        await requests_task
+        assert len(durations) == 1_000 and max(descriptors) <= gateway.configuration["limits"]["sockets"]
+        assert sum(duration > 3.5 for duration in durations) == 0
         kinds = {reply if reply == b"ok" else str(reply).split()[0] for reply in replies}
-        assert b"ok" in kinds and kinds <= {
-            b"ok",
-            "BUSY",
-        }  # at the connection limit, or beyond its quota of 100 a second
+        # Refused at the connection limit, or beyond the customer's quota of 100 a second.
+        assert b"ok" in kinds and kinds <= {b"ok", "BUSY"}
         assert process.returncode is None
 
 
@@ -571,38 +581,38 @@
     """SIGTERM twice, with SIGHUP in between: each connection is closed without a reset, although its client
     sends one more request on seeing the close, and only requests read before reach hosts."""
     host = await FakeHost("a").listen()
-    async with Service(tmp_path, host) as service:
-        process = await service.start()
-        where = tuple(service.configuration["listen"].split(":"))
-        where = (where[0], int(where[1]))
+    async with GatewayProcesses(tmp_path, host) as gateway:
+        process = await gateway.start()
+        address = tuple(gateway.configuration["listen"].split(":"))
+        address = (address[0], int(address[1]))
         loop = asyncio.get_running_loop()
-        rig = type("Loop", (), {"loop": loop})
-        resting = [PlainClient(rig, where) for _ in range(12)]
-        for number, plain in enumerate(resting):
+        loop_holder = type("Loop", (), {"loop": loop})
+        idle_clients = [PlainClient(loop_holder, address) for _ in range(12)]
+        for number, plain in enumerate(idle_clients):
             plain.send(request(number))
             assert await plain.read(8) == b"$2\r\nok\r\n"
         host.script = lambda command: None
-        busy = PlainClient(rig, where)
-        busy.send(request(100, b"bill", wait=3000))
+        busy = PlainClient(loop_holder, address)
+        busy.send(request(100, b"bill", deadline_ms=3000))
         await until(lambda: len(host.commands) == 13)
         process.send_signal(signal.SIGTERM)
 
         async def end(plain: PlainClient) -> None:
-            assert await plain.rest() == b""
+            assert await plain.read_until_close() == b""
             with contextlib.suppress(BrokenPipeError, ConnectionResetError):
                 plain.send(request(200, b"bill"))  # after the close, so it never reaches a host
 
         async with asyncio.TaskGroup() as group:
-            for plain in resting:
+            for plain in idle_clients:
                 group.create_task(end(plain))
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        new = PlainClient(rig, where)
-        new.send(request(101, b"bill", wait=3000))
+        new = PlainClient(loop_holder, address)
+        new.send(request(101, b"bill", deadline_ms=3000))
         await until(lambda: len(host.commands) == 14)
         for connection in host.connections:
             connection.transport.write(b"*1\r\n$2\r\nok\r\n")
-        assert await busy.rest() == await new.rest() == b"$2\r\nok\r\n"
+        assert await busy.read_until_close() == await new.read_until_close() == b"$2\r\nok\r\n"
         busy.sock.close()
         new.sock.close()
         assert await asyncio.wait_for(process.wait(), 10) == 0
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 
 import pytest
 from conftest import FakeHost, asyncio_test, until
-from test_news import ZONES, Agent
+from test_discovery import ZONES, FakeAgent
 
 from saffrongw import discovery
 from saffrongw.discovery import LONG_POLL_WAIT, STALENESS_LIMIT, DiscoveryConnection, Watch
@@ -21,7 +21,7 @@
 def whole_list(version: int) -> bytes:
     host = FakeHost("a")
     host.port = 7
-    return json.dumps({"seq": version, "whole": True, "hosts": [host.line()]}).encode()
+    return json.dumps({"seq": version, "whole": True, "hosts": [host.list_entry()]}).encode()
 
 
 def answer(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
@@ -38,7 +38,7 @@
 
 class Task:
     def cancel(self) -> None:
-        """Does nothing: a connection may still be established after the cancellation."""
+        """Do nothing: a connection may still be established after the cancellation."""
 
 
 class FakeTransport:
@@ -140,7 +140,7 @@
 
 
 def parser_awaiting_response(connection: DiscoveryConnection):
-    """A parser with a request in flight and no part of a response read."""
+    """Return a parser with a request in flight and no part of a response read."""
     http = discovery.h11.Connection(discovery.h11.CLIENT)
     http.send(discovery.h11.Request(method="GET", target="/", headers=[("host", "a")]))
     http.send(discovery.h11.EndOfMessage())
@@ -274,7 +274,7 @@
 
     monkeypatch.setattr(Watch, "connected", block_loop)
     loop, updates = asyncio.get_running_loop(), []
-    agent = Agent([json.loads(whole_list(version)) for version in range(1, 4)])
+    agent = FakeAgent([json.loads(whole_list(version)) for version in range(1, 4)])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
     Watch(loop, server.sockets[0].getsockname()[:2], ZONES, updates.append, response_timeout=0.2).start()
     await until(lambda: len(updates) == 3)
