--- a/tests/test_registry_leases.py
+++ b/tests/test_registry_leases.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+import re
 import signal
 
 import pytest
@@ -170,7 +171,9 @@
                 await asyncio.sleep(0.05)
         health = await call(node.operators, "GET", "/health")
         assert health.status == 503 and "held" in health["error"]
-        assert b"event=list_held leases_out=8 leases=9" in node.log
+        # Logged once, by the first check that holds the list; leases that expire later join the held ones.
+        [expired] = re.findall(rb"event=list_held leases_out=(\d+) leases=9\b", node.log)
+        assert 1 <= int(expired) <= 8
         assert len((await node.list())["hosts"]) == 9
         for body in ({"held": 7}, {"held": 9}):  # not the current number
             assert (await call(node.operators, "POST", "/hold", body)).status == 409
