--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -250,8 +250,12 @@
     def table(self) -> dict[str, object]:
         """Return the view for operators.
 
-        A member's row is its state, life, incarnation and the milliseconds since its last message. Links that
-        are down are pairs (from, to).
+        A life distinguishes a process from earlier ones under its rank; ``yielded`` tells whether this one
+        gave way to a later one. ``health`` is 0 if healthy and at worst HEALTH_MAX. ``unheard`` is the view's
+        ``outbound_down``, and ``part`` its ``active_of_total``.
+
+        A member's row is its state, life, incarnation and the milliseconds since its last message, None if
+        none was received. Links that are down are pairs (from, to).
         """
         core, now = self.core, clock()
         rows = {
