--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -671,6 +671,10 @@
         return is_newer
 
     def _suspect(self, now: int, member: Member, evidence_at: int, accuser: int) -> None:
+        """Suspect a member, as a ping sent to it at ``evidence_at`` failed, or confirm its suspicion.
+
+        Each accuser but the member itself is recorded once, and its accusation gossiped.
+        """
         if member.state is not State.SUSPECT:
             member.evidence_at, member.suspected_at = evidence_at, now
             member.accusers, member.reported_dead = set(), False
@@ -703,7 +707,8 @@
             return longest
         if member.reported_dead:
             return shortest / 2
-        needed = min(CONFIRMATIONS_NEEDED, self.active_count - 1)  # without the suspect and the first accuser
+        # Without the suspect and the first accuser, but with this gateway, which active_count leaves out.
+        needed = min(CONFIRMATIONS_NEEDED, self.active_count - 1)
         if needed < 1:
             return longest
         confirmations = min(needed, len(member.accusers) - 1)
