--- a/saffrongw/process.py
+++ b/saffrongw/process.py
@@ -153,7 +153,10 @@
                 self.bind_tasks.append(task)
 
     async def _serve(self, predecessor: upgrade.Predecessor | None, socket_path: Path | None) -> None:
-        """Take over from the predecessor, or start without one; then serve clients."""
+        """Take over from the predecessor, or start without one; then serve clients.
+
+        The predecessor's sockets are used even if the takeover of its state failed.
+        """
         config, driver = self.config, self.driver
         taken_over = predecessor is not None and await predecessor.take_over(driver, self.host_list_received)
         if config.peer_listen and config.settings.may_tell_peers:
@@ -161,7 +164,7 @@
             self.peers = Peers(driver, config.peers, config.settings.rank)
             peer_endpoint = (predecessor and predecessor.peer_socket) or config.peer_listen
             if config.cluster:
-                from .members import Members  # imports hashlib: only if configured
+                from .members import Members  # heavy import (hashlib): only if configured
 
                 self.members = Members(driver, config, self.peers, self.clients.drain.begin)
                 self.control.members = self.members
