--- a/registry/primary.py
+++ b/registry/primary.py
@@ -377,7 +377,7 @@
             self.write_queued.set()
 
     def handle_operator(self, connection: Connection, request: Request) -> None:
-        """Add GET and POST /hold, which list the held hosts and confirm their removal."""
+        """Handle /hold, too: GET lists the held hosts, whose leases expired, POST confirms their removal."""
         held = self.leases.held
         if request.path != ["hold"]:
             super().handle_operator(connection, request)
