--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -246,7 +246,7 @@
 
     def _refusal_cause(self, request: Request) -> Cause | None:
         """Return why a limit forbids the first attempt, None if it is allowed; sets the request's account."""
-        # Looked up again each time, as an idle account may be evicted while a request waits.
+        # The account is looked up at each call, as an idle one may be evicted while the request waits.
         event = request.event
         account = self._account(event.customer, event.plan, event.set_first, event.set_size, trusted=True)
         request.account = account
@@ -258,8 +258,8 @@
 
         remaining = account.remaining
         if account.unconfirmed and self.rank in account.counts:
-            # What peers spent is unknown, so this gateway grants only its share of the burst, but always the
-            # first request.
+            # What peers spent is unknown, so this gateway grants only its share of the burst. The share does
+            # not limit its first request, before which it has no count of its own.
             _, own_units = account.counts[self.rank]
             remaining = min(remaining, plan.burst / account.set_size - own_units)
         if plan.rate and (account.throttled or remaining < event.units):
@@ -660,9 +660,10 @@
             self._notify_owner(account, request.owner_index)
 
     def _merge_count(self, account: Account, rank: int, start: int, value: float) -> float:
-        """Merge a gateway's count and return its growth; a newer start wins, then a larger value.
+        """Merge a gateway's count, the units (``value``) since it began to count (``start``).
 
-        Units counted before that gateway restarted stay counted.
+        A later start wins, then a larger value; units counted since an earlier start stay counted. Return the
+        growth.
         """
         known_start, known_value = account.counts.get(rank, (-1, 0.0))
         if (start, value) <= (known_start, known_value):
@@ -755,10 +756,11 @@
             self._broadcast(account, account.set_size - 1)
 
     def _broadcast(self, account: Account, reach: int) -> None:
-        """Notify the next ``reach`` gateways of the set.
+        """Send the account's row to the next ``reach`` gateways of the customer's set.
 
-        They are divided into sections, and the first available gateway of each forwards the row to the rest
-        of its section. The first section has a random size, so that the forwarding gateways vary.
+        They are divided into sections. The first available gateway of each merges the row and broadcasts its
+        own to those after it in the section. The first section has a random size, so that the gateways that
+        do this vary.
         """
         if not reach:
             return
@@ -903,8 +905,10 @@
     def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
         """Return the row that answers a query.
 
-        The units that the peer wants are reserved at once, or they would be promised to others too. A peer
-        that queries again has not used them, so the earlier reservation is released.
+        The peer wants units, or ceiling tokens if the plan has a ceiling. Units are reserved at once, or they
+        would be promised to others too. Those that it has spent since left the reservation when its row was
+        merged. The rest is released when it queries again, but only within the time that a request waits for
+        answers: later it stays in the total.
         """
         if to_owner:
             units, reserved_at = account.reserved.pop(rank, (0.0, 0))
