--- a/ops/checking.py
+++ b/ops/checking.py
@@ -142,7 +142,11 @@
 
 
 def expectation(value_type: Any, message: str = "") -> str:
-    """Describe what a type accepts; ``message`` is the decoder's, for types without a description."""
+    """Describe what a type accepts.
+
+    ``message`` is the decoder's error, which is returned for a type without a description, and for a quantity
+    that is not a whole number of base units.
+    """
     value_type = _unwrap_optional(value_type)
     if value_type in units.UNIT_TYPES:
         return message if message.startswith("expected a whole") else f"expected {value_type.EXPECTED}"
