--- a/registry/agreement.py
+++ b/registry/agreement.py
@@ -168,9 +168,11 @@
         self.holders.pop((holder, life), None)
 
     def advance(self, now: int) -> bool:
-        """Put the pending version into effect if nothing blocks it.
+        """Put the pending version into effect if nothing blocks it, and drop holders with expired leases.
 
-        Returns whether it did; the caller persists the state before the next answer.
+        The latest life of each holder is kept even without a lease, as it may query again, or has just done
+        so for the first time. Returns whether the version took effect; the caller persists the state before
+        it sends another answer.
         """
         self.holders = {
             key: holder
