--- a/registry/primary.py
+++ b/registry/primary.py
@@ -306,10 +306,11 @@
                 self.committing = False
             except sqlite3.Error as error:
                 self.committing, self.write_failed = False, True
+                # The batch's removals are lost: the next checks queue them again.
                 self.leases.expiring.clear()
                 log.error("writes_refused", writes=len(batch), error=error)
                 for _, connection in batch:
-                    if connection:
+                    if connection:  # None: the removal of a host with an expired lease
                         connection.respond_error(
                             HTTPError(503, "write failed, nothing has changed", {"Retry-After": "1"})
                         )
