--- a/registry/primary.py
+++ b/registry/primary.py
@@ -68,7 +68,7 @@
         return seq, entry.born_ms if entry else 0
 
     def check_version(self, host: str, version: int) -> Record:
-        """Return the host's record; raises HTTPError if its version differs (compare-and-set)."""
+        """Return the host's record; raises HTTPError if missing or at another version (compare-and-set)."""
         record = self.get(host)
         if record is None:
             raise HTTPError(404, "not on the list: register first", version=self.last_removal(host)[0])
