--- a/registry/replicas.py
+++ b/registry/replicas.py
@@ -43,9 +43,11 @@
 
     async def apply_update(self, update: ListUpdate) -> None:
         """Store a newer update, then publish it to readers."""
-        index, position = self.ledger.seq, (update.life, update.seq)
+        old_seq, position = self.ledger.seq, (update.life, update.seq)
         changes = self.ledger.as_changes(update)
-        if update.seq <= index:  # a new life, of a primary whose clock was behind
+        if update.seq <= old_seq:
+            # Newer only by its life: numbers come from a primary's clock, and the new one's was behind. The
+            # list is replaced, and its change log begins with an empty change.
             records = [Record(entry, update.seq, 0) for entry in update.entries]
             by_host = {record.entry.host: record for record in records}
             await self._store_update(*position, [(update.seq, ())], by_host, replace_all=True)
@@ -55,7 +57,7 @@
             await self._store_update(*position, [(update.seq, changes)], changed)
             self.ledger.life = update.life
             self.ledger.apply(update.seq, changes, changed)
-        self.watch_endpoint.notify(index)
+        self.watch_endpoint.notify(old_seq)
 
     async def _store_update(
         self,
@@ -108,15 +110,15 @@
 
     async def apply_update(self, update: ListUpdate) -> None:
         """Apply a newer update, publish it to readers and schedule a save."""
-        index = self.ledger.seq
+        old_seq = self.ledger.seq
         changes = self.ledger.as_changes(update)
-        if update.seq <= index:
+        if update.seq <= old_seq:  # newer only by its life, as in Follower
             records = [Record(entry, update.seq, 0) for entry in update.entries]
             self.ledger.reset(update.life, update.seq, records)
         else:
             self.ledger.life = update.life
             self.ledger.apply(update.seq, changes, changed_records(changes, update.seq))
-        self.watch_endpoint.notify(index)
+        self.watch_endpoint.notify(old_seq)
         self.save_requested.set()
 
     def _save_now(self, life: int, body: bytes) -> None:
