--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -390,9 +390,10 @@
         self._release_resources()
 
     def _release_resources(self) -> None:
-        """Cancel all requests of a connection that cannot be answered any more, and free their memory."""
+        """Cancel all requests of a connection that is closed for writing, and free their memory."""
         self._free_upload()
         slots, self.slots = self.slots, deque()
+        # While reading is paused, the client's close is noticed late: see ``last_seen``.
         seconds_unobserved = self.clients.driver.loop.time() - self.last_seen if self.reading_paused else 0.0
         for slot in slots:
             slot.release_body()
