--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -342,7 +342,7 @@
             if slot.source:
                 break
             self.slots.popleft()
-        self._continue()
+        self._continue()  # resumes reading if it was paused, as the pipeline may have been full
         self.close_if_idle()
 
     def is_idle(self) -> bool:
