--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -307,10 +307,10 @@
         queued_events, self.pending_events = self.pending_events, deque()
         self.frozen = False
         for call in unsent:
-            self.feed(api.ClientGone(call.event.request))  # this process's module forgets it
+            self.feed(api.ClientGone(call.event.request))  # this process's decision module forgets it
             self._relay(call)
         for event in queued_events:
-            if not isinstance(event, api.RequestArrived):
+            if not isinstance(event, api.RequestArrived):  # its request was relayed above, or has ended
                 self.feed(event)
 
     def _relay(self, call: Call) -> None:
