--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -50,10 +50,11 @@
     """Membership of this gateway in its cluster."""
 
     def __init__(self, driver: Driver, config: Config, peers: Peers, drain: Callable[[], None]) -> None:
-        """``drain`` is called if another process runs under our rank and this one yields."""
+        """``drain`` is called if this process yields to another one that runs under its rank."""
         settings = config.settings
         random_seed = int.from_bytes(os.urandom(8), "big")
         life = (time.time_ns() // 1_000_000 << LIFE_RANDOM_BITS) + random_seed % (1 << LIFE_RANDOM_BITS)
+        # The ranks that the settings have and, if ``peers`` is configured, it gives an address for.
         size = min(settings.gateways, len(config.peers) or settings.gateways)
         self.core = Membership(
             settings.rank, size, config.cluster, life, random_seed, clock(), settings.peer_intake
@@ -71,9 +72,10 @@
         self.peers = peers
         self.drain = drain
         self.loop = driver.loop
+        # With configured addresses, the first view counts as reported; with discovered ones it is fed.
         self.last_reported = None if self.address_book else self._members_changed()
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_due = 0  # when the timer fires
+        self.timer_due = 0  # when the timer fires, by ``clock()``
         peers.members = self
         driver.pre_event_hook = self.check_pause
 
