--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -206,6 +206,11 @@
         return api.MembersChanged(unavailable, isolated)
 
     def _log_event(self, event: state.LogEvent) -> None:
+        """Log an event of the protocol; at ``twin``, a newer process under our rank, also yield to it.
+
+        ``stood_still``: this process was paused; ``sure_again``: the doubt after that is over; ``cut_off``
+        and ``unheard``: the view's ``cut_off`` and ``outbound_down`` have changed.
+        """
         fields = event.fields | {"boot_ms": clock() // MS}
         match event.name:
             case "member":
@@ -226,7 +231,7 @@
                 self.driver.feed(api.MembersChanged(self._members_changed().unavailable, True))
                 self.drain()
                 self.stop()
-                # From here on all datagrams are for the other process.
+                # All datagrams for our rank are now the other process's; ours, if any are left, go out first.
                 self.loop.call_soon(self.peers.transport.close)
 
     # -- for operators and metrics --------------------------------------------------------------------------
