--- a/birchdrum/checking.py
+++ b/birchdrum/checking.py
@@ -25,7 +25,10 @@
 
 
 def check_relations(config: Config) -> Iterator[Violation]:
-    """Yield an error for each value that conflicts with another one or is out of range."""
+    """Yield a violation for each value that conflicts with another one or is out of range.
+
+    Also for each required list that is empty, and for each name that a list repeats.
+    """
     yield from _check_fleet(config)
     yield from _check_zone(config)
     yield from _check_limits(config)
