--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -54,8 +54,8 @@
     violation: str = ""
 
     def warm_up(self) -> World:
-        """Start all processes, run until every holder has the first version, and return this world."""
-        self.disk = PersistedState(1, 1, last=1)
+        """Start the source and the holders, run until all have the first version, and return this world."""
+        self.disk = PersistedState(1, 1, last=1)  # the source's first life, version 1 in effect
         self.source = self.source_factory(self.now(), self.disk, LEASE_MS)
         self.cores = [self.start_core(rank) for rank in range(self.size)]
         self.paused_until = [0] * self.size
