--- a/lab/member_plots.py
+++ b/lab/member_plots.py
@@ -16,6 +16,7 @@
 
 Result = dict[str, Any]  # as returned by ``member_study.measure``
 
+# By variant of the membership protocol, a key of ``member_baselines.VARIANTS``.
 COLORS = {"birchdrum": "#1b6ca8", "swim": "#d1603d", "heartbeats": "#7a7a7a"}
 RATE_BASE = 100.0  # member hours that rates refer to
 
@@ -28,12 +29,12 @@
 
 
 def _plot_times(axes: Axes, results: list[Result], title: str) -> None:
-    """Plot the cumulative distribution of measured times."""
+    """Plot the cumulative distribution of the measured times; ``title`` says of what."""
     for (variant, size, loss), group in _group_by(results, "variant", "size", "loss").items():
         times = np.sort(np.concatenate([result["seconds"] for result in group]))
         style = {0.0: "-", 0.1: "--", 0.2: ":"}.get(loss, "-.")
         label = f"{variant}, {size}" + (f", {loss:.0%} lost" if loss else "")
-        width = 1.0 if size == 30 else 2.0
+        width = 1.0 if size == 30 else 2.0  # 30 members: the default
         axes.step(
             times,
             np.arange(1, len(times) + 1) / len(times),
@@ -47,7 +48,7 @@
 
 
 def _plot_false_deaths(axes: Axes, results: list[Result]) -> None:
-    """Plot the rate of false death declarations against the message loss."""
+    """Plot the number of false death declarations in RATE_BASE member hours against the message loss."""
     for (variant, size), group in _group_by(results, "variant", "size").items():
         losses = _group_by(group, "loss")
         rates = [
