--- a/orchidlane/messages.py
+++ b/orchidlane/messages.py
@@ -38,9 +38,9 @@
 
     customer: int
     plan: int
-    set_first: int
+    set_first: int  # rank of the first gateway in the customer's gateway set
     set_size: int
-    forward_count: int
+    forward_count: int  # gateways of the set that the receiver must forward the update to
     remaining: float
     total: float
     tokens: float
@@ -81,8 +81,11 @@
 
 
 def pack_row(row: Row, sent_ms: int, ranks: int) -> bytes:
-    """Encode one row; the start of a count is encoded as its age at the send time."""
-    out, first, ticks = bytearray(), row.set_first, sent_ms // TICK_MS
+    """Encode one row, in a fleet of ``ranks`` gateways.
+
+    The start of a count, when its gateway began to count, is encoded as its age at the send time.
+    """
+    out, first, sent_ticks = bytearray(), row.set_first, sent_ms // TICK_MS
     append_varints(out, row.customer, row.plan, first, row.set_size, row.forward_count)
     append_varints(
         out,
@@ -92,7 +95,7 @@
         len(row.counts),
     )
     for rank, start, value in row.counts:
-        append_varints(out, (rank - first) % ranks, max(0, ticks - start), int(value * SCALE))
+        append_varints(out, (rank - first) % ranks, max(0, sent_ticks - start), int(value * SCALE))
     return bytes(out)
 
 
@@ -117,38 +120,39 @@
 def unpack(body: bytes, now: int, ranks: int, plans: int) -> Message | None:
     """Decode a message. Return None if it is malformed or refers to unknown plans or gateways.
 
-    The low bits of the send time are completed to the time that is nearest to ``now`` (in ms).
+    ``ranks`` and ``plans`` are the numbers of gateways and plans. A message holds only the low bits of its
+    send time; of the times with these bits, the one nearest to ``now`` (in ms) is taken.
     """
     try:
         if body[0] != FORMAT or body[1] > KNOWN_FLAGS or not HEADER_BYTES <= len(body) <= MESSAGE_BYTES_MAX:
             return None
         sent_ms = int.from_bytes(body[2:HEADER_BYTES], "little")
         sent_ms += (now - sent_ms + SEND_TIME_PERIOD // 2) // SEND_TIME_PERIOD * SEND_TIME_PERIOD
-        ticks, rows, offset = sent_ms // TICK_MS, [], HEADER_BYTES
+        sent_ticks, rows, offset = sent_ms // TICK_MS, [], HEADER_BYTES
         while offset < len(body):
             fields = []
             for _ in range(ROW_HEADER_FIELDS):
                 value, offset = read_varint(body, offset)
                 fields.append(value)
-            customer, plan, first, size, forward_count, remaining, total, tokens, count_number = fields
+            customer, plan, first, set_size, forward_count, remaining, total, tokens, counts_length = fields
             if (
                 plan >= plans
                 or first >= ranks
-                or not 1 <= size <= ranks
-                or forward_count >= size
-                or count_number > size
+                or not 1 <= set_size <= ranks
+                or forward_count >= set_size
+                or counts_length > set_size
             ):
                 return None
             counts = []
-            for _ in range(count_number):
+            for _ in range(counts_length):
                 position, offset = read_varint(body, offset)
                 age, offset = read_varint(body, offset)
                 value, offset = read_varint(body, offset)
-                if position >= size:
+                if position >= set_size:
                     return None
-                counts.append(((first + position) % ranks, ticks - age, value / SCALE))
+                counts.append(((first + position) % ranks, sent_ticks - age, value / SCALE))
             amounts = remaining / SCALE, total / SCALE, tokens / SCALE
-            rows.append(Row(customer, plan, first, size, forward_count, *amounts, tuple(counts)))
+            rows.append(Row(customer, plan, first, set_size, forward_count, *amounts, tuple(counts)))
         flags = body[1]
         return Message(sent_ms, bool(flags & FLAG_EXPECTS_ANSWER), bool(flags & FLAG_TO_OWNER), tuple(rows))
     except (IndexError, ValueError):
