--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -515,7 +515,10 @@
         return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Update the health stats of the server, of its zone and of its pool by an outcome."""
+        """Update the health stats of the server, its zone and its pool by the outcome of an attempt.
+
+        ``kind`` is the index of the request's class in the settings.
+        """
         host = attempt.host
         zone = self.zone_stats[host.entry.zone]
         pool = self._pool_stats(host)
@@ -524,7 +527,7 @@
         self._record_connection(host, event)
         if event.outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self._record_response_time(attempt, kind, event.duration)
-        # Counted for the zone too: in a network partition its servers would otherwise be tried in turn.
+        # Failures count for the zone too, or in a network partition its servers would be tried in turn.
         for stats in (host, zone):
             if event.outcome is Outcome.SERVED:
                 stats.failures /= 2
@@ -628,7 +631,8 @@
     def _local_share(self, account: Account) -> float:
         """Return the part of the customer's spending that went through this gateway.
 
-        A burst spent evenly by the whole set is added, so it is 1 / set size before anything is spent.
+        The customer is taken to have spent one burst more, evenly through its gateway set, so that the part
+        is 1 / set size before anything is spent. Without a burst the part has no effect.
         """
         burst = self.settings.plans[account.plan].burst
         if not burst:
