--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -249,7 +249,10 @@
 
 
 def parse_settings(raw: bytes) -> api.Settings:
-    """Decode settings from JSON, ignoring unknown keys. Raises WireError, which names a missing key."""
+    """Decode settings from JSON, ignoring unknown keys.
+
+    Raises WireError for invalid JSON, a missing key or a value of the wrong type.
+    """
     try:
         decoded = json.loads(raw)
     except ValueError:
