--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -100,7 +100,8 @@
     def apply_to(self, gateway: Gateway) -> None:
         """Restore the state into a gateway.
 
-        Health statistics are restored for servers that it has listed already, unless they were restarted.
+        A server's health statistics are restored if the gateway's server list contains it already, with the
+        same launch time.
         """
         gateway.usual_times = self.usual_times
         gateway.retry_budget = self.retry_budget
@@ -130,7 +131,11 @@
 
 
 def decode(gateway: Gateway, state: dict[str, Any], rows: list[list[Any]]) -> DecodedState:
-    """Validate and decode the predecessor's state. Raises ValueError if it is invalid for this gateway."""
+    """Validate and decode the state of the predecessor, the process that this one replaces in an upgrade.
+
+    ``state`` is encoded by ``encode_state``, ``rows`` by ``encode_accounts``. Raises ValueError if they are
+    invalid for this gateway.
+    """
     try:
         if state["shape"] != _settings_shape(gateway):
             raise ValueError("state of a gateway with different settings")
--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -113,9 +113,10 @@
         self.rank = settings.rank
         self.gossip_disabled = not settings.may_tell_peers
 
+        # Usual response times, by the index of the request class.
         self.usual_times = [INITIAL_TARGET_SHARE * c.target_latency for c in settings.classes]
         self.retry_budget = RETRY_BUDGET_MAX
-        self.next_trial_at = 0.0
+        self.next_trial_at = 0.0  # earliest time of the next trial request in an overload
         self.typical_concurrency = CONCURRENCY_SMOOTHING
 
         self.membership: api.MembersChanged | None = None  # None: not used, peers are judged by silence
