--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -76,15 +76,15 @@
         self.life = life
         self.key = messages.tag_key(cluster)
         self.random = random.Random(seed)
-        self.incarnation = self.last_sequence = self.health = 0
+        self.incarnation = self.last_sequence = self.health = 0  # health: 0 is healthy, see HEALTH_MAX
         self.members = {other: Member(other) for other in range(size) if other != rank}
         self.links = Links()
-        self.link_reports = 0
+        self.link_reports = 0  # number of the last report on one of our own links
         self.probes: dict[int, Probe] = {}
         # (requesting member, its probe number): when a NACK is due, and the target
         self.relayed_probes: dict[tuple[int, int], tuple[int, int]] = {}
         self.gossip = GossipQueue(self._log_scaled(TRANSMISSIONS_FACTOR))
-        # The same order in each round, so that no pair is left without a probe for two rounds.
+        # The same order in each round: with a new one, a pair's probes could be nearly two rounds apart.
         self.probe_order = self.random.sample(sorted(self.members), len(self.members))
         self.probe_position = 0
         self.urgent_pings: dict[int, None] = {}
@@ -92,15 +92,19 @@
         self.counts: Counter[str] = Counter()
         self.last_called = self.started_at = now
         self.next_probe = now + self.random.randrange(PROBE_INTERVAL)
+        # sync_position: rank at which the next part of the member table to be sent begins
         self.probe_count = self.sync_position = 0
-        self.fresh_from_sequence = 1  # rows are trusted once this message of ours is acknowledged
-        self.has_fresh_answer = True
-        self.received_since_pause: set[int] | None = None  # while in doubt after a pause
+        # Messages received are dropped until one acknowledges this message of ours, the first since the last
+        # pause, or a later one.
+        self.fresh_from_sequence = 1
+        self.has_fresh_answer = True  # such a message was received
+        # Members received from since the last pause, while in doubt after it; None: not in doubt.
+        self.received_since_pause: set[int] | None = None
         self.rate = max(SEND_RATE_MIN, INTAKE_SHARE * intake)
         self.send_tokens = self.rate
         self.tokens_refilled_at = now
-        self.left = self.yielded = False
-        self.active_count = 0
+        self.left = self.yielded = False  # yielded: to a second process that runs under our rank
+        self.active_count = 0  # other members that are alive or suspect
         self.last_received = 0
         self.suspects: set[int] = set()
         self.dead: set[int] = set()
@@ -511,7 +515,7 @@
     # -- links ----------------------------------------------------------------------------------------------
 
     def _handle_acknowledged(self, now: int, member: Member, acknowledged: int) -> None:
-        """Detect from the highest sequence number that a member received whether our link to it is down."""
+        """Detect whether our link to a member is down, by our highest sequence number that it received."""
         while member.unacknowledged and member.unacknowledged[0][0] <= acknowledged:
             member.unacknowledged.popleft()
         missed = [sent_at for _, sent_at in member.unacknowledged if now - sent_at > DELIVERY_TIMEOUT]
@@ -519,8 +523,8 @@
             member.acknowledged, member.missing_since = acknowledged, 0
             self._set_own_link(now, member.rank, False)
         member.missing_since = (member.missing_since or now) if missed else 0
-        # One of them must have been sent after the first report of a loss; otherwise all of them may have
-        # been lost in a partition that is over.
+        # The latest missed message must have been sent after we first learned that some are missing;
+        # otherwise all of them may have been lost in a partition that is over.
         if len(missed) >= LINK_DOWN_MISSES and missed[-1] > member.missing_since:
             self._set_own_link(now, member.rank, True)
         elif missed:
@@ -750,7 +754,7 @@
         member.last_received = member.last_seen = member.acknowledged = 0
         member.unacknowledged.clear()
         self.links.forget(member.rank)
-        # Until the state of the new process is known; an UNKNOWN member does not count in the digest.
+        # Until the state of the new process is known, it is UNKNOWN, which has no part in the digest.
         self._index_state(member, State.UNKNOWN)
 
     def _index_state(self, member: Member, state: State) -> None:
