--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -208,7 +208,8 @@
     def _query_owner(self, request: Request, candidates: int, latest_send: int) -> bool:
         """Try to query the customer's owner, and return whether the request waits for the answer.
 
-        Called where only the owner knows what is spent, or where it may have ceiling tokens to grant.
+        Called where gossip is too slow, so that only the owner knows what is spent, or where it may have
+        ceiling tokens to grant. ``candidates``: how many gateways of the set may be tried as its owner.
         """
         event = request.event
         account = request.account
@@ -298,7 +299,10 @@
         return min(usable, key=lambda host: self._cost(request, host), default=None)
 
     def _cost(self, request: Request, host: Host) -> float:
-        """Return the expected response time, raised where a handshake or another failure is likely."""
+        """Return the expected response time, raised where a handshake or a failure is likely.
+
+        A failure is likely after failures in the server's zone, and where this request was sent there before.
+        """
         cost = self._expected_time(host, request.event.kind)
         cost *= 1 + COST_JITTER * self.random.random()
         is_idle = self.now - host.last_active >= CONNECTION_IDLE_TIMEOUT
@@ -516,7 +520,7 @@
         return self.warm_stats if self._is_warm(host) else self.cold_stats
 
     def _record_outcome(self, attempt: Attempt, kind: int, event: api.AttemptEnded) -> None:
-        """Update the health stats of the server, its zone and its pool by the outcome of an attempt.
+        """Update the health stats of the server, its zone and its pool (warm or cold) after an attempt.
 
         ``kind`` is the index of the request's class in the settings.
         """
@@ -660,7 +664,8 @@
         if account.set_size == 1 or self.gossip_disabled:
             return
         self.pending_gossip[account.customer] = None
-        # An owner that approved the request has counted its units already.
+        # An owner that approved the request has reserved its units already, except under a ceiling: there it
+        # only grants tokens.
         if not request.owner_replied or has_ceiling:
             self._notify_owner(account, request.owner_index)
 
@@ -824,7 +829,8 @@
     ) -> bool:
         """Send a message to a peer unless the rate limit is reached, and return whether it was sent.
 
-        Every message passes here. With an ``owner_index`` an answer is requested and checked for.
+        Every message passes here. With an ``owner_index`` (see ``PendingAnswer``) an answer is requested, and
+        after ANSWER_TIMEOUT ``_check_answer`` checks whether one has come.
         """
         gained = self.send_rate * (self.now - self.allowance_refilled_at) / SECOND
         self.send_allowance = min(self.send_rate, self.send_allowance + gained)
@@ -910,10 +916,10 @@
     def _answer_row(self, account: Account, rank: int, wanted: float, to_owner: bool) -> bytes:
         """Return the row that answers a query.
 
-        The peer wants units, or ceiling tokens if the plan has a ceiling. Units are reserved at once, or they
-        would be promised to others too. Those that it has spent since left the reservation when its row was
-        merged. The rest is released when it queries again, but only within the time that a request waits for
-        answers: later it stays in the total.
+        The peer wants units, or ceiling tokens if the plan has a ceiling. Units are reserved for it at once,
+        or they would be promised to others too. From its previous reservation, ``_merge_row`` has taken what
+        it has spent since. What is left is released here, but only within the time that a request waits for
+        answers: later it stays in the account's total.
         """
         if to_owner:
             units, reserved_at = account.reserved.pop(rank, (0.0, 0))
@@ -935,7 +941,10 @@
         return granted
 
     def _merge_row(self, row: messages.Row, sender: int, age: int, to_owner: bool) -> Account:
-        """Merge a peer's row into the account: its counts, total and limit."""
+        """Merge a peer's row into the account: its counts, total and limit.
+
+        ``to_owner``: the peer sent it to this gateway as the customer's owner.
+        """
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
         account.unconfirmed = False
         plan = self.settings.plans[account.plan]
@@ -945,24 +954,26 @@
             account.ceiling_tokens += granted
             account.requested_tokens -= granted
 
-        unreported = 0.0
+        new_units = 0.0
         for rank, start, value in row.counts:
-            # Only this gateway changes its own count; what it counted before a restart is in the total.
+            # A peer's copy of this gateway's own count is not merged. If it is from before a restart, the
+            # row's total contains it.
             if rank == self.rank:
                 continue
-            is_unreported = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
+            # Whether the growth is not in the account's total yet.
+            is_new = rank in account.counts or self._ticks() - start < NEW_COUNT_TICKS
             growth = self._merge_count(account, rank, start, value)
             if growth:
                 account.peer_approvals = (*account.peer_approvals, self.now)[-max(1, plan.max_open) :]
             growth -= self._take_reserved(account, rank, growth)
-            if rank == sender and to_owner and is_unreported:
-                unreported += growth
-        if unreported:
-            # Rows that are broadcast reach all gateways without gossip.
+            if rank == sender and to_owner and is_new:
+                new_units += growth
+        if new_units:
+            # Only this owner was notified, so it gossips them. A broadcast reaches the whole set by itself.
             self.pending_gossip[account.customer] = None
 
         # The total covers counts that did not fit into the row or were lost on the way.
-        account.total = max(account.total + unreported, account.counted, row.total)
+        account.total = max(account.total + new_units, account.counted, row.total)
         account.limit = max(account.limit, row.total + row.remaining + plan.rate * age / SECOND)
         self._refill(account)
         return account
