--- a/orchidlane/settings_lease.py
+++ b/orchidlane/settings_lease.py
@@ -50,10 +50,10 @@
         why a version cannot be applied, or None if it can.
         """
         self.name, self.life, self.check_version = name, life, check_version
-        self.source_life = 0  # life of the source that answered last
+        self.source_life = 0  # in the last answer of the source (the registry); greater after a restore
         self.version: int | None = None
         self.prepared = 0  # version that we declared ourselves ready for
-        self.restricted = False  # from that declaration on, what the version changes must not be used
+        self.restricted = False  # the prepared version's rule is NEVER: what it changes must not be used
         self.refused: str | None = None
         self.lease_end = 0
         self.lease_duration = 0  # microseconds
--- a/orchidlane/state.py
+++ b/orchidlane/state.py
@@ -242,7 +242,11 @@
         return attempt, request.event.kind
 
     def apply_server_list(self, event: api.ServerListed, now: int) -> list[Host]:
-        """Apply a list from discovery. Return the usable servers that are new, restarted or ready again."""
+        """Apply a list from discovery, of any kind but FAILED.
+
+        Return the usable servers that are new, restarted or ready again, for the caller to add to ``warm`` or
+        ``cold``.
+        """
         if event.kind is not api.ListKind.CHANGES:
             listed = {entry.server for entry in event.entries}
             for server in [s for s in self.hosts if s not in listed]:
--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -162,6 +162,7 @@
 
 
 def _server_listed(decoder: Decoder, body: bytes, start: int, _: bytes):
+    """Decode the event of a server list, whose entries came in an earlier SERVER_LIST record."""
     gateway, kind, number, version = _SERVER_LISTED.unpack_from(body, start)
     if kind > 3:
         raise WireError(f"unknown list kind {kind}")
