--- a/saffrongw/address_book.py
+++ b/saffrongw/address_book.py
@@ -262,6 +262,10 @@
     def _process_hello(
         self, now: int, sender_address: Address, rank: int, life: int, nonce: int, digest: int, page: int
     ) -> None:
+        """Reply to a HELLO, whose ``page`` is the index of the first row that it asks for.
+
+        A new address only becomes a candidate: the HELLO does not prove that it is the sender's.
+        """
         current = self.peers.get(rank)
         if (
             current is None
@@ -285,9 +289,13 @@
         life: int,
         nonce: int,
         digest: int,
-        page: int,
+        next_page: int,
         rows: Iterable[tuple[int, PeerAddress]],
     ) -> None:
+        """Bind the sender of a reply that we asked for, and request the rows from ``next_page`` on (0: none).
+
+        ``all_pages`` is what we had asked for with the HELLO.
+        """
         all_pages = self.pending_hellos.pop((nonce, sender_address), None)
         if all_pages is None:
             self.counts["dropped_unasked"] += 1
@@ -295,8 +303,8 @@
         self._bind(rank, PeerAddress(life, sender_address))
         new_candidates = sum(self._apply_report(now, other, peer) for other, peer in rows)
         # The latest rows come first: after a page without new candidates the rest is left to full syncs.
-        if page and digest != self._digest() and (all_pages or new_candidates):
-            self._send_hello(sender_address, page, all_pages)
+        if next_page and digest != self._digest() and (all_pages or new_candidates):
+            self._send_hello(sender_address, next_page, all_pages)
 
     def _contact_seed(self) -> None:
         self._send_hello(self.join[self.join_position % len(self.join)], all_pages=True)
