--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -79,7 +79,7 @@
     def pause_writing(self) -> None:
         """Apply backpressure: a client that does not read its responses is not read from either.
 
-        In a lingering close reading goes on, since its input is discarded.
+        After ``Stage.OPEN``, ``_pause_reading`` does nothing, since input is discarded from then on.
         """
         self.stalled_since = self.clients.driver.loop.time()
         self.stalled_bytes = self.transport.get_write_buffer_size()
@@ -180,6 +180,7 @@
     def check_timeouts(self, cutoff: float) -> None:
         """Close a connection that has exceeded a timeout; ``cutoff`` is now less COMMAND_TIMEOUT.
 
+        Also abort one whose client has closed, which the event loop does not notice while reading is paused.
         A command timeout must be exceeded in two successive sweeps: if the event loop was blocked, input that
         arrived meanwhile is read between the two.
         """
@@ -310,7 +311,8 @@
 
     def _accept_request(self, terms: Terms, parts: tuple[bytes | Body, ...], body_bytes: int = 0) -> None:
         """Pass a complete request on or refuse it; its body holds ``body_bytes`` of upload memory."""
-        # Surplus connections are closed to free their descriptors; the request is refused as not executed.
+        # A connection accepted beyond the limit is closed if the limit is still exceeded, to free its
+        # descriptor. BUSY says that the request was not executed; it may be retried after 1000 ms.
         if self.is_surplus and len(self.clients.open) > self.clients.max_connections:
             self.stage = Stage.ENDING
             self.clients.driver.stats["refused_crowded"] += 1
