--- a/saffrongw/config.py
+++ b/saffrongw/config.py
@@ -107,7 +107,7 @@
     zones = tuple(settings["zones"])
     peers = raw.get("peers") or ()
     join, meet = raw.get("join") or (), raw.get("meet")
-    has_peer_discovery = bool(peers or join or meet)  # without it, this gateway runs alone
+    has_peers = bool(peers or join or meet)  # listed or to be found; without any, this gateway runs alone
     permissions = settings["permissions"]
     log_settings = raw.get("log") or {}
     return Config(
@@ -120,9 +120,9 @@
         metrics=address(raw["metrics"]) if raw.get("metrics") else None,
         log_form=_checked_choice(logs.FORMATS, log_settings.get("form", "text")),
         log_level=_checked_choice(logs.LEVELS, log_settings.get("level", "info")),
-        peer_listen=address(raw["peer_listen"]) if has_peer_discovery and raw.get("peer_listen") else None,
+        peer_listen=address(raw["peer_listen"]) if has_peers and raw.get("peer_listen") else None,
         peers=tuple(address(peer) for peer in peers),
-        cluster=str(raw["cluster"]) if raw.get("cluster") and has_peer_discovery else None,
+        cluster=str(raw["cluster"]) if raw.get("cluster") and has_peers else None,
         join=tuple(address(member) for member in join),
         meet=address(meet) if meet else None,
         advertise=address(raw["advertise"]) if raw.get("advertise") else None,
