--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -68,7 +68,7 @@
         self.http = h11.Connection(h11.CLIENT)
         self.status = 0
         self.body = bytearray()
-        self.has_length = True
+        self.has_length = True  # of the response; without a length it goes on to the end of the stream
         self.transport: asyncio.Transport | None = None
         self.task = watch.loop.create_task(self._connect(*watch.address))
 
@@ -172,11 +172,11 @@
         self.response_timeout = response_timeout
         self.random_fraction = random_fraction  # from 0 to 1: jitter for gateways that started together
         self.version = version  # of the current list; changes since it are requested; None: the whole list
-        self.spread = spread  # seconds over which the first requests of the whole fleet are spread
+        self.spread = spread  # seconds over which the first requests of all gateways are spread
         self.backoff = BACKOFF_MIN
         self.refused_interval = 0.0  # seconds between requests after refusals; 0: discovery is not overloaded
-        # Latest loop time at which the next attempt starts: a change that this one misses counts as delivered
-        # soon after.
+        # Latest loop time at which the next attempt starts: it can then still deliver a change that the
+        # current attempt misses, within STALENESS_LIMIT.
         self.next_attempt_due = 0.0
         self.connection: DiscoveryConnection | None = None
         self.last_connect_succeeded: bool | None = None  # None: no attempt yet
