--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -86,15 +86,17 @@
             client.end_unfinished_command()
 
     async def shut_down(self, accept_time: float) -> None:
-        """Close idle connections, go on accepting for ``accept_time`` seconds, then finish all requests.
+        """Close idle connections, accept new ones for ``accept_time`` seconds, then finish all requests.
 
         Each wait is bounded: requests by their deadlines, commands by SHUTDOWN_COMMAND_TIMEOUT, half-closed
-        connections by LINGER_TIMEOUT. Clients that read their answers too slowly for that are disconnected.
+        connections by LINGER_TIMEOUT. The exit disconnects clients that have not read their answers within
+        WRITE_STALL_TIMEOUT of the last deadline.
         """
         clients = self.clients
         driver = clients.driver
         loop = driver.loop
         self.cancel()
+        # After a handover the address stays ready, as the successor serves it.
         driver.readiness.shutting_down = not driver.readiness.handed_over
         self._close_idle()
         start = loop.time()
