--- a/saffrongw/driver.py
+++ b/saffrongw/driver.py
@@ -89,7 +89,7 @@
         self.is_handling = False
         self.frozen = False  # the state is being handed over: events are queued
         self.successor: Successor | None = None  # the process that has taken over the state
-        self.observer: Observer | None = None
+        self.observer: Observer | None = None  # receives measurements; None: metrics are off
         # Runs before each event to detect a pause of this process; may return an event to be handled first.
         self.pre_event_hook: Callable[[], api.MembersChanged | None] | None = None
 
@@ -137,7 +137,8 @@
     def client_gone(self, call: Call, seconds_unobserved: float = 0.0) -> None:
         """End a request whose client has closed its connection.
 
-        ``seconds_unobserved`` is how long the close may have gone unnoticed.
+        ``seconds_unobserved`` is how long the close may have gone unnoticed. A request is counted as sent
+        late if it was sent more than CLIENT_GONE_TOLERANCE after the earliest time of the close.
         """
         if not call.finished:
             self.stats["client_gone"] += 1
