--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -208,8 +208,8 @@
     def _log_event(self, event: state.LogEvent) -> None:
         """Log an event of the protocol; at ``twin``, a newer process under our rank, also yield to it.
 
-        ``stood_still``: this process was paused; ``sure_again``: the doubt after that is over; ``cut_off``
-        and ``unheard``: the view's ``cut_off`` and ``outbound_down`` have changed.
+        ``stood_still``: this process was paused, so its view is ``doubtful``; ``sure_again``: the view no
+        longer is; ``cut_off``: the view's ``cut_off`` has changed; ``unheard``: its ``outbound_down`` has.
         """
         fields = event.fields | {"boot_ms": clock() // MS}
         match event.name:
@@ -228,6 +228,7 @@
             case "twin":
                 log.error("member_has_twin", **fields)
                 self.driver.readiness.has_duplicate_rank = True
+                # True: this process is isolated from now on.
                 self.driver.feed(api.MembersChanged(self._members_changed().unavailable, True))
                 self.drain()
                 self.stop()
