--- a/saffrongw/upgrade.py
+++ b/saffrongw/upgrade.py
@@ -477,10 +477,16 @@
         self.on_connection_counts(0, 0)
 
     def _handle_message(self, message: dict[str, Any]) -> None:
+        """Handle a message of the predecessor.
+
+        ``arrived``: it relays a request; ``gone``: the client of one has gone; ``began`` and ``ended``: its
+        own attempts; ``peer``: a datagram from another gateway; ``sockets``: its numbers of client and
+        host connections; ``call``: a command from an operator; ``said``: the answer to one that we forwarded.
+        """
         match message:
             case {"arrived": int(number), "terms": terms, "parts": parts}:
                 customer, kind, plan, time_left, units, set_size, set_first, is_repeat = terms
-                timeout = int(time_left) + REPLY_MARGIN
+                timeout = int(time_left) + REPLY_MARGIN  # already subtracted; accept_request does it again
                 request_terms = Terms(customer, kind, plan, timeout, units, set_size, set_first, is_repeat)
                 request_parts = tuple(part.encode("latin-1") for part in parts)
                 call = self.driver.accept_request(
