--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -218,13 +218,13 @@
     customers, weight = scenario.customers, sum(plan.share for plan in scenario.plans)
     quota = sum(plan.rate * plan.share for plan in scenario.plans) / weight
     steady = max(0.0, 1 - customers.nearly_full - customers.bursting - customers.over)
-    burst_duty = (
+    burst_time_fraction = (
         customers.burst_lasts.base / customers.burst_every.base if customers.burst_every.base else 0.0
     )
-    burst_demand = customers.burst_use * (1 + burst_duty * (customers.burst_factor - 1))
-    average_use = steady * customers.steady_use + customers.nearly_full * customers.nearly_full_use
-    average_use += customers.over * customers.over_use
-    return customers.count * quota * (average_use + customers.bursting * burst_demand)
+    bursting_use = customers.burst_use * (1 + burst_time_fraction * (customers.burst_factor - 1))
+    nonbursting_use = steady * customers.steady_use + customers.nearly_full * customers.nearly_full_use
+    nonbursting_use += customers.over * customers.over_use
+    return customers.count * quota * (nonbursting_use + customers.bursting * bursting_use)
 
 
 def host_utilization(scenario: Scenario) -> float:
