--- a/lab/earlier_decisions.py
+++ b/lab/earlier_decisions.py
@@ -28,9 +28,9 @@
         if not hasattr(interface, name):
             setattr(interface, name, getattr(interface, earlier_name))
     for (class_name, name), earlier_name in ATTRIBUTES.items():
-        action = getattr(interface, class_name)
-        if not hasattr(action, name):
-            setattr(action, name, property(attrgetter(earlier_name)))
+        action_class = getattr(interface, class_name)
+        if not hasattr(action_class, name):
+            setattr(action_class, name, property(attrgetter(earlier_name)))
     # An earlier call has replaced the class by a function, which has no fields.
     fields = getattr(interface.RequestClass, "__dataclass_fields__", {})
     earlier_fields = {name: old for name, old in REQUEST_CLASS_FIELDS.items() if old in fields}
