--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -263,6 +263,7 @@
                     or self._was_unavailable(name, span.began, deadline)
                 ):
                     continue
+                # An event whose ``holds`` is false reports the end of this state.
                 reports = self._events("member_unheard", span.began, deadline)
                 if not any(event.node == name and event.fields["holds"] for event in reports):
                     text = f"{name} did not report that no other member receives its messages"
--- a/lab/member_study.py
+++ b/lab/member_study.py
@@ -75,7 +75,8 @@
 def measure_false_deaths_with_pauses(job: Job) -> dict[str, Any]:
     """Count the death declarations while one in ten members is paused at any time.
 
-    ``words`` counts all of them, ``false`` those about members that were not paused.
+    In the result, ``words`` counts all of them, ``false`` those about members that were not paused, and
+    ``hours`` the member hours observed.
     """
     world = _world(job)
     rng = np.random.default_rng([job.seed, 1])
--- a/lab/simulator.py
+++ b/lab/simulator.py
@@ -37,7 +37,7 @@
     number: int
     plan: int
     rate: float
-    first: int
+    first: int  # rank of the first gateway of its set
     has_bursts: bool
     burst_offset: int  # microseconds by which the bursts are shifted
     rng: np.random.Generator
@@ -269,10 +269,11 @@
             self._send_request(customer, min(request_class, len(kinds) - 1), 1)
 
     def _send_request(self, customer: Customer, request_class: int, try_number: int) -> None:
-        """Send a client's request through the load balancer."""
+        """Send a client's request through the load balancer to a random gateway of the customer's set."""
         scenario, now = self.scenario, self.kernel.now
         set_size = scenario.customers.set
         ranks = [(customer.first + i) % scenario.gateways for i in range(set_size)]
+        # A dead gateway is still chosen until its exclusion, or if all of the set are excluded.
         reachable = [rank for rank in ranks if self.excluded_gateways.get(rank, now + 1) > now] or ranks
         rank = reachable[int(self.load_balancer_random() * len(reachable))]
         self.last_request_id += 1
@@ -280,7 +281,7 @@
         self.judge.request_sent(
             now,
             request_id,
-            ClientRequest(customer.number, customer.plan, request_class, 1.0, now, rank),
+            ClientRequest(customer.number, customer.plan, request_class, 1.0, now, rank),  # of 1 unit
             try_number == 1,
         )
         self.open_requests[request_id] = (customer, request_class, try_number)
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -22,7 +22,7 @@
 def run_simulation(description: dict[str, Any]) -> dict[str, Any]:
     """Run a simulation, described by ``scenario`` (as in a file), ``seed`` and ``variant``.
 
-    Return its result, its cost and the path of the decisions that it used.
+    Return its result, its cost and the path of the ``orchidlane`` package that made the decisions.
     """
     scenario, errors = validate(description["scenario"], Scenario)
     if scenario is None or (errors := list(consistency_errors(scenario))):
