--- a/birchdrum/cli.py
+++ b/birchdrum/cli.py
@@ -68,6 +68,8 @@
 
     if trouble and size["gateways"] < 2:
         raise CommandError(USAGE_ERROR, "--trouble needs at least 2 gateways")
+    # A request without an answer in time is lost; losses caused by the injected fault give no error, while
+    # customers that got more than their quota do.
     sys.exit(fleet.run(span, as_json, trouble=trouble, **size))
 
 
--- a/birchdrum/convert.py
+++ b/birchdrum/convert.py
@@ -196,9 +196,10 @@
 
 
 def from_platform(platform_values: Json) -> Json:
-    """Convert the platform's file to birchdrum's format, without the ``[platform]`` table.
+    """Convert the platform's JSON, which ``saffrongw.config`` parses, to birchdrum's format.
 
-    ``platform_extras`` computes that table.
+    Values that can't be converted are left out. ``platform_extras`` computes the ``[platform]`` table, which
+    keeps them.
     """
     result: Json = {}
     for path, (platform_path, conversions) in FIELDS.items():
