--- a/ops/checking.py
+++ b/ops/checking.py
@@ -204,6 +204,7 @@
         return {"type": "string", "description": unit.EXPECTED}
 
     result = msgspec.json.schema(value_type, schema_hook=hook)
+    # msgspec leaves out the defaults of quantities, since they come from factories.
     for table in nested_tables(value_type):
         for field in msgspec.structs.fields(table):
             value = None if field.default_factory is msgspec.NODEFAULT else field.default_factory()
--- a/ops/files.py
+++ b/ops/files.py
@@ -8,7 +8,10 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace a file atomically and durably; on OSError the old content stays."""
+    """Replace a file atomically: even after a power cut it has the whole old or the whole new text.
+
+    On OSError the old text stays.
+    """
     descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
         with os.fdopen(descriptor, "w", encoding="utf-8") as file:
--- a/ops/http.py
+++ b/ops/http.py
@@ -107,7 +107,11 @@
         self.on_disconnect: Callable[[], None] | None = None  # called if it disconnects before its response
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Enforce the limit: slightly above it a client gets an error, far above it is disconnected."""
+        """Enforce ``max_connections``: far above it abort the new connection.
+
+        Slightly above it, requests are answered with an error, and the new client has only LINGER_TIMEOUT to
+        send one.
+        """
         self.transport = transport
         self.server.connections.add(self)
         excess = len(self.server.connections) - self.server.max_connections
