--- a/registry/ledger.py
+++ b/registry/ledger.py
@@ -88,7 +88,8 @@
     def body(self, index: int | None) -> bytes:
         """Return the response body for a reader at this index, built once for all readers at it.
 
-        The full list is returned for an index that was never assigned or is no longer retained.
+        The index is the ``seq`` of the last change that the reader has. The full list is returned for None
+        and for an index that was never assigned or is no longer retained.
         """
         key = index if index is not None and self.has_seq(index) else None
         if key not in self._body_cache:
--- a/registry/primary.py
+++ b/registry/primary.py
@@ -249,6 +249,7 @@
             )
 
         def register(draft: Draft, seq: int) -> tuple[Entry, Record]:
+            """Check the version and the start time of the host; return its new entry and record."""
             if draft.get(host):
                 known_born_ms = draft.check_version(host, version).entry.born_ms
             else:
@@ -261,6 +262,7 @@
                 raise HTTPError(
                     409, "a later start of this host is known", version=version, born_ms=known_born_ms
                 )
+            # Without a requested start time the host counts as started now, and later than any known start.
             born_ms = (
                 max(now_us() // 1_000, known_born_ms + 1) if requested_born_ms is None else requested_born_ms
             )
--- a/registry/replicas.py
+++ b/registry/replicas.py
@@ -67,7 +67,11 @@
         records: dict[str, Record | None],
         replace_all: bool = False,
     ) -> None:
-        """Store an update. One that can't be stored is not published and is requested again later."""
+        """Store an update. One that can't be stored is not published and is requested again later.
+
+        ``life`` identifies the list by the sequence number of its creation; ``changes`` are pairs of sequence
+        number and entries.
+        """
         try:
             await self.commit(life, seq, changes, records, self.ledger.max_changes, FOLLOWER, replace_all)
             self.write_failed = False
@@ -75,6 +79,7 @@
             if not is_transient(error):
                 raise
             self.write_failed = True
+            # UpstreamWatch handles this like an invalid response: it waits and tries the next service.
             raise Invalid(f"update could not be stored: {error}") from None
 
 
