--- a/tests/test_birchdrum.py
+++ b/tests/test_birchdrum.py
@@ -44,6 +44,7 @@
     async def __aenter__(self) -> Gateway:
         arguments = [COMMAND, "gateway", self.file, "--log-form", "json"]
         inherited = environment()
+        # With TMPDIR set, the gateway would look for a predecessor process to take over from.
         inherited.pop("TMPDIR", None)
         self.process = await asyncio.create_subprocess_exec(
             *arguments, env=inherited, stderr=asyncio.subprocess.PIPE
@@ -305,7 +306,7 @@
 def test_the_demo_reports_a_dead_gateway_and_stops_all_processes(tmp_path):
     process = demo(tmp_path)
     try:
-        for _ in range(5):
+        for _ in range(5):  # of the usage lines, printed together once the fleet has started
             process.stdout.readline()
         [victim] = processes_matching(rf"{tmp_path}.*/gw-1.toml")
         os.kill(victim, signal.SIGKILL)
