--- a/tests/test_client_ends.py
+++ b/tests/test_client_ends.py
@@ -139,21 +139,22 @@
 @pytest.mark.parametrize("end", CLOSE_CAUSES)
 @asyncio_test
 async def test_input_that_crosses_a_half_close_is_discarded_without_losing_responses(end, crossing):
-    """Unread input reset the connection and destroyed earlier responses, or was still sent to hosts."""
+    """Guards against input that resets the connection, so that earlier responses are lost, or that is still
+    sent to hosts."""
     host = await FakeHost("a").listen()
     gateway = LoopbackGateway(host)
-    plain, client = await connect(gateway)
+    plain, client = await connect(gateway)  # the client's socket, and the gateway's object for it
     plain.send(request())
     assert await plain.read(len(b"$2\r\nok\r\n")) == b"$2\r\nok\r\n"
     send_at_half_close(client, plain, CROSSING_INPUT[crossing])
-    last = await end(gateway, plain, client)
-    assert await plain.read_until_close() == last
+    final_response = await end(gateway, plain, client)
+    assert await plain.read_until_close() == final_response
     assert (
         client.stage is Stage.HALF_CLOSED
         and client in gateway.clients.half_closed
         and client not in gateway.clients.open
     )
-    for _ in range(3):  # a client that keeps sending is not reset either during the lingering close
+    for _ in range(3):  # input during the lingering close must not reset the connection
         with contextlib.suppress(BlockingIOError):
             plain.sock.send(request(8, b"bill"))
         await asyncio.sleep(0)
