--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -154,6 +154,7 @@
     moved = [e for e in run_data.events if e.name == "member_placed" and e.fields["member"] == 2]
     assert len({e.fields["address"] for e in moved}) == 2  # its former and its new address
     assert verdict["requests"]["served"] > 30
+    # Only the address of gw-0, which died early, may be unknown.
     assert all(view["unplaced"] in ([], [0]) for view in run_data.member_views.values())
 
 
