--- a/saffrongw/drain.py
+++ b/saffrongw/drain.py
@@ -18,7 +18,7 @@
 log = logs.get_logger(__name__)
 
 # Drain, in seconds after it begins.
-DRAIN_NOTICE_DELAY = 0.6  # by now the load balancer in front has seen the drain and sends no new connections
+DRAIN_NOTICE_DELAY = 0.6  # idle connections are closed: the load balancer in front has seen the drain by now
 DRAIN_REFUSE_DELAY = 1.8  # requests are refused from here on
 DRAIN_CLOSE_DELAY = 3.3  # connections without a request in flight are closed
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -196,7 +196,7 @@
     client = await gateway.connect_client()
     await send_control_call(control, b"LEAVE")
     await send_control_call(control, b"JOIN")
-    await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)
+    await asyncio.sleep(DRAIN_NOTICE_DELAY + 0.3)  # the drain would have closed this idle connection
     client.send_request()
     assert await client.wait_for_replies() == [b"ok"]
     assert not client.closed
