--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -214,6 +214,7 @@
     agent.responses = [503, {"seq": 7, "whole": False, "hosts": [host_entry("a")]}]
     agent.transport.abort()
     await until(lambda: len(received) == 3)
+    # The request after the lost connection, which is refused, and the one after the refusal.
     assert [request.partition("?")[2].split("&")[0] for request in agent.requests[3:5]] == [
         "index=6",
         "index=6",
@@ -342,11 +343,13 @@
     for sock in (peer, unknown):
         sock.bind(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
+    # Rank 0 is the gateway itself, rank 1 the peer.
     transport, _ = await loop.create_datagram_endpoint(
         lambda: Peers(gateway.driver, (("127.0.0.1", 1), peer.getsockname()), 0), local_addr=("127.0.0.1", 0)
     )
     own_address = transport.get_extra_info("sockname")
-    row = messages.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
+    row = messages.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())  # state of customer 9
+    # The flags: an answer is expected, and the message is for the customer's owner.
     valid = messages.pack(gateway.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
     unknown.sendto(valid, own_address)
     peer.sendto(b"x" * 300, own_address)
@@ -354,7 +357,7 @@
     peer.sendto(b"", own_address)
     peer.sendto(valid, own_address)
     await until(lambda: 9 in gateway.driver.gateway.accounts)
-    assert list(gateway.driver.gateway.last_received) == [1]
+    assert list(gateway.driver.gateway.last_received) == [1]  # ranks that sent a valid message
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
     assert len(reply) <= messages.MESSAGE_BYTES_MAX
