--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -360,7 +360,7 @@
     younger = world.nodes[rank].core
     for _ in range(60):
         world.run(TICK_INTERVAL / SECOND)
-        older.tick(world.kernel.now)
+        older.tick(world.kernel.now)  # the world itself ticks only the younger one
     other, now = world.nodes[4].core, world.kernel.now
     for core in (older, younger):  # they share an address, so either may receive a datagram
         for action in other.receive(now, rank, _ping_datagram(older, 4, now)):
