--- a/tests/test_registry_calls.py
+++ b/tests/test_registry_calls.py
@@ -123,7 +123,7 @@
         for number, connection in enumerate(connections):
             if number % 2:
                 connection.send("DELETE", f"{PATH}/s-1?version={old['version']}")
-            else:
+            else:  # each with another cell (``block``), so that no two are alike
                 connection.send("PUT", f"{PATH}/s-1", registration(version=old["version"], block=number))
         answers = [await connection.read_response() for connection in connections]
         assert [answer.status for answer in answers].count(200) == 1
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -128,6 +128,7 @@
         shown = await call(node.listen, "GET", f"{PATH}/s-1")
         assert (shown["version"], shown["lease_ms"]) == (put["version"], 7000)
         assert (await node.post("s-1", "renew", put["version"])).status == 200
+        # Refused with the version of the removal, which is remembered as well.
         assert (await node.put("s-2", version=0))["version"] == gone["version"]
 
 
