--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -197,7 +197,7 @@
     rng = random.Random(seed)
     classes = tuple(with_short_window(request_class) for request_class in CLASSES)
     harness = GatewayHarness(servers=0, seed=seed, classes=classes)
-    harness.gateway._latency_limit = lambda request: float("inf")
+    harness.gateway._latency_limit = lambda request: float("inf")  # no request is shed
     checker = RetryChecker(harness)
     checker.list_servers(*(entry(index, cell=index % 3, zone=index % 2) for index in range(8)))
     for number in range(1, 150):
