--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -109,7 +109,7 @@
     for host in hosts:
         host.script = lambda command: None
     async with GatewayProcesses(tmp_path, *hosts) as gateway:
-        old = await gateway.start(long_command_timeout=True)
+        predecessor = await gateway.start(long_command_timeout=True)
         holding, partial, idle = [await gateway.connect_client() for _ in range(3)]
         holding.send_request("put", deadline_ms=10_000, request_id=b"held")
         await until(lambda: any(host.commands for host in hosts))
@@ -121,7 +121,7 @@
         )
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
-        await asyncio.sleep(0.1)
+        await asyncio.sleep(0.1)  # the predecessor receives the first part
         await gateway.start()
         await until(lambda: idle.closed)
         assert not holding.closed
@@ -132,7 +132,7 @@
         for connection in hosts[0].connections + hosts[1].connections:
             connection.transport.write(OK)
         assert await holding.wait_for_replies() == await partial.wait_for_replies() == [b"ok"]
-        assert await asyncio.wait_for(old.wait(), 10) == 0
+        assert await asyncio.wait_for(predecessor.wait(), 10) == 0
         assert holding.closed and partial.closed
 
 
@@ -340,9 +340,9 @@
         encoded = hiredis.pack_command(command_parts)
         partial.transport.write(encoded[:40])
         predecessor_control = gateway.control
-        new = await gateway.start()
-        new.kill()
-        await new.wait()
+        successor = await gateway.start()
+        successor.kill()
+        await successor.wait()
         # Once it answers, the predecessor has noticed that the successor ended.
         await gateway.send_control_call(b"HEALTH", predecessor_control)
         partial.transport.write(encoded[40:])
