--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -59,6 +59,7 @@
     """Event loop with virtual time; keeps every connection that the watch has opened."""
 
     def __init__(self, seed: int = 1, **options) -> None:
+        # ``requests``: (time, transport) of those on all connections; ``updates``: host lists from the watch.
         self.now, self.timers, self.requests, self.updates = 100.0, [], [], []
         self.connections: list[DiscoveryConnection] = []
         self.closed: set[DiscoveryConnection] = set()
