--- a/orchidlane/handover.py
+++ b/orchidlane/handover.py
@@ -24,7 +24,7 @@
 
 
 def encode_state(gateway: Gateway) -> dict[str, Any]:
-    """Encode all state except the accounts."""
+    """Encode what the successor takes over, except the accounts."""
     return {
         "shape": _settings_shape(gateway),
         "usual": gateway.usual_times,
