--- a/orchidlane/member_messages.py
+++ b/orchidlane/member_messages.py
@@ -177,7 +177,7 @@
 
 
 def unpack(data: bytes, key: bytes, ranks: int) -> Message:
-    """Decode a message.
+    """Decode a message, in a fleet of ``ranks`` gateways.
 
     Raises InvalidMessage: ``version``, ``foreign`` (corrupted, or of another cluster) or ``malformed``.
     """
