--- a/orchidlane/membership.py
+++ b/orchidlane/membership.py
@@ -771,7 +771,7 @@
         member.state = state
 
     def _set_state(self, now: int, member: Member, state: State) -> None:
-        """Change a member's state, with digest, gossip and log. All changes but resets are made here."""
+        """Change a member's state, with digest, gossip and log. Only ``_reset_for_life`` bypasses it."""
         self.digest ^= self._digest_part(member.rank, member.life, member.state)
         self.digest ^= self._digest_part(member.rank, member.life, state)
         fields = {"member": member.rank, "state": state.value, "was": member.state.value}
