--- a/orchidlane/rules.py
+++ b/orchidlane/rules.py
@@ -559,7 +559,8 @@
         for stats in (attempt.host, self._pool_stats(attempt.host)):
             stats.slowdown += EWMA_WEIGHT * (slowdown - stats.slowdown)
             stats.typical_load += EWMA_WEIGHT * (attempt.load - stats.typical_load)
-        # Capped, so that during an overload an idle server is still tried and the end is noticed.
+        # Capped: if an overload raised it to the target latency, requests would be shed (see SHED_SHARE) even
+        # with idle servers, and the end would not be noticed.
         longest = INITIAL_TARGET_SHARE * self.settings.classes[kind].target_latency
         learned = usual_time + EWMA_WEIGHT / 5 * (duration - usual_time)
         self.usual_times[kind] = min(longest, learned)
@@ -588,7 +589,7 @@
         account.refilled_at = self.now
         self._refill_ceiling(account, plan, elapsed)
 
-        # Silent peers do not reduce what is granted here, since most silent peers are down.
+        # Silent peers do not reduce what we grant: most of them are down, with their clients coming here.
         share = 1 / account.set_size if self.gossip_disabled else 1.0
         burst = plan.burst * share
         if self._is_isolated():
@@ -741,7 +742,7 @@
         return is_repeat or self.now - last_at < DECAY_TIME
 
     def _check_answer(self) -> None:
-        """Notify the next candidate if the owner did not answer in time, as it may be down or unreachable."""
+        """Notify the next candidate owner if one did not answer in time, as it may be down or unreachable."""
         query = self.pending_answers.popleft()
         if self.now - query.sent_at > 2 * ANSWER_TIMEOUT:
             # This process was stalled itself, so the missing answer says nothing about the peer.
