--- a/orchidlane/settings_lease.py
+++ b/orchidlane/settings_lease.py
@@ -54,7 +54,7 @@
         self.version: int | None = None
         self.prepared = 0  # version that we declared ourselves ready for
         self.restricted = False  # the prepared version's rule is NEVER: what it changes must not be used
-        self.refused: str | None = None
+        self.refused: str | None = None  # why the version last offered cannot be applied
         self.lease_end = 0
         self.lease_duration = 0  # microseconds
         self.last_request = 0
