--- a/orchidlane/wire.py
+++ b/orchidlane/wire.py
@@ -127,7 +127,7 @@
             if decoder is None:
                 raise WireError(f"unknown record code {code}")
             event = decoder(self, body, offset + 1, tail)
-            if event is not None:
+            if event is not None:  # a SERVER_LIST record is kept, not returned
                 events.append(event)
         return events
 
