--- a/saffrongw/client.py
+++ b/saffrongw/client.py
@@ -58,7 +58,7 @@
         self.is_surplus = False  # it was accepted beyond the connection limit
         # Loop time since when the first command or the rest of one is awaited; 0: none is.
         self.waiting_since = clients.driver.loop.time()
-        self.was_overdue = False
+        self.was_overdue = False  # no complete command in time at the last check; two in a row close it
         self.stalled_since = 0.0  # since when the client has not read its responses; 0: it reads
         self.stalled_bytes = 0  # bytes in the write buffer at that time
         self.reading_paused = False
--- a/saffrongw/control.py
+++ b/saffrongw/control.py
@@ -176,7 +176,7 @@
                     return "error no such host was ever listed"
                 log.info("control_call", call=verb.decode().lower(), host=server)
                 if self.predecessor:
-                    await self.predecessor.forward(line)  # it applies to the requests that it still finishes
+                    await self.predecessor.forward(line)  # it still finishes requests of its own
                 return "done out" if verb == b"OFFLINE" else "done back"
             case _:
                 return "error no such call"
