--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -75,7 +75,7 @@
         self.attempt: Attempt | None = None
         self.large: LargeValue | None = None  # the streamed value of the current response
         self.sink: Sink | None = None  # where its chunks go
-        self.reply: object = False  # parsed response, a large value replaced; False until complete
+        self.reply: object = False  # parsed response, placeholder for a large value; False until complete
         self.paused = False
         self.last_received_at = 0.0  # when the last chunk of a streamed response was received
         self.received = 0  # bytes of the response
@@ -165,7 +165,7 @@
             return
         self.reply = False
         sink = self.sink
-        # Only once the whole response has arrived: it may be cut off behind a complete value.
+        # Ended only with the whole response, which may be cut off after the complete large value.
         if sink and reply is not None:
             self.sink = None
             sink.end()
@@ -250,7 +250,7 @@
         self.idle: list[Connection] = []  # the one idle longest first
         self.waiting: deque[Attempt] = deque()
         self.opening = 0  # connections being established
-        self.timer: asyncio.TimerHandle | None = None  # for the end of the first cooldown
+        self.timer: asyncio.TimerHandle | None = None  # fires when the first connection's cooldown ends
         self.retired = False
 
     def send(self, attempt: Attempt) -> None:
