--- a/saffrongw/members.py
+++ b/saffrongw/members.py
@@ -169,8 +169,8 @@
                 address = "{}:{}".format(*action.address)
                 log.info("member_placed", member=action.rank, address=address, boot_ms=now // MS)
                 self.peers.set_address(action.rank, action.address)
-                self._process_and_feed(())
-            elif not self.core.yielded:
+                self._process_and_feed(())  # the view may have changed: this rank has an address now
+            elif not self.core.yielded:  # NewerLifeFound
                 self._process_and_feed(self.core.on_newer_life(now, action.life))
 
     def leave(self) -> None:
