--- a/saffrongw/discovery.py
+++ b/saffrongw/discovery.py
@@ -290,8 +290,8 @@
     def answered(self, host_list: HostList, keep_alive: bool) -> None:
         """Pass on the list, then poll again at once if the connection is kept alive, so as to miss no change.
 
-        The next request is sent only after the list is applied: with a long list its response could arrive
-        meanwhile, and clients would wait until both lists are applied.
+        The next request is sent only after the list is applied: with a long list the next list could arrive
+        meanwhile, and clients would wait until both are applied.
 
         A lower version means that discovery restarted with another list: the whole list is requested.
         """
