--- a/saffrongw/hosts.py
+++ b/saffrongw/hosts.py
@@ -75,7 +75,7 @@
         self.attempt: Attempt | None = None
         self.large: LargeValue | None = None  # the streamed value of the current response
         self.sink: Sink | None = None  # where its chunks go
-        self.reply: object = False  # parsed response, placeholder for a large value; False until complete
+        self.reply: object = False  # parsed response, a large value as its placeholder; False until complete
         self.paused = False
         self.last_received_at = 0.0  # when the last chunk of a streamed response was received
         self.received = 0  # bytes of the response
