--- a/registry/snapshot.py
+++ b/registry/snapshot.py
@@ -13,10 +13,10 @@
 
 def save(path: Path, life: int, body: bytes) -> None:
     """Replace the snapshot file atomically with the full list."""
-    head = hashlib.blake2b(b"%d\n%b" % (life, body), digest_size=16).hexdigest()
+    digest = hashlib.blake2b(b"%d\n%b" % (life, body), digest_size=16).hexdigest()
     new = Path(f"{path}.new")
     with new.open("wb") as file:
-        file.write(f"{head} {life}\n".encode() + body)
+        file.write(f"{digest} {life}\n".encode() + body)
         file.flush()
         os.fsync(file.fileno())
     os.replace(new, path)
