--- a/birchdrum/configuration.py
+++ b/birchdrum/configuration.py
@@ -193,6 +193,7 @@
     values = to_plain(loaded.config)
     if not all_keys:
         values = _without_defaults(values, loaded)
+    # TOML requires keys before tables; of the lists only zones holds plain values, not tables.
     order = sorted(values, key=lambda key: isinstance(values[key], dict | list) and key != "zones")
     return tomlkit.dumps({key: values[key] for key in order})
 
