--- a/registry/primary.py
+++ b/registry/primary.py
@@ -55,7 +55,7 @@
         self.ledger = ledger
         self.records: dict[str, Record | None] = {}
         self.changes: list[tuple[int, tuple[Entry, ...]]] = []
-        self.removed: dict[str, tuple[int, Entry]] = {}
+        self.removed: dict[str, tuple[int, Entry]] = {}  # with the seq of the removal
         self.host_count = len(ledger.records)
 
     def get(self, host: str) -> Record | None:
@@ -114,7 +114,7 @@
         self.max_hosts = max_hosts
         self.settle = settle  # seconds after its creation during which a list can't be read
         self.default_lease_ms = default_lease_ms
-        self.seq_above = seq_above
+        self.seq_above = seq_above  # new sequence numbers are greater than this
         self.promote = promote
         self.readable_at = 0.0  # loop time; before it a new list may still lack most hosts
         self.write_queue: list[tuple[Operation, Connection | None]] = []
@@ -140,8 +140,8 @@
     async def on_start(self) -> None:
         """Load the store and commit a sequence number of this start.
 
-        After a restore from a backup, a number that was assigned after the backup is thus unknown to this
-        list, and a reader that has it gets the full list.
+        After a restore from a backup it lies above the numbers assigned since the backup, as it comes from
+        the clock. This list lacks those numbers, so a reader that has one gets the full list.
         """
         role = self.store.load(self.ledger)
         if role != PRIMARY and not self.promote:
