--- a/registry/entries.py
+++ b/registry/entries.py
@@ -30,7 +30,7 @@
     dial: str  # the address that gateways connect to
     site: str  # its zone
     kind: str  # its class
-    block: int  # its cell
+    block: int  # its cell, a group of hosts that may deduplicate together
     health: str
     share: float  # relative capacity
     born_ms: int  # when its process started, in milliseconds of Unix time
@@ -70,7 +70,7 @@
 class ListUpdate:
     """The content of one watch response: the full list, or the changes since an index."""
 
-    life: int
+    life: int  # epoch of the list; not in the body
     seq: int
     whole: bool
     entries: tuple[Entry, ...]
