--- a/registry/upstream.py
+++ b/registry/upstream.py
@@ -159,7 +159,7 @@
     async def _apply_response(self, response: Response) -> bool:
         """Apply the update in a response, and record how old the service says that its list is.
 
-        Returns False if this service has an older list than the ledger; the caller then tries the next one.
+        Returns False if the service has an older list than the ledger; the caller then tries the next one.
         """
         if response.status != 200:
             raise Invalid(f"answered {response.status}")
