--- a/birchdrum/membership_views.py
+++ b/birchdrum/membership_views.py
@@ -21,7 +21,7 @@
 class MembershipViews:
     """Each gateway's answer to ``MEMBERS``, by name; ``missing`` has the reason where there is none."""
 
-    tables: dict[str, dict[str, Any]]
+    tables: dict[str, dict[str, Any]]  # see saffrongw.members; a table's members lack its own rank
     missing: dict[str, str]
 
     @property
