--- a/lab/agreement.py
+++ b/lab/agreement.py
@@ -254,7 +254,7 @@
         node = self.nodes[int(self.draw() * len(self.nodes))]
         if is_due(faults.disconnects):
             end = now + draw_duration()
-            direction = self.draw()  # below 0.33: only sending, above 0.67: only receiving, else both
+            direction = self.draw()  # blocked: below 0.33 only sending, above 0.67 only receiving, else both
             node.send_blocked_until = end if direction < 0.67 else 0
             node.receive_blocked_until = end if direction > 0.33 else 0
         if is_due(faults.pauses) and node.paused_until <= now:
