--- a/lab/agreement_model.py
+++ b/lab/agreement_model.py
@@ -142,6 +142,7 @@
                 continue
             effective = core.effective(self.now())
             if effective.version is not None:
+                # A key's value is 0 before the version of its change in PROPOSALS, and 1 from it on.
                 if not effective.restricted:
                     self._record_use(NEVER, int(effective.version >= 2))
                 if not effective.lapsed:
