--- a/lab/cluster/checker.py
+++ b/lab/cluster/checker.py
@@ -212,7 +212,7 @@
                 yield self._breach("views differ", self.end_ms, f"{name} did not answer")
                 continue
             if view["yielded"]:
-                continue
+                continue  # to its twin: it no longer keeps a view
             members = view["members"].items()
             present = {view["rank"]} | {int(rank) for rank, row in members if row[0] in ("alive", "suspect")}
             if present != running:
