--- a/lab/judge.py
+++ b/lab/judge.py
@@ -66,6 +66,7 @@
         self.by_plan: dict[int, Counter[str]] = {i: Counter() for i in range(len(scenario.plans))}
         self.by_kind: dict[int, Counter[str]] = {i: Counter() for i in range(len(scenario.kinds))}
         self.total: Counter[str] = Counter()
+        # "beyond": units above the quotas, and in ``worth`` what they cost; "served" is without them.
         self.units: dict[str, float] = {"sent": 0.0, "beyond": 0.0}
         self.worth: dict[str, float] = {"offered": 0.0, "served": 0.0, "beyond": 0.0}
         self.latencies: list[list[int]] = [[] for _ in scenario.kinds]
